--- a/src/benchlink/frame.cpp
+++ b/src/benchlink/frame.cpp
@@ -43,7 +43,7 @@
 };
 
 constexpr std::size_t member_size = 22;
-constexpr std::uint8_t last_page = 15;
+constexpr std::uint8_t last_slot = 15;
 constexpr std::size_t max_text = 65535;
 
 class Reader {
@@ -72,7 +72,7 @@
   template <typename T>
   T take_finite(const char* what) {
     T value = take<T>();
-    if (!std::isfinite(value)) throw WireError(std::string(what) + " is not a finite number");
+    if (!std::isfinite(value)) throw FrameError(std::string(what) + " is not a finite number");
     return value;
   }
 
@@ -80,7 +80,7 @@
   std::int64_t take_whole(const char* what) {
     double value = take_finite<float>(what);
     if (std::abs(value) > 4294967295.0 || value != std::floor(value))
-      throw WireError(std::string(what) + " is not a whole number");
+      throw FrameError(std::string(what) + " is not a whole number");
     return static_cast<std::int64_t>(value);
   }
 
@@ -88,7 +88,7 @@
 
  private:
   void need(std::size_t size) const {
-    if (left() < size) throw WireError("a record ends beyond its frame");
+    if (left() < size) throw FrameError("a record ends beyond its frame");
   }
 
   std::span<const std::uint8_t> bytes_;
@@ -112,9 +112,9 @@
     case 6:
       return Outcome::cancelled;
     case 7:
-      return Outcome::moot;
+      return Outcome::not_sent;
     default:
-      throw WireError("unknown outcome code " + std::to_string(code));
+      throw FrameError("unknown outcome code " + std::to_string(code));
   }
 }
 
@@ -141,7 +141,7 @@
       member.status = NodeStatus::draining;
       break;
     default:
-      throw WireError("unknown list status " + std::to_string(status));
+      throw FrameError("unknown list status " + std::to_string(status));
   }
   member.rating = in.take_finite<float>("a rating");
   double started = in.take_finite<double>("a start time");
@@ -150,12 +150,12 @@
   return member;
 }
 
-ListKept take_list(Reader& in) {
-  ListKept list;
-  list.page = in.take<std::uint8_t>();
-  if (list.page > last_page) throw WireError("list number " + std::to_string(list.page) + " is over 15");
+MemberListStored take_list(Reader& in) {
+  MemberListStored list;
+  list.slot = in.take<std::uint8_t>();
+  if (list.slot > last_slot) throw FrameError("list number " + std::to_string(list.slot) + " is over 15");
   std::uint32_t count = in.take<std::uint32_t>();
-  if (in.left() / member_size < count) throw WireError("a list is longer than its frame");
+  if (in.left() / member_size < count) throw FrameError("a list is longer than its frame");
   auto members = std::make_shared<std::vector<Member>>();
   members->reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) members->push_back(take_member(in));
@@ -163,26 +163,26 @@
   return list;
 }
 
-ListNews take_news(Reader& in) {
-  ListNews news;
+MemberListChanged take_news(Reader& in) {
+  MemberListChanged news;
   switch (std::uint8_t form = in.take<std::uint8_t>()) {
     case 0:
-      news.form = ListForm::changes;
+      news.form = MemberListForm::delta;
       break;
     case 1:
-      news.form = ListForm::whole;
+      news.form = MemberListForm::full;
       break;
     case 2:
-      news.form = ListForm::saved;
+      news.form = MemberListForm::saved;
       break;
     case 3:
-      news.form = ListForm::failed;
+      news.form = MemberListForm::failed;
       break;
     default:
-      throw WireError("unknown form of list " + std::to_string(form));
+      throw FrameError("unknown form of list " + std::to_string(form));
   }
   news.version = in.take<std::uint32_t>();
-  news.page = in.take<std::uint8_t>();
+  news.slot = in.take<std::uint8_t>();
   return news;
 }
 
@@ -198,9 +198,9 @@
   double amount = in.take_finite<float>("an amount");
   std::uint16_t options = in.take<std::uint16_t>();
   bool cost_known = (options & 1) != 0 && std::isfinite(cost.count());
-  if (ordinal < 0) throw WireError("a query number is negative");
+  if (ordinal < 0) throw FrameError("a query number is negative");
   if (shard < 0) {
-    if (amount < 0 || amount > 1e9) throw WireError("a query's count of parts is out of range");
+    if (amount < 0 || amount > 1e9) throw FrameError("a query's count of parts is out of range");
     QueryArrived query;
     query.query = job;
     query.ordinal = static_cast<std::uint32_t>(ordinal);
@@ -215,7 +215,7 @@
     query.write = (options & 4) != 0;
     return query;
   }
-  if (shard > 0x7fffffff) throw WireError("a shard is out of range");
+  if (shard > 0x7fffffff) throw FrameError("a shard is out of range");
   PartArrived part;
   part.part = job;
   part.ordinal = static_cast<std::uint32_t>(ordinal);
@@ -260,9 +260,9 @@
 Record take_record(Reader& in) {
   switch (std::uint8_t code = in.take<std::uint8_t>()) {
     case switch_to:
-      return InstanceNamed{in.take<std::uint32_t>()};
+      return InstanceSelected{in.take<std::uint32_t>()};
     case open_instance: {
-      InstanceOpened opened;
+      InstanceStarted opened;
       opened.seed = in.take<std::uint64_t>();
       opened.settings = in.take_text(in.take<std::uint32_t>());
       return opened;
@@ -278,7 +278,7 @@
     case done:
       return take_done(in);
     case cancelled_by_client:
-      return Event(ClientLeft{in.take<std::uint32_t>()});
+      return Event(ClientDisconnected{in.take<std::uint32_t>()});
     case bell:
       return Event(TimerFired{in.take<std::uint64_t>()});
     case status_back:
@@ -290,9 +290,9 @@
       return Event(std::move(message));
     }
     case exit_instance:
-      return InstanceKilled{};
+      return InstanceStopped{};
     default:
-      throw WireError("unknown record code " + std::to_string(code));
+      throw FrameError("unknown record code " + std::to_string(code));
   }
 }
 
@@ -335,7 +335,7 @@
   void operator()(const RefuseQuery& a) const {
     put_code(out, reject);
     put(out, a.query);
-    put(out, a.come_back.count());
+    put(out, a.retry_after.count());
   }
   void operator()(const FailQuery& a) const {
     put_code(out, fail);
@@ -345,7 +345,7 @@
     put_code(out, probe);
     put(out, a.node);
   }
-  void operator()(const TellPeer& a) const {
+  void operator()(const SendToPeer& a) const {
     put_code(out, tell);
     put(out, a.to);
     put_text(out, a.payload);
@@ -372,39 +372,39 @@
 
 }  // namespace
 
-std::size_t stated_frame_size(std::span<const std::uint8_t> header) {
+std::size_t declared_frame_size(std::span<const std::uint8_t> header) {
   std::uint32_t size = Reader(header).take<std::uint32_t>();
-  if (size < batch_header_size) throw WireError("a frame states a length shorter than its header");
-  if (size > max_frame_size) throw WireError("a frame states a length of over 1 GiB");
+  if (size < batch_header_size) throw FrameError("a frame states a length shorter than its header");
+  if (size > max_frame_size) throw FrameError("a frame states a length of over 1 GiB");
   return size;
 }
 
 Batch decode_batch(std::span<const std::uint8_t> frame) {
-  if (stated_frame_size(frame) != frame.size()) throw WireError("a frame is not as long as it states");
+  if (declared_frame_size(frame) != frame.size()) throw FrameError("a frame is not as long as it states");
   Reader in(frame);
   in.take<std::uint32_t>();
   Batch batch;
   batch.now = in.take_time();
   std::uint32_t count = in.take<std::uint32_t>();
-  if (count > in.left()) throw WireError("a frame states more records than it has bytes");
+  if (count > in.left()) throw FrameError("a frame states more records than it has bytes");
   batch.records.reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) batch.records.push_back(take_record(in));
-  if (in.left() != 0) throw WireError("a frame has bytes behind its last record");
+  if (in.left() != 0) throw FrameError("a frame has bytes behind its last record");
   return batch;
 }
 
-void ReplyWriter::instance(std::uint32_t number) {
+void ReplyWriter::begin_instance(std::uint32_t number) {
   put_code(body_, instance_code);
   put(body_, number);
   ++records_;
 }
 
-void ReplyWriter::action(const Action& action) {
+void ReplyWriter::add_action(const Action& action) {
   std::visit(Encoder{body_}, action);
   ++records_;
 }
 
-void ReplyWriter::crashed(const std::string& text) {
+void ReplyWriter::add_crash(const std::string& text) {
   put_code(body_, die);
   put_text(body_, text);
   ++records_;
--- a/src/benchlink/frame.h
+++ b/src/benchlink/frame.h
@@ -14,8 +14,8 @@
 
 namespace pearspar::benchlink {
 
-// What cannot be read as the wire page says; the text is one plain line.
-class WireError : public std::runtime_error {
+// What cannot be read as the wire slot says; the text is one plain line.
+class FrameError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -26,25 +26,26 @@
 inline constexpr std::size_t batch_header_size = 16;
 inline constexpr std::size_t max_frame_size = std::size_t{1} << 30;
 
-struct InstanceNamed {
+struct InstanceSelected {
   std::uint32_t instance = 0;
 };
-struct InstanceOpened {
+struct InstanceStarted {
   std::uint64_t seed = 0;
   std::string settings;
 };
-struct ListKept {
-  std::uint8_t page = 0;
+struct MemberListStored {
+  std::uint8_t slot = 0;
   MemberList members;
 };
-struct ListNews {
-  ListForm form = ListForm::changes;
+struct MemberListChanged {
+  MemberListForm form = MemberListForm::delta;
   std::uint32_t version = 0;
-  std::uint8_t page = 0;
+  std::uint8_t slot = 0;
 };
-struct InstanceKilled {};
+struct InstanceStopped {};
 
-using Record = std::variant<InstanceNamed, InstanceOpened, ListKept, ListNews, InstanceKilled, Event>;
+using Record = std::variant<InstanceSelected, InstanceStarted, MemberListStored, MemberListChanged,
+                            InstanceStopped, Event>;
 
 struct Batch {
   Time now{};
@@ -52,15 +53,15 @@
 };
 
 // The whole frame's length as its header states it; throws where no frame can be so long.
-std::size_t stated_frame_size(std::span<const std::uint8_t> header);
+std::size_t declared_frame_size(std::span<const std::uint8_t> header);
 Batch decode_batch(std::span<const std::uint8_t> frame);
 
 class ReplyWriter {
  public:
-  void instance(std::uint32_t number);
-  void action(const Action& action);
+  void begin_instance(std::uint32_t number);
+  void add_action(const Action& action);
   // The module has thrown: the bench is to show `text` and stop.
-  void crashed(const std::string& text);
+  void add_crash(const std::string& text);
   Bytes finish() const;
 
  private:
--- a/src/benchlink/host.cpp
+++ b/src/benchlink/host.cpp
@@ -11,7 +11,7 @@
   try {
     return settings::read_settings(settings::values_of_lines(text));
   } catch (const settings::SettingsError& error) {
-    throw WireError(error.what());
+    throw FrameError(error.what());
   }
 }
 
@@ -20,27 +20,27 @@
 Host::Instance& Host::open_instance(std::uint32_t number) {
   auto found = instances_.find(number);
   if (found == instances_.end())
-    throw WireError("an event for instance " + std::to_string(number) + ", which is not open");
+    throw FrameError("an event for instance " + std::to_string(number) + ", which is not open");
   return found->second;
 }
 
 void Host::take(std::uint32_t number, Record& record) {
-  if (auto* opened = std::get_if<InstanceOpened>(&record)) {
+  if (auto* opened = std::get_if<InstanceStarted>(&record)) {
     if (instances_.count(number) != 0)
-      throw WireError("instance " + std::to_string(number) + " is opened while it is open");
+      throw FrameError("instance " + std::to_string(number) + " is opened while it is open");
     Settings settings = settings_of(opened->settings);
     Instance& instance = instances_[number];
     instance.classes = static_cast<int>(settings.classes.size());
     instance.policy = make_policy(settings, opened->seed);
-  } else if (std::get_if<InstanceKilled>(&record)) {
+  } else if (std::get_if<InstanceStopped>(&record)) {
     open_instance(number);
     instances_.erase(number);
-  } else if (auto* news = std::get_if<ListNews>(&record)) {
+  } else if (auto* news = std::get_if<MemberListChanged>(&record)) {
     MembersChanged changed{news->form, news->version, nullptr};
-    if (news->form != ListForm::failed) {
-      if (news->page >= lists_.size() || !lists_[news->page])
-        throw WireError("a list is named by number " + std::to_string(news->page) + ", which holds none");
-      changed.members = lists_[news->page];
+    if (news->form != MemberListForm::failed) {
+      if (news->slot >= lists_.size() || !lists_[news->slot])
+        throw FrameError("a list is named by number " + std::to_string(news->slot) + ", which holds none");
+      changed.members = lists_[news->slot];
     }
     open_instance(number).events.emplace_back(std::move(changed));
   } else {
@@ -51,20 +51,20 @@
 void Host::take_event(std::uint32_t number, Event& event) {
   Instance& instance = open_instance(number);
   if (auto* query = std::get_if<QueryArrived>(&event); query && query->cls >= instance.classes)
-    throw WireError("a query of class " + std::to_string(query->cls) + ", which the settings do not hold");
+    throw FrameError("a query of class " + std::to_string(query->cls) + ", which the settings do not hold");
   instance.events.push_back(std::move(event));
 }
 
-Bytes Host::answer(std::span<const std::uint8_t> frame) {
+Bytes Host::handle_frame(std::span<const std::uint8_t> frame) {
   Batch batch = decode_batch(frame);
   std::optional<std::uint32_t> current;
   for (Record& record : batch.records) {
-    if (auto* named = std::get_if<InstanceNamed>(&record)) {
+    if (auto* named = std::get_if<InstanceSelected>(&record)) {
       current = named->instance;
-    } else if (auto* kept = std::get_if<ListKept>(&record)) {
-      lists_[kept->page] = kept->members;
+    } else if (auto* kept = std::get_if<MemberListStored>(&record)) {
+      lists_[kept->slot] = kept->members;
     } else if (!current) {
-      throw WireError("a record for an instance before any instance is named");
+      throw FrameError("a record for an instance before any instance is named");
     } else {
       take(*current, record);
     }
@@ -77,14 +77,14 @@
     try {
       instance.policy->handle(batch.now, instance.events, actions);
     } catch (const std::exception& error) {
-      reply.instance(number);
-      reply.crashed(error.what());
+      reply.begin_instance(number);
+      reply.add_crash(error.what());
       return reply.finish();
     }
     instance.events.clear();
     if (actions.empty()) continue;
-    reply.instance(number);
-    for (const Action& action : actions) reply.action(action);
+    reply.begin_instance(number);
+    for (const Action& action : actions) reply.add_action(action);
   }
   return reply.finish();
 }
--- a/src/benchlink/host.h
+++ b/src/benchlink/host.h
@@ -14,8 +14,8 @@
 
 class Host {
  public:
-  // One batch in, its reply out. Throws WireError on a frame that cannot be carried out as it stands.
-  Bytes answer(std::span<const std::uint8_t> frame);
+  // One batch in, its reply out. Throws FrameError on a frame that cannot be carried out as it stands.
+  Bytes handle_frame(std::span<const std::uint8_t> frame);
 
  private:
   struct Instance {
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using pearspar::benchlink::Bytes;
-using pearspar::benchlink::WireError;
+using pearspar::benchlink::FrameError;
 
 // Grows in steps, so that a false length in a broken frame does not claim its memory at once.
 constexpr std::size_t read_step = std::size_t{1} << 20;
@@ -20,9 +20,9 @@
     frame.resize(std::min(size, had + read_step));
     std::size_t got = std::fread(frame.data() + had, 1, frame.size() - had, stdin);
     frame.resize(had + got);
-    if (got == 0 && std::ferror(stdin)) throw WireError("standard input cannot be read");
+    if (got == 0 && std::ferror(stdin)) throw FrameError("standard input cannot be read");
     if (got == 0 && frame.empty()) return false;
-    if (got == 0) throw WireError("input ends within a frame");
+    if (got == 0) throw FrameError("input ends within a frame");
   }
   return true;
 }
@@ -32,10 +32,10 @@
   Host host;
   Bytes frame;
   while (frame.clear(), read_to(frame, batch_header_size)) {
-    read_to(frame, stated_frame_size(frame));
-    Bytes reply = host.answer(frame);
+    read_to(frame, declared_frame_size(frame));
+    Bytes reply = host.handle_frame(frame);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
-      throw WireError("standard output cannot be written");
+      throw FrameError("standard output cannot be written");
   }
 }
 
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -106,7 +106,7 @@
   engine_.know(loop_.now(), config_.known);
   front_.listen(config_.listen);
   log_.info("{} listens on {}, {} nodes known", config_.name, front_.address().text(), engine_.nodes());
-  if (!config_.module.membership_by_asking) members_.start();
+  if (!config_.module.membership_by_subscription) members_.start();
   make_registration();
   if (registration_) registration_->start();
   make_fleet();
@@ -263,7 +263,7 @@
     case Kind::refused:
       answer.status = 503;
       answer.body = clients::error_body("refused");
-      answer.retry_after_s = result.come_back.count();
+      answer.retry_after_s = result.retry_after.count();
       break;
     case Kind::failed:
       answer.body = clients::error_body("failed");
@@ -295,9 +295,7 @@
   log_.debug("node {} is {} at {}", node, id, address.text());
 }
 
-void Broker::probe(NodeId node) {
-  links_.probe(node, config_.module.report_source == ReportSource::by_probe);
-}
+void Broker::probe(NodeId node) { links_.probe(node, config_.module.report_source == ReportSource::pull); }
 
 void Broker::members_told(const membership::MemberList& list) { engine_.members_told(loop_.now(), list); }
 void Broker::members_failed() { engine_.members_failed(); }
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -17,7 +17,7 @@
 
 void Engine::know(net::Time now, const membership::MemberList& saved) {
   now_ = now;
-  if (!saved.entries.empty()) take_list(saved, ListForm::saved);
+  if (!saved.entries.empty()) take_list(saved, MemberListForm::saved);
 }
 
 void Engine::start(net::Time now) {
@@ -27,14 +27,14 @@
 
 void Engine::end_turn(net::Time now) {
   now_ = now;
-  if (something_to_tell() && now_ >= last_batch_ + settings_.quantum) hand_batch();
+  if (something_to_tell() && now_ >= last_batch_ + settings_.min_batch_interval) hand_batch();
 }
 
 // Also for what the batch itself brought about (an attempt called off, one not sent): without a time for it
 // the host could sleep on it until something else happens.
 net::Time Engine::due() const {
   net::Time first = net::Time::max();
-  if (something_to_tell()) first = last_batch_ + settings_.quantum;
+  if (something_to_tell()) first = last_batch_ + settings_.min_batch_interval;
   if (!deadlines_.empty()) first = std::min(first, deadlines_.begin()->first);
   if (!timers_.empty()) first = std::min(first, timers_.begin()->first);
   return first;
@@ -108,7 +108,7 @@
   if (found == by_client_.end()) return;
   ++counters_.clients_left;
   QueryId id = found->second;
-  events_.emplace_back(ClientLeft{id});
+  events_.emplace_back(ClientDisconnected{id});
   end_query(id, nullptr);
 }
 
@@ -116,7 +116,7 @@
 void Engine::out_of_time(QueryId id) {
   ++counters_.out_of_time;
   ports_.lines.say(true, "a query was still open at its deadline");
-  events_.emplace_back(ClientLeft{id});
+  events_.emplace_back(ClientDisconnected{id});
   Result result{Result::Kind::out_of_time, {}, {}};
   end_query(id, &result);
 }
@@ -180,11 +180,12 @@
 
 void Engine::members_told(net::Time now, const membership::MemberList& list) {
   now_ = now;
-  take_list(list, list.complete ? ListForm::whole : ListForm::changes);
+  take_list(list, list.complete ? MemberListForm::full : MemberListForm::delta);
 }
 
 void Engine::members_failed() {
-  if (settings_.membership_by_asking) list_news_.emplace_back(MembersChanged{ListForm::failed, 0, nullptr});
+  if (settings_.membership_by_subscription)
+    list_news_.emplace_back(MembersChanged{MemberListForm::failed, 0, nullptr});
 }
 
 Member Engine::member_of(const membership::Entry& entry) const {
@@ -210,14 +211,14 @@
 // Where nodes come under new ids all day, those that are gone must not be kept. Within the time in which a
 // node counts as cold its number stays: should it return, the module has to know it again.
 void Engine::forget_gone() {
-  net::Duration keep = settings_.warm_within + settings_.fall_span;
+  net::Duration keep = settings_.warm_up_time + settings_.cold_load_window;
   std::erase_if(nodes_, [&](const auto& entry) {
     const KnownNode& node = entry.second;
     return node.member.status == NodeStatus::gone && now_ > node.gone_at + keep;
   });
 }
 
-void Engine::take_list(const membership::MemberList& list, ListForm form) {
+void Engine::take_list(const membership::MemberList& list, MemberListForm form) {
   auto members = std::make_shared<std::vector<Member>>();
   std::set<NodeId> listed;
   for (const membership::Entry& entry : list.entries) {
@@ -238,7 +239,7 @@
     listed.insert(node.number);
     members->push_back(node.member);
   }
-  if (form != ListForm::changes) {
+  if (form != MemberListForm::delta) {
     for (auto& [name, node] : nodes_) {
       if (listed.count(node.number) == 0) note_gone(node);
     }
@@ -268,7 +269,7 @@
   auto place = parts_.find(send.part);
   if (place == parts_.end()) {
     // The query is over: not sent.
-    events_.emplace_back(AttemptEnded{send.part, send.node, 0, Outcome::moot, {}, false, {}});
+    events_.emplace_back(AttemptEnded{send.part, send.node, 0, Outcome::not_sent, {}, false, {}});
     return;
   }
   Query& query = *find(place->second.query);
@@ -277,8 +278,8 @@
   net::Time give_up_at = query.deadline;
   if (send.max_wait > Duration{}) give_up_at = std::min(give_up_at, now_ + send.max_wait);
   if (attempt >= settings_.max_attempts || give_up_at <= now_) {
-    ++counters_.attempts[static_cast<std::size_t>(Outcome::moot)];
-    events_.emplace_back(AttemptEnded{send.part, send.node, attempt, Outcome::moot, {}, !part.in, {}});
+    ++counters_.attempts[static_cast<std::size_t>(Outcome::not_sent)];
+    events_.emplace_back(AttemptEnded{send.part, send.node, attempt, Outcome::not_sent, {}, !part.in, {}});
     return;
   }
   ++counters_.sends;
@@ -330,7 +331,7 @@
 void Engine::act(const RefuseQuery& refuse) {
   if (!find(refuse.query)) return;
   ++counters_.refused;
-  Result result{Result::Kind::refused, {}, settings_.may_advise_return ? refuse.come_back : Duration{}};
+  Result result{Result::Kind::refused, {}, settings_.may_send_retry_after ? refuse.retry_after : Duration{}};
   end_query(refuse.query, &result);
 }
 
@@ -347,10 +348,10 @@
   ports_.nodes.probe(probe.node);
 }
 
-void Engine::act(const TellPeer&) {}  // no way leads there yet
+void Engine::act(const SendToPeer&) {}  // no way leads there yet
 void Engine::act(const FetchMembers&) { ports_.members.fetch(); }
 void Engine::act(const SubscribeMembers& subscribe) {
-  if (settings_.membership_by_asking) ports_.members.subscribe(subscribe.on);
+  if (settings_.membership_by_subscription) ports_.members.subscribe(subscribe.on);
 }
 void Engine::act(const SetTimer& timer) { timers_.emplace(now_ + timer.after, timer.token); }
 void Engine::act(const DropIdleConnections& drop) { ports_.nodes.drop_idle(drop.node); }
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -128,7 +128,7 @@
     net::Time give_up_at{};
   };
 
-  void take_list(const membership::MemberList& list, ListForm form);
+  void take_list(const membership::MemberList& list, MemberListForm form);
   Member member_of(const membership::Entry& entry) const;
   void note_gone(KnownNode& node);
   void forget_gone();
@@ -142,7 +142,7 @@
   void act(const RefuseQuery& refuse);
   void act(const FailQuery& fail);
   void act(const ProbeNode& probe);
-  void act(const TellPeer& tell);
+  void act(const SendToPeer& tell);
   void act(const FetchMembers& fetch);
   void act(const SubscribeMembers& subscribe);
   void act(const SetTimer& timer);
--- a/src/engine/ports.h
+++ b/src/engine/ports.h
@@ -27,7 +27,7 @@
   enum class Kind { whole, partial, refused, failed, out_of_time };
   Kind kind = Kind::failed;
   std::span<const PartValue> values;  // whole, partial: those that are in; they hold during the call
-  Duration come_back{};               // refused: 0 = no advice
+  Duration retry_after{};             // refused: 0 = no advice
 };
 
 class Clients {
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -40,11 +40,11 @@
       double weight = 0;
       for (const engine::PartValue& value : result.values) weight += query.weights.at(value.shard);
       const ClassSettings& cls = fleet.shape_.settings.classes[static_cast<std::size_t>(query.cls)];
-      bool all = weight >= cls.need - 1e-4;
-      if (weight < cls.floor - 1e-4 || (result.kind == Kind::whole && !all)) ++fleet.audit_.dishonest;
-      fleet.settle(query.client, all ? 1 : cls.partial * weight / cls.need, all);
+      bool all = weight >= cls.whole_coverage - 1e-4;
+      if (weight < cls.min_coverage - 1e-4 || (result.kind == Kind::whole && !all)) ++fleet.audit_.dishonest;
+      fleet.settle(query.client, all ? 1 : cls.partial_worth * weight / cls.whole_coverage, all);
     } else {
-      fleet.ended_without(query.client, result.come_back.count());
+      fleet.ended_without(query.client, result.retry_after.count());
     }
   }
 
@@ -111,7 +111,7 @@
 };
 
 Fleet::Fleet(Shape shape, std::uint64_t seed) : shape_(std::move(shape)), random_(seed), now_(1000) {
-  shape_.settings.brokers = shape_.brokers;
+  shape_.settings.broker_count = shape_.brokers;
   std::set<int> weak(shape_.weak_cells.begin(), shape_.weak_cells.end());
   membership::MemberList first;
   first.complete = true;
@@ -142,7 +142,7 @@
   Broker& broker = *brokers_[static_cast<std::size_t>(number)];
   broker.up = true;
   Settings settings = shape_.settings;
-  settings.self = number;
+  settings.broker_index = number;
   settings.zone = number % 2;
   broker.engine = std::make_unique<engine::Engine>(settings, engine::Names{{"a", "b"}, {}},
                                                    make_policy(settings, random_()),
@@ -241,7 +241,7 @@
   const ClassSettings& cls = shape_.settings.classes[static_cast<std::size_t>(client.cls)];
   client.home = static_cast<int>(uniform() * shape_.brokers);
   client.first = now_;
-  client.aim_at = now_ + cls.aim.count();
+  client.aim_at = now_ + cls.latency_target.count();
   client.leaves = now_ + shape_.loads[static_cast<std::size_t>(client.cls)].patience;
   client.shard = static_cast<int>(uniform() * shape_.settings.shards);
   client.window = windows_.size() - 1;
@@ -297,12 +297,12 @@
   }
 }
 
-void Fleet::ended_without(std::uint64_t id, double come_back) {
+void Fleet::ended_without(std::uint64_t id, double retry_after) {
   auto found = clients_.find(id);
   if (found == clients_.end()) return;
   Client& client = found->second;
   if (!client.sent) ++refused_unsent_;
-  double again = now_ + std::max(come_back, shape_.client_pause * (0.5 + uniform()));
+  double again = now_ + std::max(retry_after, shape_.client_pause * (0.5 + uniform()));
   if (client.tries < shape_.client_tries && again < client.leaves - 0.05) {
     schedule(again, [this, id] {
       if (clients_.count(id) != 0) ask(id);
@@ -318,8 +318,8 @@
 int Fleet::zone_of(int node) const { return nodes_[static_cast<std::size_t>(node)].zone; }
 
 double Fleet::capacity(const Node& node) const {
-  double age = now_ - node.started, warm = shape_.settings.warm_within.count();
-  double from = shape_.settings.start_capacity;
+  double age = now_ - node.started, warm = shape_.settings.warm_up_time.count();
+  double from = shape_.settings.cold_start_capacity;
   double ready = age >= warm ? 1 : from + (1 - from) * std::max(0.0, age) / warm;
   return node.speed * ready / node.slowed;
 }
@@ -328,15 +328,15 @@
 // speed, against what it can do in that span.
 void Fleet::charge(Node& node) {
   const Settings& s = shape_.settings;
-  if (now_ >= node.started + s.warm_within.count()) return;
-  double span = s.fall_span.count();
+  if (now_ >= node.started + s.warm_up_time.count()) return;
+  double span = s.cold_load_window.count();
   node.cold_arrivals.push_back(now_);
   std::erase_if(node.cold_arrivals, [&](double at) { return at <= now_ - span; });
   double work = 0;
   for (const ClassLoad& load : shape_.loads) work = std::max(work, load.work);
   double sent = static_cast<double>(node.cold_arrivals.size()) * work;
   double able = capacity(node) * node.slowed * shape_.cores * span;
-  if (sent > s.fall_multiple * able * rule_slack) {
+  if (sent > s.cold_load_multiple * able * rule_slack) {
     ++audit_.pushed_over;
     node.cold_arrivals.clear();
   }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -147,7 +147,7 @@
   void arrive();
   void ask(std::uint64_t client);
   void settle(std::uint64_t client, double worth, bool whole);
-  void ended_without(std::uint64_t client, double come_back);
+  void ended_without(std::uint64_t client, double retry_after);
   void wake(int broker);
   void arm(int broker);
   void tell(int node);
--- a/src/nodelink/links.cpp
+++ b/src/nodelink/links.cpp
@@ -298,7 +298,7 @@
     net::SlotId slot = it->second;
     ++it;
     Connection* connection = connections_.find(attempts_.find(slot)->connection);
-    if (connection && take_back(*connection, slot)) end(slot, Outcome::moot);
+    if (connection && take_back(*connection, slot)) end(slot, Outcome::not_sent);
   }
 }
 
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,9 +1,9 @@
 // What is refused on arrival: by lot, for want of time, or after waiting for room.
 #pragma once
 
-#include "policy/replica.h"
+#include "policy/replica_selection.h"
 
-namespace pearspar::decisions {
+namespace pearspar::policy {
 
 // Of the shortest aim: where a shard's quickest replica takes so long, some leave light parts out there, and
 // at twice that all do.
@@ -19,13 +19,13 @@
 constexpr double hopeless_most =
     0.95;  // a query needs the time within which so many of its attempts end, at most
 
-class Admission : public Replica {
+class Admission : public ReplicaSelection {
  protected:
-  using Replica::on;
-  using Replica::Replica;
+  using ReplicaSelection::on;
+  using ReplicaSelection::ReplicaSelection;
 
   void on(const QueryArrived& arrival) {
-    if (s_.has_budget) taken_.push_back(now_);
+    if (s_.has_retry_budget) taken_.push_back(now_);
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(arrival.cls)];
     Query& query = queries_[arrival.query];
     query = Query{};
@@ -35,14 +35,15 @@
     query.tenant = arrival.tenant;
     query.arrived = now_;
     query.deadline = arrival.deadline;
-    Duration stretch = arrival.cost_known ? arrival.cost * cls.aim_stretch : Duration{};
-    query.aim_at = std::min(now_ + std::min(cls.aim + stretch, cls.give_up), arrival.deadline);
+    Duration stretch = arrival.cost_known ? arrival.cost * cls.latency_target_per_work : Duration{};
+    query.aim_at =
+        std::min(now_ + std::min(cls.latency_target + stretch, cls.client_timeout), arrival.deadline);
     query.expected = arrival.parts;
     by_ordinal_[arrival.ordinal] = arrival.query;
   }
 
   void on(const PartArrived& arrival) {
-    if (s_.has_budget) taken_.push_back(now_);
+    if (s_.has_retry_budget) taken_.push_back(now_);
     auto owner = by_ordinal_.find(arrival.ordinal);
     if (owner == by_ordinal_.end()) return;
     Query& query = queries_.at(owner->second);
@@ -106,7 +107,8 @@
   // A part that its query can do without, and that weighs less than an even share.
   bool light(const Query& query, const Part& part) const {
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
-    return cls.floor < cls.need && part.weight < 1 / static_cast<double>(query.parts.size()) - weight_slack;
+    return cls.min_coverage < cls.whole_coverage &&
+           part.weight < 1 / static_cast<double>(query.parts.size()) - weight_slack;
   }
 
   // DESIGN's hot shard: narrowing trims the light parts of all shards alike, and those that wait at one add
@@ -136,7 +138,8 @@
       // against it: with nothing let in, nothing new would ever be learnt.
       const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query->cls)];
       double parts = static_cast<double>(query->parts.size());
-      double share = cls.floor < cls.need ? 0.5 : std::min(hopeless_most, parts / (parts + 1));
+      double share =
+          cls.min_coverage < cls.whole_coverage ? 0.5 : std::min(hopeless_most, parts / (parts + 1));
       bool fresh = !latencies_.empty() && latencies_.back().at > now_ - strain_window;
       if (fresh && now_ + Duration(latency_at(share)) + margin() > query->aim_at) {
         finish(*query);
@@ -149,4 +152,4 @@
   }
 };
 
-}  // namespace pearspar::decisions
+}  // namespace pearspar::policy
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -3,7 +3,7 @@
 
 #include "policy/admission.h"
 
-namespace pearspar::decisions {
+namespace pearspar::policy {
 
 // Attempts.
 constexpr double overdue_share = 0.7;  // of the aim: a part out for longer counts as timed out
@@ -44,15 +44,15 @@
     part.attempts.push_back(attempt);
     node.outstanding.push_back(now_);
     ++out_;
-    while (!node.recent_sends.empty() && node.recent_sends.front() <= now_ - s_.fall_span)
+    while (!node.recent_sends.empty() && node.recent_sends.front() <= now_ - s_.cold_load_window)
       node.recent_sends.pop_front();
     node.recent_sends.push_back(now_);
     if (!cold(node)) note_warm_sends(1);
-    if (further && s_.has_budget) extras_.push_back(now_);
+    if (further && s_.has_retry_budget) extras_.push_back(now_);
     Duration wait = end_of(query) - now_;
-    if (!s_.may_copy && !s_.may_cancel && more_allowed(query, part))
+    if (!s_.may_hedge && !s_.may_cancel && more_allowed(query, part))
       wait = std::min(wait, attempt.overdue_at - now_);
-    actions_->push_back(SendPart{part.id, attempt.node, std::max(wait, s_.quantum)});
+    actions_->push_back(SendPart{part.id, attempt.node, std::max(wait, s_.min_batch_interval)});
   }
 
   // An attempt that is out for far longer than attempts usually are is taken for lost: it, its answer or its
@@ -65,7 +65,7 @@
       wait = std::min(
           wait, std::max(query.mostly_in * last_parts_wait, (query.aim_at - query.arrived) * silence_least));
     // Where no copy may run beside it, a mistake costs the work done so far.
-    if (!s_.may_copy) wait *= call_off_waits;
+    if (!s_.may_hedge) wait *= call_off_waits;
     if (attempt.given_up || now_ - attempt.sent <= wait) return;
     Node& node = nodes_.at(attempt.node);
     attempt.given_up = true;
@@ -80,7 +80,7 @@
 
   bool more_allowed(const Query& query, const Part& part) const {
     return static_cast<int>(part.attempts.size()) < s_.max_attempts &&
-           s_.classes[static_cast<std::size_t>(query.cls)].effect != Effect::unsafe;
+           s_.classes[static_cast<std::size_t>(query.cls)].idempotency != Idempotency::non_idempotent;
   }
 
   void on(const AttemptEnded& ended) {
@@ -97,7 +97,7 @@
     close_attempt(node, attempt);
     judge(node, attempt, ended);
     if (ended.outcome == Outcome::refused || ended.outcome == Outcome::connect_failed ||
-        ended.outcome == Outcome::moot)
+        ended.outcome == Outcome::not_sent)
       attempt.may_have_run = false;
     part.retry_at = now_ + (query.aim_at - query.arrived) * retry_pause;
     if (ended.outcome != Outcome::ok || query.ended || part.in || part.step != query.step) return;
@@ -151,7 +151,7 @@
         if (!attempt.given_up) note_latency(node, took);
         if (took > node.latency) take_latency(node, took);
         break;
-      case Outcome::moot:
+      case Outcome::not_sent:
         break;
     }
   }
@@ -179,7 +179,7 @@
       part.lost = out == 0;
       return;
     }
-    if (out > 0 && !s_.may_copy && s_.may_cancel) {
+    if (out > 0 && !s_.may_hedge && s_.may_cancel) {
       if (extra_credit_ >= 1 && !part.called_off) {
         part.called_off = true;
         extra_credit_ -= 1;
@@ -213,12 +213,12 @@
   bool could_ever_send(const Query& query, const Part& part) const {
     if (static_cast<int>(part.attempts.size()) >= s_.max_attempts) return false;
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
-    if (cls.effect == Effect::unsafe && part.may_have_run()) return false;
-    if (cls.effect == Effect::keyed && !within_dedup(cls, part)) return false;
+    if (cls.idempotency == Idempotency::non_idempotent && part.may_have_run()) return false;
+    if (cls.idempotency == Idempotency::deduplicated && !within_dedup(cls, part)) return false;
     return std::any_of(nodes_.begin(), nodes_.end(), [&](auto& entry) {
       return entry.second.member.status == NodeStatus::ready && holds(entry.second, part.shard);
     });
   }
 };
 
-}  // namespace pearspar::decisions
+}  // namespace pearspar::policy
--- a/src/policy/guards.h
+++ b/src/policy/constraints.h
@@ -1,28 +1,30 @@
 // Rule guards: every send passes may_send() and every final answer finish(), and nowhere else.
 #pragma once
 
-#include "policy/narrowing.h"
+#include "policy/coverage.h"
 
-namespace pearspar::decisions {
+namespace pearspar::policy {
 
 constexpr Duration return_advice = 500ms;  // named with a refusal
 
-class Guards : public Narrowing {
+class Constraints : public CoverageControl {
  protected:
-  using Narrowing::Narrowing;
+  using CoverageControl::CoverageControl;
 
   bool within_dedup(const ClassSettings& cls, const Part& part) const {
     for (const Attempt& attempt : part.attempts)
-      if (attempt.may_have_run) return now_ + s_.quantum * 2 < attempt.sent + cls.dedup_window;
+      if (attempt.may_have_run) return now_ + s_.min_batch_interval * 2 < attempt.sent + cls.dedup_window;
     return true;
   }
 
   // Counts a little more of the past for sends than for arrivals, so that rounding never favours us.
   bool within_budget() {
-    if (!s_.has_budget) return true;
-    while (!extras_.empty() && extras_.front() < now_ - s_.budget_span - s_.quantum) extras_.pop_front();
-    while (!taken_.empty() && taken_.front() <= now_ - s_.budget_span + s_.quantum) taken_.pop_front();
-    double allowed = s_.budget_extra + s_.budget_ratio * static_cast<double>(taken_.size());
+    if (!s_.has_retry_budget) return true;
+    while (!extras_.empty() && extras_.front() < now_ - s_.retry_budget_window - s_.min_batch_interval)
+      extras_.pop_front();
+    while (!taken_.empty() && taken_.front() <= now_ - s_.retry_budget_window + s_.min_batch_interval)
+      taken_.pop_front();
+    double allowed = s_.retry_budget_base + s_.retry_budget_ratio * static_cast<double>(taken_.size());
     return static_cast<double>(extras_.size()) + 1 <= allowed + 1e-9;
   }
 
@@ -32,9 +34,9 @@
     if (query.ended || part.in || part.step != query.step || now_ >= query.deadline - margin()) return false;
     if (static_cast<int>(part.attempts.size()) >= s_.max_attempts) return false;
     if (!part.attempts.empty()) {
-      if (part.out() > 0 && !s_.may_copy) return false;
-      if (cls.effect == Effect::unsafe && part.may_have_run()) return false;
-      if (cls.effect == Effect::keyed && !within_dedup(cls, part)) return false;
+      if (part.out() > 0 && !s_.may_hedge) return false;
+      if (cls.idempotency == Idempotency::non_idempotent && part.may_have_run()) return false;
+      if (cls.idempotency == Idempotency::deduplicated && !within_dedup(cls, part)) return false;
       if (!within_budget()) return false;
     }
     // Drains: nothing new from the moment we are told. The grace is for what was decided before; a node that
@@ -44,7 +46,7 @@
     // inferred may be inferred again.
     if (cold(node)) {
       auto& sends = node.recent_sends;
-      while (!sends.empty() && sends.front() <= now_ - s_.fall_span) sends.pop_front();
+      while (!sends.empty() && sends.front() <= now_ - s_.cold_load_window) sends.pop_front();
       if (static_cast<double>(sends.size()) + 1 > cold_allowance(node)) return false;
     }
     return true;
@@ -91,16 +93,17 @@
         query.expected = std::min(cls.fetch_parts, in);
         return;
       }
-    } else if (cls.effect == Effect::unsafe && std::any_of(query.parts.begin(), query.parts.end(),
-                                                           [](auto& part) { return part.may_have_run(); })) {
+    } else if (cls.idempotency == Idempotency::non_idempotent &&
+               std::any_of(query.parts.begin(), query.parts.end(),
+                           [](auto& part) { return part.may_have_run(); })) {
       actions_->push_back(FailQuery{query.id});
     } else {
       Duration advice =
-          s_.may_advise_return ? std::min(Duration(return_advice), s_.max_return_advice) : Duration{};
+          s_.may_send_retry_after ? std::min(Duration(return_advice), s_.max_retry_after) : Duration{};
       actions_->push_back(RefuseQuery{query.id, advice});
     }
     query.ended = true;
   }
 };
 
-}  // namespace pearspar::decisions
+}  // namespace pearspar::policy
--- a/src/policy/narrowing.h
+++ b/src/policy/coverage.h
@@ -3,10 +3,10 @@
 
 #include "policy/nodes.h"
 
-namespace pearspar::decisions {
+namespace pearspar::policy {
 
-// Narrowing: DESIGN's starting values, but for the threshold: at its tenth, two wide queries that meet on a
-// quiet day were enough to narrow.
+// CoverageControl: DESIGN's starting values, but for the threshold: at its tenth, two wide queries that meet
+// on a quiet day were enough to narrow.
 constexpr Duration strain_window = 2s;    // outcomes looked at
 constexpr double strain_step = 0.1;       // share of the weight
 constexpr double strain_share = 0.25;     // of outcomes: above it coverage drops, under half of it it regains
@@ -17,7 +17,7 @@
 constexpr Duration cell_memory = 4s;        // what a cell's nodes took is smoothed over this
 constexpr double usual_share = 0.75;        // of attempts end within the "usual" time
 
-class Narrowing : public Nodes {
+class CoverageControl : public Nodes {
  protected:
   using Nodes::Nodes;
 
@@ -87,7 +87,7 @@
   // Marks the heaviest parts until their weights reach the share; parts that are lost make room for the next.
   void choose_parts(Query& query) {
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
-    double target = cls.floor < cls.need ? std::max(cls.floor, coverage_) : 1;
+    double target = cls.min_coverage < cls.whole_coverage ? std::max(cls.min_coverage, coverage_) : 1;
     std::vector<Part*> ranked;
     double sum = 0;
     for (Part& part : query.parts) {
@@ -105,4 +105,4 @@
   }
 };
 
-}  // namespace pearspar::decisions
+}  // namespace pearspar::policy
--- a/src/policy/nodes.h
+++ b/src/policy/nodes.h
@@ -4,7 +4,7 @@
 
 #include "policy/state.h"
 
-namespace pearspar::decisions {
+namespace pearspar::policy {
 
 constexpr double latency_gain = 0.2;     // weight of a new sample in the smoothed latency
 constexpr Duration latency_memory = 4s;  // a sample after a silence of this length weighs about two thirds
@@ -18,13 +18,13 @@
   using State::State;
 
   void on(const MembersChanged& change) {
-    if (change.form == ListForm::failed) {
+    if (change.form == MemberListForm::failed) {
       subscribed_ = false;
-      ask_again_ = now_ + s_.ask_within * (0.1 + 0.2 * uniform());
+      ask_again_ = now_ + s_.subscribe_within * (0.1 + 0.2 * uniform());
       return;
     }
     subscribed_ = true;
-    if (change.form != ListForm::changes) {
+    if (change.form != MemberListForm::delta) {
       for (auto& [id, node] : nodes_) node.member.status = NodeStatus::gone;
     }
     for (const Member& member : *change.members) {
@@ -37,7 +37,7 @@
         if (known && member.started > node.started + 1ms) node.latency = 0, node.unreached = 0;
         // What it got while it was thought warm no longer speaks for what a warm node gets.
         auto& sends = node.recent_sends;
-        auto recent = sends.end() - std::lower_bound(sends.begin(), sends.end(), now_ - s_.fall_span);
+        auto recent = sends.end() - std::lower_bound(sends.begin(), sends.end(), now_ - s_.cold_load_window);
         if (!cold(node)) note_warm_sends(-static_cast<double>(recent));
         node.started = std::max(node.started, member.started);
       }
@@ -46,17 +46,17 @@
     std::erase_if(nodes_, [this](const auto& entry) {
       const Node& node = entry.second;
       return node.member.status == NodeStatus::gone && node.calls == 0 && !cold(node) &&
-             (node.recent_sends.empty() || node.recent_sends.back() <= now_ - s_.fall_span);
+             (node.recent_sends.empty() || node.recent_sends.back() <= now_ - s_.cold_load_window);
     });
   }
 
   void ask_list() {
     actions_->push_back(SubscribeMembers{true});
-    ask_again_ = now_ + s_.ask_within * 0.5;
+    ask_again_ = now_ + s_.subscribe_within * 0.5;
   }
 
   void renew_list() {
-    if (s_.membership_by_asking && !subscribed_ && now_ >= ask_again_) ask_list();
+    if (s_.membership_by_subscription && !subscribed_ && now_ >= ask_again_) ask_list();
   }
 
   void take_latency(Node& node, double sample) {
@@ -93,18 +93,21 @@
     answered_at_ = now_;
   }
 
-  bool cold(const Node& node) const { return node.started != Time{} && now_ < node.started + s_.warm_within; }
+  bool cold(const Node& node) const {
+    return node.started != Time{} && now_ < node.started + s_.warm_up_time;
+  }
 
   // Sends a cold node may get from us in a span of the rule. The sum over all brokers counts; what warm nodes
   // get from each adds up to what a warm node can do, so each stays within that share of its own rate.
   double cold_allowance(const Node& node) const {
     double age = std::max(0.0, Duration(now_ - node.started).count());
-    double ready = s_.start_capacity + (1 - s_.start_capacity) * std::min(1.0, age / s_.warm_within.count());
+    double ready =
+        s_.cold_start_capacity + (1 - s_.cold_start_capacity) * std::min(1.0, age / s_.warm_up_time.count());
     // A broker just restarted must not take its first burst for its rate.
-    double lived = std::max(now_ - born_, s_.fall_span).count();
+    double lived = std::max(now_ - born_, s_.cold_load_window).count();
     double rate = warm_rate_ * std::exp(-Duration(now_ - warm_rate_at_).count() / rate_memory.count()) /
                   (1 - std::exp(-lived / rate_memory.count()));
-    return std::max(1.0, cold_use * s_.fall_multiple * ready * rate * s_.fall_span.count());
+    return std::max(1.0, cold_use * s_.cold_load_multiple * ready * rate * s_.cold_load_window.count());
   }
 
   // Shared out over the nodes that were warm at the time: when many restart at once, the few that are still
@@ -120,4 +123,4 @@
   }
 };
 
-}  // namespace pearspar::decisions
+}  // namespace pearspar::policy
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -8,7 +8,7 @@
 #include "policy/attempts.h"
 
 namespace pearspar {
-namespace decisions {
+namespace policy {
 namespace {
 
 constexpr double mostly_share = 0.9;  // of a query's parts in: the rest are its last parts
@@ -23,7 +23,7 @@
     if (!awake_) {
       awake_ = true;
       born_ = now;
-      if (s_.membership_by_asking) ask_list();
+      if (s_.membership_by_subscription) ask_list();
     }
     round_calls_.clear();
     for (const Event& event : events) std::visit([this](const auto& e) { on(e); }, event);
@@ -71,7 +71,7 @@
     if (earned(query, weight) >= cls.late_worth) return finish(query);
   }
 
-  void on(const ClientLeft& left) {
+  void on(const ClientDisconnected& left) {
     auto found = queries_.find(left.query);
     if (found == queries_.end() || found->second.ended) return;
     Query& query = found->second;
@@ -102,19 +102,19 @@
     for (const auto& [id, query] : queries_) {
       if (query.ended) continue;
       next = std::min(next, query.deadline - margin());
-      if (!query.admitted) next = std::min(next, now_ + s_.quantum * 4);
+      if (!query.admitted) next = std::min(next, now_ + s_.min_batch_interval * 4);
       if (!query.past_aim) next = std::min(next, answer_by(query));
       for (const Part& part : query.parts) {
         if (part.in || part.lost || !part.chosen || part.step != query.step) continue;
-        if (part.out() == 0) next = std::min(next, now_ + s_.quantum * 4);
+        if (part.out() == 0) next = std::min(next, now_ + s_.min_batch_interval * 4);
         for (const Attempt& attempt : part.attempts)
           if (attempt.out && !attempt.overdue)
-            next = std::min({next, attempt.overdue_at, now_ + s_.quantum * 8});
+            next = std::min({next, attempt.overdue_at, now_ + s_.min_batch_interval * 8});
       }
     }
-    if (s_.membership_by_asking && !subscribed_) next = std::min(next, ask_again_);
+    if (s_.membership_by_subscription && !subscribed_) next = std::min(next, ask_again_);
     if (next == Time::max() || (armed_ != Time{} && armed_ <= next)) return;
-    armed_ = std::max(next, now_ + s_.quantum);
+    armed_ = std::max(next, now_ + s_.min_batch_interval);
     actions_->push_back(SetTimer{armed_ - now_, ++timer_token_});
   }
 
@@ -131,10 +131,10 @@
 };
 
 }  // namespace
-}  // namespace decisions
+}  // namespace policy
 
 std::unique_ptr<Policy> make_policy(const Settings& settings, std::uint64_t seed) {
-  return std::make_unique<decisions::Broker>(settings, seed);
+  return std::make_unique<policy::Broker>(settings, seed);
 }
 
 }  // namespace pearspar
--- a/src/policy/policy.h
+++ b/src/policy/policy.h
@@ -18,21 +18,21 @@
 using QueryId = std::uint32_t;
 using PartId = std::uint32_t;
 
-enum class Effect { safe, keyed, unsafe };
+enum class Idempotency { idempotent, deduplicated, non_idempotent };
 
 struct ClassSettings {
   std::string name;
-  Duration aim{};          // an answer within this earns its full worth
-  double aim_stretch = 0;  // extra time on the aim, as a multiple of the query's work
-  Duration give_up{};      // how long a client waits in all, over all its tries
+  Duration latency_target{};           // an answer within this earns its full worth
+  double latency_target_per_work = 0;  // extra time on the latency_target, as a multiple of the query's work
+  Duration client_timeout{};           // how long a client waits in all, over all its tries
   double worth = 0;
-  double late_worth = 0;  // share of the worth that is left between aim and give-up
-  Effect effect = Effect::safe;
-  Duration dedup_window{};  // keyed: repeats are dropped for so long after the first attempt
-  double floor = 1;         // least share of the weight for any answer
-  double need = 1;          // share of the weight that makes a whole answer
-  double partial = 0;       // an answer that is not whole earns this x share / need
-  int fetch_parts = 0;      // parts of a second step; 0 = one step only
+  double late_worth = 0;  // share of the worth that is left between latency_target and give-up
+  Idempotency idempotency = Idempotency::idempotent;
+  Duration dedup_window{};    // deduplicated: repeats are dropped for so long after the first attempt
+  double min_coverage = 1;    // least share of the weight for any answer
+  double whole_coverage = 1;  // share of the weight that makes a whole answer
+  double partial_worth = 0;   // an answer that is not whole earns this x share / whole_coverage
+  int fetch_parts = 0;        // parts of a second step; 0 = one step only
 };
 
 struct TenantSettings {
@@ -41,20 +41,20 @@
   double share = 0;
 };
 
-enum class ReportSource { none, with_answers, by_probe };
+enum class ReportSource { none, piggyback, pull };
 enum class RatingKind { none, nominal, rough, live };
 enum class ReportField { unknown, outstanding, backlog, utilization, recent_ms, throughput, errors_per_s };
 
 struct Settings {
-  int self = 0;  // this broker's number among `brokers`
-  int brokers = 1;
+  int broker_index = 0;  // this broker's number among `broker_count`
+  int broker_count = 1;
   int zone = 0;
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   double over_share_worth = 1;
   bool worth_by_work = false;
-  bool clients_mark_repeats = false;
-  bool membership_by_asking = false;
+  bool clients_mark_retries = false;
+  bool membership_by_subscription = false;
 
   int cells = 1;  // shard s is held by cells (s + j) mod cells, j in [0, cells_per_shard)
   int cells_per_shard = 1;
@@ -65,26 +65,26 @@
 
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_tell_peers = false;
-  bool may_copy = false;  // a part may have two attempts out at once
-  bool may_advise_return = false;
-  Duration max_return_advice{};
+  bool may_message_peers = false;
+  bool may_hedge = false;  // a part may have two attempts out at once
+  bool may_send_retry_after = false;
+  Duration max_retry_after{};
   Duration connect_timeout{};
-  int max_attempts = 1;  // for one part
-  int max_open = 0;      // queries and parts held at once
-  Duration quantum{};    // batches come at most this often
+  int max_attempts = 1;           // for one part
+  int max_open = 0;               // queries and parts held at once
+  Duration min_batch_interval{};  // batches come at most this often
 
   Duration answer_slack{};
   Duration drain_grace{};
-  Duration ask_within{};
-  double fall_multiple = 0;
-  Duration fall_span{};
-  double start_capacity = 1;
-  Duration warm_within{};
-  bool has_budget = false;
-  double budget_extra = 0;
-  double budget_ratio = 0;
-  Duration budget_span{};
+  Duration subscribe_within{};
+  double cold_load_multiple = 0;
+  Duration cold_load_window{};
+  double cold_start_capacity = 1;
+  Duration warm_up_time{};
+  bool has_retry_budget = false;
+  double retry_budget_base = 0;
+  double retry_budget_ratio = 0;
+  Duration retry_budget_window{};
 
   ReportSource report_source = ReportSource::none;
   std::vector<ReportField> report_fields;
@@ -115,10 +115,10 @@
   Time started{};
 };
 
-enum class ListForm { changes, whole, saved, failed };
+enum class MemberListForm { delta, full, saved, failed };
 
 struct MembersChanged {
-  ListForm form = ListForm::changes;
+  MemberListForm form = MemberListForm::delta;
   std::uint32_t version = 0;
   std::shared_ptr<const std::vector<Member>> members;  // null when form is `failed`
 };
@@ -147,7 +147,7 @@
   Duration cost{};
 };
 
-enum class Outcome { error, ok, refused, timeout, connect_failed, reset, cancelled, moot };
+enum class Outcome { error, ok, refused, timeout, connect_failed, reset, cancelled, not_sent };
 
 struct AttemptEnded {
   PartId part = 0;
@@ -173,7 +173,7 @@
   std::vector<double> report;
 };
 
-struct ClientLeft {
+struct ClientDisconnected {
   QueryId query = 0;
 };
 
@@ -187,7 +187,7 @@
 };
 
 using Event = std::variant<MembersChanged, QueryArrived, PartArrived, AttemptEnded, StreamStarted, ProbeEnded,
-                           ClientLeft, TimerFired, PeerMessage>;
+                           ClientDisconnected, TimerFired, PeerMessage>;
 
 // ---- actions ----
 
@@ -206,7 +206,7 @@
 };
 struct RefuseQuery {
   QueryId query = 0;
-  Duration come_back{};  // 0 = no advice
+  Duration retry_after{};  // 0 = no advice
 };
 struct FailQuery {
   QueryId query = 0;
@@ -214,7 +214,7 @@
 struct ProbeNode {
   NodeId node = 0;
 };
-struct TellPeer {
+struct SendToPeer {
   std::uint32_t to = 0;  // all bits set: every other broker
   std::string payload;
 };
@@ -233,8 +233,9 @@
   std::string text;
 };
 
-using Action = std::variant<SendPart, CancelAttempt, AnswerQuery, RefuseQuery, FailQuery, ProbeNode, TellPeer,
-                            FetchMembers, SubscribeMembers, SetTimer, DropIdleConnections, LogLine>;
+using Action =
+    std::variant<SendPart, CancelAttempt, AnswerQuery, RefuseQuery, FailQuery, ProbeNode, SendToPeer,
+                 FetchMembers, SubscribeMembers, SetTimer, DropIdleConnections, LogLine>;
 
 // One broker's decisions. All state is the instance's own; time comes only from `now`, randomness only from
 // the seed, so the same calls give the same actions.
--- a/src/policy/replica.h
+++ b/src/policy/replica_selection.h
@@ -2,16 +2,16 @@
 // average.
 #pragma once
 
-#include "policy/guards.h"
+#include "policy/constraints.h"
 
-namespace pearspar::decisions {
+namespace pearspar::policy {
 
 constexpr Duration latency_trust = 10s;  // after so long a silence, a node counts two thirds as its zone does
 constexpr double cell_doubt = 2;  // samples' worth of doubt: with fewer, a cell counts as its zone does
 
-class Replica : public Guards {
+class ReplicaSelection : public Constraints {
  protected:
-  using Guards::Guards;
+  using Constraints::Constraints;
 
   bool holds(const Node& node, int shard) const {
     int ahead = (node.member.cell - shard % s_.cells + s_.cells) % s_.cells;
@@ -80,4 +80,4 @@
   }
 };
 
-}  // namespace pearspar::decisions
+}  // namespace pearspar::policy
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -12,7 +12,7 @@
 
 #include "policy/policy.h"
 
-namespace pearspar::decisions {
+namespace pearspar::policy {
 
 using namespace std::chrono_literals;
 
@@ -105,7 +105,7 @@
  protected:
   State(const Settings& settings, std::uint64_t seed) : s_(settings), random_(seed) {}
 
-  Duration margin() const { return s_.quantum * 2 + answer_margin; }
+  Duration margin() const { return s_.min_batch_interval * 2 + answer_margin; }
 
   Time end_of(const Query& query) const {
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
@@ -137,18 +137,18 @@
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
     double need = need_of(query), floor = floor_of(query);
     if (weight >= need - weight_slack) return 1;
-    return weight >= floor - weight_slack && floor < need ? cls.partial * weight / need : 0;
+    return weight >= floor - weight_slack && floor < need ? cls.partial_worth * weight / need : 0;
   }
 
   // A second step needs all its parts for a whole answer; its floor is the class's only where that allows
   // less.
   double need_of(const Query& query) const {
-    return query.step == 1 ? s_.classes[static_cast<std::size_t>(query.cls)].need : 1;
+    return query.step == 1 ? s_.classes[static_cast<std::size_t>(query.cls)].whole_coverage : 1;
   }
 
   double floor_of(const Query& query) const {
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
-    return query.step == 1 || cls.floor < cls.need ? cls.floor : 1;
+    return query.step == 1 || cls.min_coverage < cls.whole_coverage ? cls.min_coverage : 1;
   }
 
   // Work that earned nothing was in vain, and its clients ask again: a class is let in only so far beyond
@@ -164,7 +164,7 @@
 
   Duration shortest_aim() const {
     Duration aim = Duration::max();
-    for (const ClassSettings& cls : s_.classes) aim = std::min(aim, cls.aim);
+    for (const ClassSettings& cls : s_.classes) aim = std::min(aim, cls.latency_target);
     return aim;
   }
 
@@ -223,4 +223,4 @@
   std::uint64_t timer_token_ = 0;
 };
 
-}  // namespace pearspar::decisions
+}  // namespace pearspar::policy
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -96,17 +96,18 @@
   std::string at = "classes." + std::to_string(index) + ".";
   ClassSettings cls;
   cls.name = reader.text(at + "name");
-  cls.aim = reader.span(at + "aim_s");
-  cls.aim_stretch = reader.number_or(at + "aim_stretch", 0);
-  cls.give_up = reader.span(at + "give_up_s");
+  cls.latency_target = reader.span(at + "aim_s");
+  cls.latency_target_per_work = reader.number_or(at + "aim_stretch", 0);
+  cls.client_timeout = reader.span(at + "give_up_s");
   cls.worth = reader.number(at + "worth");
   cls.late_worth = reader.number(at + "late_worth");
-  cls.effect = reader.choice<Effect>(
-      at + "effect", {{"retryable", Effect::safe}, {"dedup", Effect::keyed}, {"fragile", Effect::unsafe}});
+  cls.idempotency = reader.choice<Idempotency>(at + "effect", {{"retryable", Idempotency::idempotent},
+                                                               {"dedup", Idempotency::deduplicated},
+                                                               {"fragile", Idempotency::non_idempotent}});
   cls.dedup_window = reader.span_or_none(at + "dedup_window_s");
-  cls.floor = reader.for_class("specifics.class_floor", index);
-  cls.need = reader.for_class("specifics.whole_at", index);
-  cls.partial = reader.for_class("specifics.class_partial", index);
+  cls.min_coverage = reader.for_class("specifics.class_floor", index);
+  cls.whole_coverage = reader.for_class("specifics.whole_at", index);
+  cls.partial_worth = reader.for_class("specifics.class_partial", index);
   cls.fetch_parts = static_cast<int>(reader.for_class("specifics.fetch_parts", index));
   return cls;
 }
@@ -161,8 +162,8 @@
 Settings read_settings(const Values& values) {
   Reader reader(values);
   Settings s;
-  s.self = static_cast<int>(reader.whole("me"));
-  s.brokers = static_cast<int>(reader.whole("balancers"));
+  s.broker_index = static_cast<int>(reader.whole("me"));
+  s.broker_count = static_cast<int>(reader.whole("balancers"));
   s.zone = static_cast<int>(reader.whole("zone"));
   for (long i = 0; i < reader.count("classes.count"); ++i)
     s.classes.push_back(read_class(reader, static_cast<std::size_t>(i)));
@@ -170,8 +171,8 @@
     s.tenants.push_back(read_tenant(reader, static_cast<std::size_t>(i)));
   s.over_share_worth = reader.number_or("over_share_worth", 1);
   s.worth_by_work = reader.text("counted_by") == "work";
-  s.clients_mark_repeats = reader.flag_or_not("callers.marks_retry");
-  s.membership_by_asking = reader.choice<bool>("registry_mode", {{"push", false}, {"ask", true}});
+  s.clients_mark_retries = reader.flag_or_not("callers.marks_retry");
+  s.membership_by_subscription = reader.choice<bool>("registry_mode", {{"push", false}, {"ask", true}});
 
   s.cells = static_cast<int>(reader.whole("specifics.sets"));
   s.cells_per_shard = static_cast<int>(reader.whole("specifics.in_a_row"));
@@ -184,30 +185,30 @@
 
   s.may_cancel = reader.flag("limits.cancel");
   s.may_probe = reader.flag("limits.probes");
-  s.may_tell_peers = reader.flag("limits.peers");
-  s.may_copy = reader.flag("limits.second_copies");
-  s.may_advise_return = reader.flag("limits.retry_after");
-  s.max_return_advice = reader.span_or_none("limits.max_retry_after_s");
+  s.may_message_peers = reader.flag("limits.peers");
+  s.may_hedge = reader.flag("limits.second_copies");
+  s.may_send_retry_after = reader.flag("limits.retry_after");
+  s.max_retry_after = reader.span_or_none("limits.max_retry_after_s");
   s.connect_timeout = reader.span_or_none("limits.connect_timeout_s");
   s.max_attempts = static_cast<int>(reader.whole("limits.try_limit"));
   s.max_open = static_cast<int>(reader.whole("limits.max_open"));
-  s.quantum = reader.span_or_none("quantum_s");
+  s.min_batch_interval = reader.span_or_none("quantum_s");
 
   s.answer_slack = reader.span_or_none("safety.answer_slack_s");
   s.drain_grace = reader.span_or_none("safety.drain_grace_s");
-  s.ask_within = reader.span_or_none("safety.ask_within_s");
-  s.fall_multiple = reader.number("safety.fall_multiple");
-  s.fall_span = reader.span("safety.fall_s");
-  s.start_capacity = reader.number("safety.start_capacity");
-  s.warm_within = reader.span("safety.warm_within_s");
-  s.has_budget = reader.has("safety.resend_span_s");
-  s.budget_extra = reader.number_or("safety.min_extra", 0);
-  s.budget_ratio = reader.number_or("safety.further_ratio", 0);
-  s.budget_span = reader.span_or_none("safety.resend_span_s");
-
-  s.report_source = reader.choice<ReportSource>("stats.source", {{"silent", ReportSource::none},
-                                                                 {"piggyback", ReportSource::with_answers},
-                                                                 {"pull", ReportSource::by_probe}});
+  s.subscribe_within = reader.span_or_none("safety.ask_within_s");
+  s.cold_load_multiple = reader.number("safety.fall_multiple");
+  s.cold_load_window = reader.span("safety.fall_s");
+  s.cold_start_capacity = reader.number("safety.start_capacity");
+  s.warm_up_time = reader.span("safety.warm_within_s");
+  s.has_retry_budget = reader.has("safety.resend_span_s");
+  s.retry_budget_base = reader.number_or("safety.min_extra", 0);
+  s.retry_budget_ratio = reader.number_or("safety.further_ratio", 0);
+  s.retry_budget_window = reader.span_or_none("safety.resend_span_s");
+
+  s.report_source = reader.choice<ReportSource>(
+      "stats.source",
+      {{"silent", ReportSource::none}, {"piggyback", ReportSource::piggyback}, {"pull", ReportSource::pull}});
   const std::map<std::string, ReportField> fields = {
       {"outstanding", ReportField::outstanding}, {"backlog", ReportField::backlog},
       {"utilization", ReportField::utilization}, {"recent_ms", ReportField::recent_ms},
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -237,7 +237,7 @@
   ASSERT_TRUE(until([&] { return !script->all<PartArrived>().empty(); }));
   auto saved = script->all<MembersChanged>();
   ASSERT_FALSE(saved.empty());
-  EXPECT_EQ(saved[0].form, ListForm::saved);
+  EXPECT_EQ(saved[0].form, MemberListForm::saved);
   ASSERT_EQ(saved[0].members->size(), 2u);
   EXPECT_EQ(saved[0].members->at(1).cell, 1);
   EXPECT_EQ(saved[0].members->at(1).kind, 1);
@@ -303,7 +303,7 @@
   start(true);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("q", two_parts(), "20")).substr(0, 3), "504");
-  ASSERT_TRUE(until([&] { return script->all<ClientLeft>().size() == 1; }));
+  ASSERT_TRUE(until([&] { return script->all<ClientDisconnected>().size() == 1; }));
 }
 
 TEST_F(BrokerTest, AClientThatGoesIsToldAndItsAnswerGoesNowhere) {
@@ -312,8 +312,8 @@
   ASSERT_TRUE(client.write(query("q", two_parts())));
   ASSERT_TRUE(until([&] { return script->all<QueryArrived>().size() == 1; }));
   client.close();
-  ASSERT_TRUE(until([&] { return script->all<ClientLeft>().size() == 1; }));
-  EXPECT_EQ(script->all<ClientLeft>()[0].query, script->all<QueryArrived>()[0].query);
+  ASSERT_TRUE(until([&] { return script->all<ClientDisconnected>().size() == 1; }));
+  EXPECT_EQ(script->all<ClientDisconnected>()[0].query, script->all<QueryArrived>()[0].query);
   script->next = {AnswerQuery{script->all<QueryArrived>()[0].query, true}, SetTimer{Duration(0.001), 7}};
   Peer other;
   ASSERT_TRUE(connect(other));
@@ -357,7 +357,7 @@
   EXPECT_EQ(ask(next, query("r", two_parts())).substr(0, 3), "503");
   EXPECT_EQ(script->all<QueryArrived>().size(), 2u);
   held[0].close();
-  ASSERT_TRUE(until([&] { return script->all<ClientLeft>().size() == 1; }));
+  ASSERT_TRUE(until([&] { return script->all<ClientDisconnected>().size() == 1; }));
   ASSERT_TRUE(next.write(query("s", two_parts())));
   ASSERT_TRUE(until([&] { return script->all<QueryArrived>().size() == 3; }));
 }
@@ -379,18 +379,18 @@
   ASSERT_TRUE(client.write(query("q", two_parts())));
   ASSERT_TRUE(until([&] { return script->all<AttemptEnded>().size() == 2; }));
   auto ended = script->all<AttemptEnded>();
-  EXPECT_EQ(ended[0].outcome, Outcome::moot);
+  EXPECT_EQ(ended[0].outcome, Outcome::not_sent);
   EXPECT_EQ(ended[0].attempt, 4);
   EXPECT_EQ(ended[1].outcome, Outcome::cancelled);
   EXPECT_EQ(ended[1].attempt, 0);
   client.close();
-  ASSERT_TRUE(until([&] { return script->all<ClientLeft>().size() == 1; }));
+  ASSERT_TRUE(until([&] { return script->all<ClientDisconnected>().size() == 1; }));
   script->next = {SendPart{part, 1, Duration(2)}};
   Peer other;
   ASSERT_TRUE(connect(other));
   ASSERT_TRUE(other.write(query("r", R"({"range":1,"portion":1})")));
   ASSERT_TRUE(until([&] { return script->all<AttemptEnded>().size() == 3; }));
-  EXPECT_EQ(script->all<AttemptEnded>()[2].outcome, Outcome::moot);
+  EXPECT_EQ(script->all<AttemptEnded>()[2].outcome, Outcome::not_sent);
   EXPECT_FALSE(script->all<AttemptEnded>()[2].part_open);
 }
 
@@ -406,12 +406,12 @@
     }
   };
   ASSERT_TRUE(client.write(query("q", R"({"range":0,"portion":1})", "700")));
-  while (script->all<AttemptEnded>().empty() && script->all<ClientLeft>().empty()) {
+  while (script->all<AttemptEnded>().empty() && script->all<ClientDisconnected>().empty()) {
     loop.turn();
     broker->end_turn();
   }
   EXPECT_EQ(script->all<AttemptEnded>().size(), 1u);
-  EXPECT_TRUE(script->all<ClientLeft>().empty());
+  EXPECT_TRUE(script->all<ClientDisconnected>().empty());
 }
 
 // A node's connection comes before a client's that says nothing.
@@ -438,7 +438,7 @@
   };
   EXPECT_EQ(ask(client, query("q", R"({"range":0,"portion":1})")).substr(0, 3), "503");
   ASSERT_TRUE(until([&] { return script->all<AttemptEnded>().size() == 1; }));
-  EXPECT_EQ(script->all<AttemptEnded>()[0].outcome, Outcome::moot);
+  EXPECT_EQ(script->all<AttemptEnded>()[0].outcome, Outcome::not_sent);
   ASSERT_TRUE(until([&] { return nodes[0].peers.size() == 1; }));  // the connection comes up, unused
   for (int i = 0; i < 20; ++i) {
     loop.turn(net::Duration(0.001));
@@ -490,7 +490,7 @@
                                  member_text("s-9", address, 1, "ready", "1700000000500")),
                    2));
   auto whole = script->all<MembersChanged>()[1];
-  EXPECT_EQ(whole.form, ListForm::whole);
+  EXPECT_EQ(whole.form, MemberListForm::full);
   EXPECT_EQ(whole.version, 5u);
   ASSERT_EQ(whole.members->size(), 2u);
   EXPECT_EQ(whole.members->at(0).node, 1u);
@@ -500,7 +500,7 @@
   ASSERT_TRUE(
       tell(list_text(6, false, R"({"id":"s-9","phase":"gone"},{"id":"never-heard-of","phase":"gone"})"), 3));
   auto changes = script->all<MembersChanged>()[2];
-  EXPECT_EQ(changes.form, ListForm::changes);
+  EXPECT_EQ(changes.form, MemberListForm::delta);
   ASSERT_EQ(changes.members->size(), 1u);
   EXPECT_EQ(changes.members->at(0).node, 3u);
   EXPECT_EQ(changes.members->at(0).status, NodeStatus::gone);
@@ -510,7 +510,7 @@
 // before the rules have done with them, since a node that returns by then has to be known again.
 TEST_F(BrokerTest, ANodeThatIsGoneIsForgottenOnceItCouldCountAsWarm) {
   peers::ConfigText text;
-  text.fall_s = text.warm_within = "0.25";
+  text.fall_s = text.warm_up_time = "0.25";
   start(true, text);
   ASSERT_TRUE(until([&] { return !agent.peers.empty() && !agent.peers[0]->seen().empty(); }));
   std::string address = nodes[0].address().text();
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -45,7 +45,7 @@
 
 Bytes records_of(const Action& action) {
   ReplyWriter reply;
-  reply.action(action);
+  reply.add_action(action);
   Bytes bytes = reply.finish();
   return Bytes(bytes.begin() + 8, bytes.end());
 }
@@ -71,7 +71,7 @@
                             "00005643 00000000 0000003e 0100"
                             "07 4d00000000000000 0c 05000000 06 192b6f0e"));
   ASSERT_EQ(batch.records.size(), 5u);
-  EXPECT_EQ(std::get<InstanceNamed>(batch.records[0]).instance, 3u);
+  EXPECT_EQ(std::get<InstanceSelected>(batch.records[0]).instance, 3u);
   auto part = std::get<PartArrived>(std::get<Event>(batch.records[1]));
   EXPECT_EQ(part.part, 0x5d3a91c4u);
   EXPECT_EQ(part.ordinal, 214u);
@@ -81,17 +81,17 @@
   EXPECT_TRUE(part.cost_known);
   EXPECT_DOUBLE_EQ(part.cost.count(), seconds("fa7e6abc7493883f"));
   EXPECT_EQ(std::get<TimerFired>(std::get<Event>(batch.records[2])).token, 77u);
-  EXPECT_EQ(std::get<InstanceNamed>(batch.records[3]).instance, 5u);
-  EXPECT_EQ(std::get<ClientLeft>(std::get<Event>(batch.records[4])).query, 0x0e6f2b19u);
+  EXPECT_EQ(std::get<InstanceSelected>(batch.records[3]).instance, 5u);
+  EXPECT_EQ(std::get<ClientDisconnected>(std::get<Event>(batch.records[4])).query, 0x0e6f2b19u);
 }
 
 TEST(Codec, PrintedReply) {
   ReplyWriter reply;
-  reply.instance(3);
-  reply.action(SendPart{0x5d3a91c4, 0x03124a07, Duration(seconds("7b14ae47e17ab43f"))});
-  reply.action(SetTimer{Duration(0.5), 77});
-  reply.instance(5);
-  reply.action(LogLine{"two servers known"});
+  reply.begin_instance(3);
+  reply.add_action(SendPart{0x5d3a91c4, 0x03124a07, Duration(seconds("7b14ae47e17ab43f"))});
+  reply.add_action(SetTimer{Duration(0.5), 77});
+  reply.begin_instance(5);
+  reply.add_action(LogLine{"two servers known"});
   EXPECT_EQ(reply.finish(), bytes_of("05000000 48000000 06 03000000 09 c4913a5d 074a1203 7b14ae47e17ab43f"
                                      "08 000000000000e03f 4d00000000000000 06 05000000"
                                      "0b 1100 74776f2073657276657273206b6e6f776e"));
@@ -99,7 +99,7 @@
 
 TEST(Codec, EachPrintedAction) {
   EXPECT_EQ(records_of(AnswerQuery{0x0e6f2b19, true}), bytes_of("07 192b6f0e 01"));
-  EXPECT_EQ(records_of(TellPeer{0xffffffff, "hi 7"}), bytes_of("02 ffffffff 0400 68692037"));
+  EXPECT_EQ(records_of(SendToPeer{0xffffffff, "hi 7"}), bytes_of("02 ffffffff 0400 68692037"));
   EXPECT_EQ(records_of(FetchMembers{}), bytes_of("05"));
   EXPECT_EQ(records_of(CancelAttempt{0x5d3a91c4, 0}), bytes_of("0d c4913a5d 00"));
   EXPECT_EQ(records_of(FailQuery{0x0e6f2b19}), bytes_of("0a 192b6f0e"));
@@ -109,7 +109,7 @@
   EXPECT_EQ(records_of(SubscribeMembers{true}), bytes_of("0e 01"));
   EXPECT_EQ(records_of(DropIdleConnections{0x2c9011f2}), bytes_of("04 f211902c"));
   ReplyWriter crash;
-  crash.crashed("index out of range");
+  crash.add_crash("index out of range");
   Bytes reply = crash.finish();
   EXPECT_EQ(Bytes(reply.begin() + 8, reply.end()), bytes_of("01 1200 696e646578206f7574206f662072616e6765"));
 }
@@ -120,7 +120,7 @@
                             "f211902c 01 0000 0000 01 0000c03f 6666666666661840"
                             "02 02 29000000 00",
                             2));
-  auto list = std::get<ListKept>(batch.records[0]);
+  auto list = std::get<MemberListStored>(batch.records[0]);
   ASSERT_EQ(list.members->size(), 2u);
   EXPECT_EQ(list.members->at(0).node, 0x03124a07u);
   EXPECT_FALSE(list.members->at(0).start_known);
@@ -129,8 +129,8 @@
   EXPECT_DOUBLE_EQ(list.members->at(1).rating, 1.5);
   EXPECT_TRUE(list.members->at(1).start_known);
   EXPECT_DOUBLE_EQ(list.members->at(1).started.time_since_epoch().count(), 6.1);
-  auto news = std::get<ListNews>(batch.records[1]);
-  EXPECT_EQ(news.form, ListForm::saved);
+  auto news = std::get<MemberListChanged>(batch.records[1]);
+  EXPECT_EQ(news.form, MemberListForm::saved);
   EXPECT_EQ(news.version, 41u);
 
   auto head = only_event<StreamStarted>("04 c4913a5d 00 074a1203 8b6ce7fba9f1823f");
@@ -165,17 +165,17 @@
   Bytes good = frame_of("07 4d00000000000000", 1);
   EXPECT_NO_THROW(decode_batch(good));
   for (std::size_t size = 4; size < good.size(); ++size)
-    EXPECT_THROW(decode_batch(std::span(good).first(size)), WireError) << size;
-  EXPECT_THROW(decode_batch(frame_of("07 4d00000000000000 00", 1)), WireError);  // bytes left over
-  EXPECT_THROW(decode_batch(frame_of("07 4d000000000000", 1)), WireError);       // record cut short
-  EXPECT_THROW(decode_batch(frame_of("63", 1)), WireError);                      // unknown code
-  EXPECT_THROW(decode_batch(frame_of("0b 00 ffffffff", 1)), WireError);          // list too long
-  EXPECT_THROW(decode_batch(frame_of("0b 10 00000000", 1)), WireError);          // list number over 15
-  EXPECT_THROW(decode_batch(frame_of("02 09 01000000 00", 1)), WireError);       // unknown list form
-  EXPECT_THROW(decode_batch(frame_of("08 c7bab88d06f0563f 6300 f211902c 00", 1)), WireError);
+    EXPECT_THROW(decode_batch(std::span(good).first(size)), FrameError) << size;
+  EXPECT_THROW(decode_batch(frame_of("07 4d00000000000000 00", 1)), FrameError);  // bytes left over
+  EXPECT_THROW(decode_batch(frame_of("07 4d000000000000", 1)), FrameError);       // record cut short
+  EXPECT_THROW(decode_batch(frame_of("63", 1)), FrameError);                      // unknown code
+  EXPECT_THROW(decode_batch(frame_of("0b 00 ffffffff", 1)), FrameError);          // list too long
+  EXPECT_THROW(decode_batch(frame_of("0b 10 00000000", 1)), FrameError);          // list number over 15
+  EXPECT_THROW(decode_batch(frame_of("02 09 01000000 00", 1)), FrameError);       // unknown list form
+  EXPECT_THROW(decode_batch(frame_of("08 c7bab88d06f0563f 6300 f211902c 00", 1)), FrameError);
   Bytes huge = good;
   huge[3] = 0xff;
-  EXPECT_THROW(stated_frame_size(huge), WireError);
+  EXPECT_THROW(declared_frame_size(huge), FrameError);
 }
 
 TEST(SettingsText, ReadsWhatItNeedsAndIgnoresTheRest) {
@@ -191,16 +191,16 @@
       "specifics.parts_a_call=8\nspecifics.sets=4\nspecifics.slabs=16\nspecifics.whole_at=0.9\n"
       "stats.fields=throughput,strange\nstats.source=piggyback\nweights=live\nno.such.key=whatever\n";
   Settings s = settings_of(text);
-  EXPECT_EQ(s.self, 1);
-  EXPECT_EQ(s.classes.at(0).effect, Effect::keyed);
+  EXPECT_EQ(s.broker_index, 1);
+  EXPECT_EQ(s.classes.at(0).idempotency, Idempotency::deduplicated);
   EXPECT_EQ(s.classes.at(0).fetch_parts, 2);
-  EXPECT_DOUBLE_EQ(s.classes.at(0).need, 0.9);
-  EXPECT_TRUE(s.has_budget);
-  EXPECT_DOUBLE_EQ(s.budget_ratio, 0.1);
-  EXPECT_TRUE(s.membership_by_asking);
+  EXPECT_DOUBLE_EQ(s.classes.at(0).whole_coverage, 0.9);
+  EXPECT_TRUE(s.has_retry_budget);
+  EXPECT_DOUBLE_EQ(s.retry_budget_ratio, 0.1);
+  EXPECT_TRUE(s.membership_by_subscription);
   EXPECT_TRUE(s.worth_by_work);
-  EXPECT_FALSE(s.may_copy);
-  EXPECT_EQ(s.report_source, ReportSource::with_answers);
+  EXPECT_FALSE(s.may_hedge);
+  EXPECT_EQ(s.report_source, ReportSource::piggyback);
   EXPECT_EQ(s.rating, RatingKind::live);
   ASSERT_EQ(s.report_fields.size(), 2u);
   EXPECT_EQ(s.report_fields[0], ReportField::throughput);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -40,13 +40,13 @@
   EXPECT_EQ(config.known.entries[0].up_since_ms, 1700000000000.0);
   ASSERT_EQ(config.module.classes.size(), 2u);
   EXPECT_EQ(config.module.classes[1].name, "fetch");
-  EXPECT_EQ(config.module.classes[0].floor, 0.4);
-  EXPECT_EQ(config.module.classes[0].aim, Duration(2.0));
+  EXPECT_EQ(config.module.classes[0].min_coverage, 0.4);
+  EXPECT_EQ(config.module.classes[0].latency_target, Duration(2.0));
   ASSERT_EQ(config.module.tenants.size(), 2u);
   EXPECT_EQ(config.module.tenants[1].quota_per_s, 50);
   EXPECT_EQ(config.module.max_open, 200);
-  EXPECT_EQ(config.module.quantum, Duration(0.005));
-  EXPECT_EQ(config.module.report_source, ReportSource::by_probe);
+  EXPECT_EQ(config.module.min_batch_interval, Duration(0.005));
+  EXPECT_EQ(config.module.report_source, ReportSource::pull);
   EXPECT_EQ(config.broker.zones, (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(config.broker.kinds, (std::vector<std::string>{"m1", "m2"}));
   EXPECT_EQ(config.broker.calls_per_connection, 32);
@@ -82,12 +82,12 @@
       "specifics.parts_a_call=1\nspecifics.sets=2\nspecifics.slabs=16\nspecifics.whole_at=1.0\n"
       "stats.fields=throughput\nstats.source=pull\nweights=silent\nzone=0\n"));
   EXPECT_EQ(json.classes[0].name, lines.classes[0].name);
-  EXPECT_EQ(json.classes[0].floor, lines.classes[0].floor);
-  EXPECT_EQ(json.clients_mark_repeats, lines.clients_mark_repeats);
+  EXPECT_EQ(json.classes[0].min_coverage, lines.classes[0].min_coverage);
+  EXPECT_EQ(json.clients_mark_retries, lines.clients_mark_retries);
   EXPECT_EQ(json.max_open, lines.max_open);
   EXPECT_EQ(json.cells, lines.cells);
   EXPECT_EQ(json.report_fields, lines.report_fields);
-  EXPECT_EQ(json.has_budget, lines.has_budget);
+  EXPECT_EQ(json.has_retry_budget, lines.has_retry_budget);
 }
 
 TEST(Config, TheFaultyKeyIsNamed) {
--- a/tests/config_text.h
+++ b/tests/config_text.h
@@ -14,7 +14,7 @@
   std::string parts_a_call = "1";
   std::string effect = "retryable";
   std::string fall_s = "3.0";
-  std::string warm_within = "16.0";
+  std::string warm_up_time = "16.0";
   std::string tenants =
       R"([{"name":"acme","quota_per_s":100.0,"share":0.6},{"name":"other","quota_per_s":50.0,"share":0.4}])";
 
@@ -36,7 +36,7 @@
 "quantum_s":0.005,"registry_mode":"push",
 "safety":{"answer_slack_s":0.02,"ask_within_s":10.0,"drain_grace_s":1.0,"fall_multiple":2.0,
 "fall_s":)" +
-           fall_s + R"(,"start_capacity":0.23,"warm_within_s":)" + warm_within +
+           fall_s + R"(,"start_capacity":0.23,"warm_within_s":)" + warm_up_time +
            R"(},
 "specifics":{"call_s":0.0,"class_floor":[0.4,1.0],"class_partial":[0.95,0.9],"fetch_parts":[0,0],
 "in_a_row":1,"parts_a_call":)" +
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -107,8 +107,8 @@
 // by can meet, each sending its one part.
 TEST(Fleet, AColdNodeThatGetsTooMuchIsCounted) {
   Shape shape = usual_shape(brokers, 30, 0.5);
-  shape.settings.start_capacity = 0.01;
-  shape.settings.fall_multiple = 0.5;
+  shape.settings.cold_start_capacity = 0.01;
+  shape.settings.cold_load_multiple = 0.5;
   Fleet fleet(shape, 1);
   fleet.run_until(1003);
   for (int i = 0; i < 30; ++i) {
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -12,44 +12,44 @@
 
 using namespace std::chrono_literals;
 
-inline ClassSettings class_of(double floor, double need, Effect effect = Effect::safe) {
+inline ClassSettings class_of(double floor, double need, Idempotency idempotency = Idempotency::idempotent) {
   ClassSettings cls;
   cls.name = "any";
-  cls.aim = 2s;
-  cls.give_up = 4s;
+  cls.latency_target = 2s;
+  cls.client_timeout = 4s;
   cls.worth = 1;
   cls.late_worth = 0.3;
-  cls.effect = effect;
+  cls.idempotency = idempotency;
   cls.dedup_window = 1s;
-  cls.floor = floor;
-  cls.need = need;
-  cls.partial = 0.9;
+  cls.min_coverage = floor;
+  cls.whole_coverage = need;
+  cls.partial_worth = 0.9;
   return cls;
 }
 
 // Two cells of three nodes, one cell to a shard; class 0 may be answered from 40%, class 1 needs all.
 inline Settings plain_settings() {
   Settings s;
-  s.brokers = 2;
+  s.broker_count = 2;
   s.classes = {class_of(0.4, 1), class_of(1, 1)};
   s.cells = 2;
   s.cells_per_shard = 1;
   s.shards = 8;
   s.may_cancel = true;
-  s.may_copy = true;
-  s.may_advise_return = true;
-  s.max_return_advice = 2s;
+  s.may_hedge = true;
+  s.may_send_retry_after = true;
+  s.max_retry_after = 2s;
   s.connect_timeout = 250ms;
   s.max_attempts = 4;
   s.max_open = 200;
-  s.quantum = 5ms;
+  s.min_batch_interval = 5ms;
   s.answer_slack = 20ms;
   s.drain_grace = 1s;
-  s.ask_within = 10s;
-  s.fall_multiple = 2;
-  s.fall_span = 3s;
-  s.start_capacity = 0.2;
-  s.warm_within = 15s;
+  s.subscribe_within = 10s;
+  s.cold_load_multiple = 2;
+  s.cold_load_window = 3s;
+  s.cold_start_capacity = 0.2;
+  s.warm_up_time = 15s;
   return s;
 }
 
@@ -75,7 +75,7 @@
     return m;
   }
 
-  void list(std::vector<Member> members, ListForm form = ListForm::changes) {
+  void list(std::vector<Member> members, MemberListForm form = MemberListForm::delta) {
     pending.emplace_back(
         MembersChanged{form, ++version, std::make_shared<const std::vector<Member>>(std::move(members))});
   }
@@ -85,7 +85,7 @@
     std::vector<Member> members;
     for (int cell = 0; cell < settings.cells; ++cell)
       for (int i = 1; i <= per_cell; ++i) members.push_back(member(static_cast<NodeId>(cell * 10 + i), cell));
-    list(members, ListForm::saved);
+    list(members, MemberListForm::saved);
   }
 
   // A query with one part for each weight; part i needs shard shards[i], or shard 0.
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -96,7 +96,7 @@
   Host host;
   Frame frame(10);
   frame.instance(4).open(9).list(0, {7, 8}).news(2, 0);
-  Bytes reply = host.answer(one_query(frame).bytes());
+  Bytes reply = host.handle_frame(one_query(frame).bytes());
   ASSERT_EQ(reply[8], 6);  // INSTANCE 4
   EXPECT_EQ(reply[9], 4);
   EXPECT_EQ(reply[13], 9);             // ISSUE
@@ -108,12 +108,12 @@
   Host host;
   Frame first(10);
   first.instance(0).open(9).list(0, {7, 8}).news(2, 0);
-  host.answer(one_query(first).bytes());
+  host.handle_frame(one_query(first).bytes());
   Frame second(11);
   second.instance(0).record(10).open(10).news(2, 0);
   second.record(5, std::uint32_t{2}, std::uint32_t{7}, 0.1, std::uint16_t{1}, std::uint8_t{1},
                 std::uint8_t{0}, std::uint8_t{0});
-  Bytes reply = host.answer(second.bytes());
+  Bytes reply = host.handle_frame(second.bytes());
   EXPECT_EQ(record_count(reply), 0u);
 }
 
@@ -123,7 +123,7 @@
   frame.instance(0).open(9).list(0, {7}).news(2, 0).list(0, {8}).instance(1).open(9).news(2, 0);
   frame.instance(0).submit(1, 0, 1, -1, 1).submit(2, 0, 1, 0, 1.0f);
   frame.instance(1).submit(1, 0, 1, -1, 1).submit(2, 0, 1, 0, 1.0f);
-  Bytes reply = host.answer(frame.bytes());
+  Bytes reply = host.handle_frame(frame.bytes());
   // INSTANCE 5 bytes, ISSUE 17, TIMER 17, twice, after a header of 8
   ASSERT_EQ(reply.size(), 8u + 2 * (5 + 17 + 17));
   EXPECT_EQ(reply[8 + 5 + 5], 7);
@@ -136,20 +136,20 @@
   Frame both(10), one(10);
   both.instance(0).open(9).list(0, {7, 8, 9}).news(2, 0);
   one_query(both).instance(1).open(9).news(2, 0);
-  Bytes shared = together.answer(one_query(both).bytes());
+  Bytes shared = together.handle_frame(one_query(both).bytes());
   one.instance(1).open(9).list(0, {7, 8, 9}).news(2, 0);
-  Bytes single = alone.answer(one_query(one).bytes());
+  Bytes single = alone.handle_frame(one_query(one).bytes());
   Bytes tail(shared.end() - static_cast<std::ptrdiff_t>(single.size() - 8), shared.end());
   EXPECT_EQ(tail, Bytes(single.begin() + 8, single.end()));
 }
 
 TEST(Host, WhatCannotBeCarriedOutIsNamed) {
-  EXPECT_THROW(Host().answer(Frame(1).instance(2).record(7, std::uint64_t{1}).bytes()), WireError);
-  EXPECT_THROW(Host().answer(Frame(1).record(7, std::uint64_t{1}).bytes()), WireError);
-  EXPECT_THROW(Host().answer(Frame(1).instance(0).open(1).news(2, 0).bytes()), WireError);
-  EXPECT_THROW(Host().answer(Frame(1).instance(0).open(1).open(1).bytes()), WireError);
-  EXPECT_THROW(Host().answer(Frame(1).instance(0).record(10).bytes()), WireError);
-  EXPECT_THROW(Host().answer(Frame(1).instance(0).open(1).submit(1, 9, 1, -1, 1).bytes()), WireError);
+  EXPECT_THROW(Host().handle_frame(Frame(1).instance(2).record(7, std::uint64_t{1}).bytes()), FrameError);
+  EXPECT_THROW(Host().handle_frame(Frame(1).record(7, std::uint64_t{1}).bytes()), FrameError);
+  EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).open(1).news(2, 0).bytes()), FrameError);
+  EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).open(1).open(1).bytes()), FrameError);
+  EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).record(10).bytes()), FrameError);
+  EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).open(1).submit(1, 9, 1, -1, 1).bytes()), FrameError);
 }
 
 // Truncated, bit-flipped and overlong frames give a plain one-line message or a valid reply, never anything
@@ -185,13 +185,13 @@
         std::memcpy(frame.data(), &size, 4);
       }
       try {
-        Bytes reply = host.answer(frame);
+        Bytes reply = host.handle_frame(frame);
         std::uint32_t stated;
         ASSERT_GE(reply.size(), 8u);
         std::memcpy(&stated, reply.data() + 4, 4);
         EXPECT_EQ(stated, reply.size());
         ++answered;
-      } catch (const WireError& error) {
+      } catch (const FrameError& error) {
         std::string text = error.what();
         EXPECT_FALSE(text.empty());
         EXPECT_EQ(text.find('\n'), std::string::npos);
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -367,7 +367,7 @@
   links.send(1, both);
   links.withdraw(1);
   ASSERT_EQ(ended.size(), 1u);
-  EXPECT_EQ(ended[0].outcome, Outcome::moot);
+  EXPECT_EQ(ended[0].outcome, Outcome::not_sent);
   EXPECT_EQ(ended[0].part, 1u);
   ASSERT_TRUE(gets(0, "mr.1"));
   EXPECT_EQ(got.find("q.1"), std::string::npos);
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -174,9 +174,9 @@
     std::string text = i % 20 == 0 ? frame : mutate(frame);
     benchlink::Host host;
     try {
-      host.answer({reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
+      host.handle_frame({reinterpret_cast<const std::uint8_t*>(text.data()), text.size()});
       ++answered;
-    } catch (const benchlink::WireError&) {
+    } catch (const benchlink::FrameError&) {
       ++refused;
     }
   }
--- a/tests/rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -66,7 +66,7 @@
   QueryId id = bench.query(1, {1.0});
   bench.step();
   auto send = bench.sends().at(0);
-  bench.pending.emplace_back(ClientLeft{id});
+  bench.pending.emplace_back(ClientDisconnected{id});
   bench.outcome(send.part, send.node, 0, Outcome::refused);
   bench.step();
   EXPECT_TRUE(bench.sends().empty());
@@ -95,15 +95,15 @@
 
 // ---- no effect happens twice ----
 
-Settings with_effect(Effect effect) {
+Settings with_effect(Idempotency effect) {
   Settings settings = plain_settings();
-  settings.classes[1].effect = effect;
+  settings.classes[1].idempotency = effect;
   return settings;
 }
 
 TEST(NoEffectTwice, AnUnsafePartThatMayHaveRunIsNotSentAgainNorItsQueryRefused) {
   for (Outcome outcome : {Outcome::error, Outcome::timeout, Outcome::reset}) {
-    Bench bench(with_effect(Effect::unsafe));
+    Bench bench(with_effect(Idempotency::non_idempotent));
     bench.list_all();
     bench.query(1, {1.0});
     bench.step();
@@ -118,7 +118,7 @@
 
 TEST(NoEffectTwice, AnUnsafePartThatIsProvedNotToHaveRunIsSentAgain) {
   for (Outcome outcome : {Outcome::refused, Outcome::connect_failed}) {
-    Bench bench(with_effect(Effect::unsafe));
+    Bench bench(with_effect(Idempotency::non_idempotent));
     bench.list_all();
     bench.query(1, {1.0});
     bench.step();
@@ -130,7 +130,7 @@
 }
 
 TEST(NoEffectTwice, AnUnsafePartGetsNoSecondCopy) {
-  Bench bench(with_effect(Effect::unsafe));
+  Bench bench(with_effect(Idempotency::non_idempotent));
   bench.list_all();
   bench.query(1, {1.0});
   bench.step();
@@ -140,8 +140,8 @@
 
 TEST(NoEffectTwice, AKeyedPartIsSentAgainOnlyWithinItsWindow) {
   for (bool late : {false, true}) {
-    Settings settings = with_effect(Effect::keyed);
-    settings.may_copy = false;
+    Settings settings = with_effect(Idempotency::deduplicated);
+    settings.may_hedge = false;
     Bench bench(settings);
     bench.list_all();
     bench.query(1, {1.0});
@@ -156,7 +156,7 @@
 TEST(NoEffectTwice, NeverTwoAttemptsAtOnceWhereCopiesAreNotAllowed) {
   for (bool may_cancel : {false, true}) {
     Settings settings = plain_settings();
-    settings.may_copy = false;
+    settings.may_hedge = false;
     settings.may_cancel = may_cancel;
     Bench bench(settings);
     bench.list_all();
@@ -189,7 +189,7 @@
 TEST(Drains, NothingAtAllGoesThereEvenWhereNoOtherNodeIsLeft) {
   for (NodeStatus status : {NodeStatus::draining, NodeStatus::gone}) {
     Bench bench;
-    bench.list({Bench::member(1, 0)}, ListForm::saved);
+    bench.list({Bench::member(1, 0)}, MemberListForm::saved);
     bench.step();
     bench.list({Bench::member(1, 0, status)});
     bench.step();
@@ -205,7 +205,7 @@
   Bench bench;
   bench.list_all(2);
   bench.step();
-  bench.list({Bench::member(2, 0), Bench::member(12, 1)}, ListForm::whole);
+  bench.list({Bench::member(2, 0), Bench::member(12, 1)}, MemberListForm::full);
   bench.step();
   for (int i = 0; i < 40; ++i) {
     bench.query(1, {0.5, 0.5}, {0, 1});
@@ -216,14 +216,14 @@
 
 TEST(Drains, WhereTheListMustBeAskedForItIsAndAgainAfterAFailure) {
   Settings settings = plain_settings();
-  settings.membership_by_asking = true;
+  settings.membership_by_subscription = true;
   Bench bench(settings);
   bench.list_all();
   bench.step();
   EXPECT_EQ(bench.of<SubscribeMembers>().size(), 1u);
-  bench.pending.emplace_back(MembersChanged{ListForm::failed, 2, nullptr});
+  bench.pending.emplace_back(MembersChanged{MemberListForm::failed, 2, nullptr});
   bench.step();
-  bench.run(settings.ask_within);
+  bench.run(settings.subscribe_within);
   EXPECT_GE(bench.of<SubscribeMembers>().size(), 1u);
 }
 
@@ -261,7 +261,7 @@
     members.back().start_known = true;
     members.back().started = bench.now;
   }
-  bench.list(members, ListForm::saved);
+  bench.list(members, MemberListForm::saved);
   bench.query(1, std::vector<double>(50, 0.02));
   bench.step();
   EXPECT_LE(bench.sends().size(), 6u);
@@ -347,7 +347,7 @@
 
 TEST(HonestAnswers, NoneIsMarkedWholeThatIsNot) {
   Settings settings = plain_settings();
-  settings.classes[0].need = 0.9;
+  settings.classes[0].whole_coverage = 0.9;
   for (bool whole : {false, true}) {
     Bench bench(settings);
     bench.list_all();
@@ -386,10 +386,10 @@
 
 TEST(AttemptBudget, IsNeverPassedInAnyWindow) {
   Settings settings = plain_settings();
-  settings.has_budget = true;
-  settings.budget_extra = 2;
-  settings.budget_ratio = 0.1;
-  settings.budget_span = 2s;
+  settings.has_retry_budget = true;
+  settings.retry_budget_base = 2;
+  settings.retry_budget_ratio = 0.1;
+  settings.retry_budget_window = 2s;
   Bench bench(settings);
   bench.list_all();
   std::vector<Time> taken, further;
--- a/tests/order_test.cpp
+++ b/tests/policy_sequence_test.cpp
@@ -25,19 +25,19 @@
 
 Settings draw_settings(Draw& draw) {
   Settings s;
-  s.brokers = draw.whole(1, 5);
+  s.broker_count = draw.whole(1, 5);
   for (int i = draw.whole(1, 3); i > 0; --i) {
     ClassSettings cls;
     cls.name = "class" + std::to_string(i);
-    cls.aim = Duration(draw.in(0.1, 2));
-    cls.give_up = cls.aim * draw.in(1, 3);
+    cls.latency_target = Duration(draw.in(0.1, 2));
+    cls.client_timeout = cls.latency_target * draw.in(1, 3);
     cls.worth = draw.in(0.5, 10);
     cls.late_worth = draw.chance(0.5) ? 0 : draw.in(0, 0.8);
-    cls.effect = static_cast<Effect>(draw.whole(0, 2));
+    cls.idempotency = static_cast<Idempotency>(draw.whole(0, 2));
     cls.dedup_window = Duration(draw.in(0.05, 2));
-    cls.need = draw.chance(0.7) ? 1 : draw.in(0.5, 1);
-    cls.floor = draw.chance(0.5) ? cls.need : cls.need * draw.in(0.2, 1);
-    cls.partial = 0.9;
+    cls.whole_coverage = draw.chance(0.7) ? 1 : draw.in(0.5, 1);
+    cls.min_coverage = draw.chance(0.5) ? cls.whole_coverage : cls.whole_coverage * draw.in(0.2, 1);
+    cls.partial_worth = 0.9;
     cls.fetch_parts = draw.chance(0.3) ? draw.whole(1, 4) : 0;
     s.classes.push_back(cls);
   }
@@ -47,26 +47,26 @@
   s.parts_per_call = draw.chance(0.5) ? 1 : 8;
   s.may_cancel = draw.chance(0.7);
   s.may_probe = draw.chance(0.7);
-  s.may_copy = draw.chance(0.6);
-  s.may_advise_return = draw.chance(0.5);
-  s.max_return_advice = Duration(draw.in(0, 2));
+  s.may_hedge = draw.chance(0.6);
+  s.may_send_retry_after = draw.chance(0.5);
+  s.max_retry_after = Duration(draw.in(0, 2));
   s.connect_timeout = 250ms;
   s.max_attempts = draw.whole(1, 5);
   s.max_open = 400;
-  s.quantum = Duration(draw.in(0.001, 0.01));
+  s.min_batch_interval = Duration(draw.in(0.001, 0.01));
   s.answer_slack = 20ms;
   s.drain_grace = Duration(draw.in(0.01, 1));
-  s.membership_by_asking = draw.chance(0.3);
-  s.ask_within = 5s;
-  s.fall_multiple = draw.in(2, 4);
-  s.fall_span = Duration(draw.in(1, 3));
-  s.start_capacity = draw.in(0.1, 0.4);
-  s.warm_within = Duration(draw.in(3, 15));
-  s.has_budget = draw.chance(0.4);
-  s.budget_extra = draw.whole(0, 4);
-  s.budget_ratio = draw.in(0, 0.2);
-  s.budget_span = Duration(draw.in(0.5, 3));
-  s.report_source = draw.chance(0.5) ? ReportSource::by_probe : ReportSource::with_answers;
+  s.membership_by_subscription = draw.chance(0.3);
+  s.subscribe_within = 5s;
+  s.cold_load_multiple = draw.in(2, 4);
+  s.cold_load_window = Duration(draw.in(1, 3));
+  s.cold_start_capacity = draw.in(0.1, 0.4);
+  s.warm_up_time = Duration(draw.in(3, 15));
+  s.has_retry_budget = draw.chance(0.4);
+  s.retry_budget_base = draw.whole(0, 4);
+  s.retry_budget_ratio = draw.in(0, 0.2);
+  s.retry_budget_window = Duration(draw.in(0.5, 3));
+  s.report_source = draw.chance(0.5) ? ReportSource::pull : ReportSource::piggyback;
   s.report_fields = {ReportField::utilization, ReportField::recent_ms};
   return s;
 }
@@ -77,7 +77,7 @@
   bool out = true;
   bool may_have_run = true;
   bool called_off = false;
-  Outcome ended = Outcome::moot;
+  Outcome ended = Outcome::not_sent;
 };
 
 struct SeenPart {
@@ -119,7 +119,7 @@
   }
 
   void play(int batches) {
-    tell_list(ListForm::saved);
+    tell_list(MemberListForm::saved);
     for (int i = 0; i < batches; ++i) batch(i < batches * 2 / 3);
     // What is left must end by itself, with nothing but the module's own timers.
     for (int i = 0; i < 4000 && open_queries() > 0; ++i) batch(false, true);
@@ -145,9 +145,11 @@
   }
 
   void batch(bool arrivals, bool quiet = false) {
-    now_ += std::max(s_.quantum, Duration(draw_.chance(0.9) ? draw_.in(0, 0.02) : draw_.in(0, 0.3)));
+    now_ +=
+        std::max(s_.min_batch_interval, Duration(draw_.chance(0.9) ? draw_.in(0, 0.02) : draw_.in(0, 0.3)));
     // The clock does not run past a timer: real hosts fire it in time.
-    if (!timers_.empty()) now_ = std::min(now_, std::max(timers_.begin()->first, last_ + s_.quantum));
+    if (!timers_.empty())
+      now_ = std::min(now_, std::max(timers_.begin()->first, last_ + s_.min_batch_interval));
     last_ = now_;
     while (!timers_.empty() && timers_.begin()->first <= now_ + Duration(1e-6)) {
       events_.emplace_back(TimerFired{timers_.begin()->second});
@@ -171,15 +173,15 @@
     for (const Action& action : actions) std::visit([this](const auto& a) { check(a); }, action);
   }
 
-  void tell_list(ListForm form) {
+  void tell_list(MemberListForm form) {
     auto members = std::make_shared<std::vector<Member>>();
     for (auto& [id, member] : listed_)
-      if (form == ListForm::changes || member.status != NodeStatus::gone) members->push_back(member);
+      if (form == MemberListForm::delta || member.status != NodeStatus::gone) members->push_back(member);
     for (auto& [id, member] : listed_) {
       bool leaving = member.status != NodeStatus::ready;
       if (leaving && !told_leaving_.count(id)) told_leaving_[id] = now_;
       if (!leaving) told_leaving_.erase(id);
-      if (form == ListForm::changes || member.status != NodeStatus::gone) told_[id] = member;
+      if (form == MemberListForm::delta || member.status != NodeStatus::gone) told_[id] = member;
     }
     events_.emplace_back(MembersChanged{form, ++version_, std::move(members)});
   }
@@ -203,10 +205,10 @@
       member.cell = draw_.whole(0, s_.cells - 1);
       listed_[member.node] = member;
     }
-    if (s_.membership_by_asking && draw_.chance(0.2))
-      events_.emplace_back(MembersChanged{ListForm::failed, version_, nullptr});
+    if (s_.membership_by_subscription && draw_.chance(0.2))
+      events_.emplace_back(MembersChanged{MemberListForm::failed, version_, nullptr});
     else
-      tell_list(draw_.chance(0.5) ? ListForm::changes : ListForm::whole);
+      tell_list(draw_.chance(0.5) ? MemberListForm::delta : MemberListForm::full);
   }
 
   void arrive() {
@@ -215,7 +217,7 @@
     q.ordinal = q.query;
     q.cls = draw_.whole(0, static_cast<int>(s_.classes.size()) - 1);
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(q.cls)];
-    q.deadline = now_ + cls.give_up * draw_.in(draw_.chance(0.1) ? 0 : 0.5, 1);
+    q.deadline = now_ + cls.client_timeout * draw_.in(draw_.chance(0.1) ? 0 : 0.5, 1);
     q.parts = draw_.chance(0.05) ? 0 : draw_.whole(1, wide_ ? 200 : draw_.chance(0.1) ? 30 : 6);
     taken_.push_back(now_);
     SeenQuery& query = queries_[q.query];
@@ -251,9 +253,9 @@
       if (!draw_.chance(0.1)) continue;
       if (!query.ended && !query.left) {
         query.left = true;
-        events_.emplace_back(ClientLeft{id});
+        events_.emplace_back(ClientDisconnected{id});
       } else if (query.ended && draw_.chance(0.1)) {
-        events_.emplace_back(ClientLeft{id});  // it may name a query that ended a moment ago
+        events_.emplace_back(ClientDisconnected{id});  // it may name a query that ended a moment ago
       }
     }
   }
@@ -346,23 +348,23 @@
     if (!part.attempts.empty()) {
       ++further;
       for (const SeenAttempt& earlier : part.attempts) {
-        if (!s_.may_copy) {
+        if (!s_.may_hedge) {
           EXPECT_FALSE(earlier.out) << "two attempts at once";
         }
-        if (cls.effect == Effect::unsafe) {
+        if (cls.idempotency == Idempotency::non_idempotent) {
           EXPECT_FALSE(earlier.out || earlier.may_have_run) << "an unsafe part may run twice";
         }
-        if (cls.effect == Effect::keyed && (earlier.out || earlier.may_have_run)) {
+        if (cls.idempotency == Idempotency::deduplicated && (earlier.out || earlier.may_have_run)) {
           EXPECT_LE(now_, earlier.sent + cls.dedup_window) << "a keyed part outside its window";
         }
       }
       extras_.push_back(now_);
-      if (s_.has_budget) {
-        auto recent = [&](Time t) { return t > now_ - s_.budget_span; };
+      if (s_.has_retry_budget) {
+        auto recent = [&](Time t) { return t > now_ - s_.retry_budget_window; };
         auto sent = std::count_if(extras_.begin(), extras_.end(), recent);
         auto took = std::count_if(taken_.begin(), taken_.end(), recent);
         EXPECT_LE(static_cast<double>(sent),
-                  s_.budget_extra + s_.budget_ratio * static_cast<double>(took) + 1e-9)
+                  s_.retry_budget_base + s_.retry_budget_ratio * static_cast<double>(took) + 1e-9)
             << "attempt budget";
       }
     }
@@ -381,20 +383,20 @@
     auto& times = sent_to_[node];
     times.push_back(now_);
     const Member& member = told_.at(node);
-    if (!member.start_known || now_ >= member.started + s_.warm_within || told_leaving_.count(node)) return;
-    auto recent = [&](Time t) { return t > now_ - s_.fall_span && t >= member.started; };
+    if (!member.start_known || now_ >= member.started + s_.warm_up_time || told_leaving_.count(node)) return;
+    auto recent = [&](Time t) { return t > now_ - s_.cold_load_window && t >= member.started; };
     std::size_t most = 0;
     for (const auto& [other, sent] : sent_to_) {
       most = std::max(most, static_cast<std::size_t>(std::count_if(sent.begin(), sent.end(), [&](Time t) {
-                        return t > now_ - std::max(s_.fall_span * 4, Duration(20s)) &&
+                        return t > now_ - std::max(s_.cold_load_window * 4, Duration(20s)) &&
                                (other != node || t < member.started);
                       })));
     }
-    double share = s_.start_capacity +
-                   (1 - s_.start_capacity) *
-                       std::min(1.0, Duration(now_ - member.started).count() / s_.warm_within.count());
+    double share = s_.cold_start_capacity +
+                   (1 - s_.cold_start_capacity) *
+                       std::min(1.0, Duration(now_ - member.started).count() / s_.warm_up_time.count());
     EXPECT_LE(static_cast<double>(std::count_if(times.begin(), times.end(), recent)),
-              4 + s_.fall_multiple * share * static_cast<double>(most) * 4)
+              4 + s_.cold_load_multiple * share * static_cast<double>(most) * 4)
         << "a cold node is flooded";
   }
 
@@ -420,10 +422,10 @@
     SeenQuery& query = *end(a.query);
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
     double weight = weight_in(query);
-    double floor = query.step == 1 || cls.floor < cls.need ? cls.floor : 1;
+    double floor = query.step == 1 || cls.min_coverage < cls.whole_coverage ? cls.min_coverage : 1;
     EXPECT_GE(weight, floor - 1e-4) << "an answer under the floor";
     if (a.whole) {
-      EXPECT_GE(weight, (query.step == 1 ? cls.need : 1) - 1e-4) << "marked whole and is not";
+      EXPECT_GE(weight, (query.step == 1 ? cls.whole_coverage : 1) - 1e-4) << "marked whole and is not";
       EXPECT_TRUE(query.step == 1 || query.first_whole) << "whole after a first step that was not";
     }
     if (query.step == 1 && cls.fetch_parts > 0) {
@@ -437,7 +439,7 @@
     ++refusals;
     SeenQuery& query = *end(a.query);
     const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
-    if (cls.effect != Effect::unsafe) return;
+    if (cls.idempotency != Idempotency::non_idempotent) return;
     for (PartId id : query.parts)
       for (const SeenAttempt& attempt : parts_.at(id).attempts)
         EXPECT_FALSE(attempt.out || attempt.may_have_run) << "refused though an unsafe part may have run";
@@ -462,9 +464,9 @@
   }
 
   void check(const SetTimer& a) { timers_.emplace(now_ + a.after, a.token); }
-  void check(const TellPeer&) { EXPECT_TRUE(s_.may_tell_peers); }
-  void check(const SubscribeMembers&) { EXPECT_TRUE(s_.membership_by_asking); }
-  void check(const FetchMembers&) { EXPECT_TRUE(s_.membership_by_asking); }
+  void check(const SendToPeer&) { EXPECT_TRUE(s_.may_message_peers); }
+  void check(const SubscribeMembers&) { EXPECT_TRUE(s_.membership_by_subscription); }
+  void check(const FetchMembers&) { EXPECT_TRUE(s_.membership_by_subscription); }
   void check(const DropIdleConnections&) {}
   void check(const LogLine& a) { EXPECT_FALSE(a.text.empty()); }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -88,7 +88,7 @@
 TEST(Membership, ANodeThatIsGoneIsForgotten) {
   Bench bench;
   auto node = [](NodeId id, NodeStatus status) { return std::vector<Member>{Bench::member(id, 0, status)}; };
-  bench.list({Bench::member(1, 0), Bench::member(2, 0)}, ListForm::saved);
+  bench.list({Bench::member(1, 0), Bench::member(2, 0)}, MemberListForm::saved);
   for (int i = 0; i < 40; ++i) {  // node 1 answers slowly
     bench.query(1, {1.0});
     bench.step();
@@ -222,7 +222,7 @@
   Settings settings = plain_settings();
   settings.cells_per_shard = 2;  // both cells hold every shard
   Bench bench(settings);
-  bench.list({Bench::member(1, 0), Bench::member(11, 1)}, ListForm::saved);
+  bench.list({Bench::member(1, 0), Bench::member(11, 1)}, MemberListForm::saved);
   for (int i = 0; i < 6; ++i) {
     bench.query(1, {0.5, 0.5});
     bench.step();
@@ -242,7 +242,7 @@
   Settings settings = plain_settings();
   settings.parts_per_call = 4;
   Bench bench(settings);
-  bench.list({Bench::member(1, 0), Bench::member(2, 0)}, ListForm::saved);
+  bench.list({Bench::member(1, 0), Bench::member(2, 0)}, MemberListForm::saved);
   // Node 2 is nearly four times as slow. Six parts over two nodes make calls of three, so node 1 counts one
   // call and then two: the lesser throughout. Counted by part it would not be from the fourth part on.
   for (int i = 0; i < 6; ++i) {
@@ -281,7 +281,7 @@
 
 TEST(ReplicaChoice, ASilentNodeLosesItsPlaceBeforeAnyTimeOut) {
   Settings settings = plain_settings();
-  settings.may_copy = false;
+  settings.may_hedge = false;
   Bench bench(settings);
   bench.list_all(2);
   bench.warm_up(8, 100ms);
@@ -587,7 +587,7 @@
     sent += sends.empty() ? 0 : 1;
     refused += bench.refusals().size();
     bench.run(200ms);
-    bench.pending.emplace_back(ClientLeft{id});
+    bench.pending.emplace_back(ClientDisconnected{id});
     for (const SendPart& send : sends) bench.outcome(send.part, send.node, 0, Outcome::ok, 300ms);
     bench.step(100ms);
     bench.query(2, {0.5, 0.5});  // of another class, for the same shard
@@ -693,7 +693,7 @@
   std::vector<Member> members;
   for (int cell = 0; cell < 75; ++cell)
     for (int i = 0; i < 4; ++i) members.push_back(Bench::member(static_cast<NodeId>(cell * 10 + i), cell));
-  bench.list(members, ListForm::saved);
+  bench.list(members, MemberListForm::saved);
   std::vector<int> shards;
   for (int i = 0; i < 200; ++i) shards.push_back(i % 75);
   std::size_t whole = 0;
@@ -748,11 +748,11 @@
 
 TEST(Answering, WhatCannotBeServedIsRefusedAtOnceWithATimeToComeBack) {
   Bench bench;
-  bench.list({Bench::member(1, 0)}, ListForm::saved);
+  bench.list({Bench::member(1, 0)}, MemberListForm::saved);
   bench.query(1, {0.5, 0.5}, {0, 1});  // nobody holds shard 1
   bench.step();
   ASSERT_EQ(bench.refusals().size(), 1u);
-  EXPECT_GT(bench.refusals()[0].come_back, Duration{});
+  EXPECT_GT(bench.refusals()[0].retry_after, Duration{});
 }
 
 TEST(Answering, AQueryWithoutPartsEndsAtOnce) {
@@ -775,8 +775,8 @@
   bench.outcome(send.part, send.node, 0, Outcome::ok);
   bench.outcome(send.part, send.node, 3, Outcome::timeout);
   bench.outcome(99, 98, 0, Outcome::ok);
-  bench.pending.emplace_back(ClientLeft{id});
-  bench.pending.emplace_back(ClientLeft{12345});
+  bench.pending.emplace_back(ClientDisconnected{id});
+  bench.pending.emplace_back(ClientDisconnected{12345});
   bench.step();
   EXPECT_TRUE(bench.actions.empty());
 }
