--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,23 +1,23 @@
-// What is refused on arrival: by lot, for want of time, or after waiting for room.
+// Admission control: limits the parts in flight and refuses queries on arrival, at random in proportion to
+// what their tenant or shards fail to earn, or for lack of time.
 #pragma once
 
 #include "policy/replica_selection.h"
 
 namespace pearspar::policy {
 
-// Of the shortest aim: where a shard's quickest replica takes so long, some leave light parts out there, and
-// at twice that all do.
-constexpr double hot_share = 0.16;
-// Admission: how many of our parts may be out at once, so that queues stay short of the aims.
-constexpr double load_target = 0.18;     // of the shortest aim: median latency of a part that we steer for
-constexpr Duration load_period = 250ms;  // between steps of the limit
-constexpr double load_down = 0.8;        // the limit's factor in a step, at least
-constexpr double full_share = 0.1;   // of a step's answers: more turned away say at once, before the median
-constexpr double load_up = 1.1;      // at most, and only while the limit is in use
-constexpr double load_least = 2;     // parts: something is always under way, or nothing would be learnt
-constexpr double worth_slack = 1.5;  // times what earned something may be let in
-constexpr double hopeless_most =
-    0.95;  // a query needs the time within which so many of its attempts end, at most
+// Of the shortest latency target. Where a shard's quickest replica takes this long, optional parts there
+// begin to be skipped; at twice that, all are.
+constexpr double hot_shard_latency_share = 0.16;
+constexpr double target_latency_share = 0.18;  // of the shortest latency target: median to control for
+constexpr Duration limit_step_interval = 250ms;
+constexpr double limit_decrease = 0.8;  // least factor in a step
+constexpr double limit_increase = 1.1;  // factor in a step, if the limit is in use
+constexpr double limit_in_use_share = 0.8;
+constexpr double refused_share = 0.1;          // of a step's answers: above it, nodes are full
+constexpr double min_limit = 2;                // parts, so that latencies are still learnt
+constexpr double yield_slack = 1.5;            // times what earned its worth may be admitted
+constexpr double max_latency_quantile = 0.95;  // of the parts' latency: time that a query must have left
 
 class Admission : public ReplicaSelection {
  protected:
@@ -25,8 +25,8 @@
   using ReplicaSelection::ReplicaSelection;
 
   void on(const QueryArrived& arrival) {
-    if (s_.has_retry_budget) taken_.push_back(now_);
-    const ClassSettings& cls = s_.classes[static_cast<std::size_t>(arrival.cls)];
+    if (settings_.has_retry_budget) arrival_times_.push_back(now_);
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(arrival.cls)];
     Query& query = queries_[arrival.query];
     query = Query{};
     query.id = arrival.query;
@@ -35,17 +35,17 @@
     query.tenant = arrival.tenant;
     query.arrived = now_;
     query.deadline = arrival.deadline;
-    Duration stretch = arrival.cost_known ? arrival.cost * cls.latency_target_per_work : Duration{};
-    query.aim_at =
-        std::min(now_ + std::min(cls.latency_target + stretch, cls.client_timeout), arrival.deadline);
-    query.expected = arrival.parts;
-    by_ordinal_[arrival.ordinal] = arrival.query;
+    Duration extension = arrival.cost_known ? arrival.cost * cls.latency_target_per_work : Duration{};
+    query.target_at =
+        std::min(now_ + std::min(cls.latency_target + extension, cls.client_timeout), arrival.deadline);
+    query.parts_pending = arrival.parts;
+    query_by_ordinal_[arrival.ordinal] = arrival.query;
   }
 
   void on(const PartArrived& arrival) {
-    if (s_.has_retry_budget) taken_.push_back(now_);
-    auto owner = by_ordinal_.find(arrival.ordinal);
-    if (owner == by_ordinal_.end()) return;
+    if (settings_.has_retry_budget) arrival_times_.push_back(now_);
+    auto owner = query_by_ordinal_.find(arrival.ordinal);
+    if (owner == query_by_ordinal_.end()) return;
     Query& query = queries_.at(owner->second);
     if (query.ended) return;
     Part part;
@@ -54,94 +54,98 @@
     part.shard = arrival.shard;
     part.weight = arrival.weight;
     query.parts.push_back(part);
-    part_owner_[arrival.part] = query.id;
-    if (query.expected > 0 && --query.expected == 0 && !query.admitted) draw_lots(query);
+    query_by_part_[arrival.part] = query.id;
+    if (query.parts_pending > 0 && --query.parts_pending == 0 && !query.admitted) refuse_at_random(query);
   }
 
-  // Little's law: parts out = rate of answers x latency. Over the target, the limit goes to what the present
-  // rate would hold at it, so it does not fall through on a burst; under it, it grows.
+  // Little's law: parts in flight = answer rate x latency. Above the target latency, the limit goes to what
+  // the present rate would hold at the target, so that a burst does not make it collapse; below, it grows.
   void adjust_limit() {
-    most_out_ = std::max(most_out_, out_);
-    if (now_ < limit_changed_ + load_period || median_ <= 0) return;
-    double target = load_target * shortest_aim().count();
-    bool full = turned_away_ > full_share * answer_rate() * load_period.count();
-    turned_away_ = 0;
-    if (median_ > target || full) {
-      bool first = limit_ > most_out_;
-      limit_ = std::max({load_least, answer_rate() * target, std::min(limit_, most_out_) * load_down});
+    peak_in_flight_ = std::max(peak_in_flight_, in_flight_);
+    if (now_ < limit_changed_ + limit_step_interval || median_latency_ <= 0) return;
+    double target = target_latency_share * shortest_latency_target().count();
+    bool nodes_full = refused_attempts_ > refused_share * answer_rate() * limit_step_interval.count();
+    refused_attempts_ = 0;
+    if (median_latency_ > target || nodes_full) {
+      bool first = limit_ > peak_in_flight_;
+      limit_ =
+          std::max({min_limit, answer_rate() * target, std::min(limit_, peak_in_flight_) * limit_decrease});
       if (first) log("limit of " + std::to_string(static_cast<int>(limit_)) + " parts out: answers are slow");
-    } else if (most_out_ >= 0.8 * limit_) {
-      limit_ = limit_ * load_up + 1;
+    } else if (peak_in_flight_ >= limit_in_use_share * limit_) {
+      limit_ = limit_ * limit_increase + 1;
     }
     limit_changed_ = now_;
-    most_out_ = out_;
+    peak_in_flight_ = in_flight_;
   }
 
-  // Worth of a whole answer for the work that it takes.
-  double density(const Query& query) const {
-    double worth = s_.classes[static_cast<std::size_t>(query.cls)].worth;
-    return s_.worth_by_work ? worth
-                            : worth / static_cast<double>(std::max<std::size_t>(1, query.parts.size()));
+  // Worth of a whole answer per unit of the work that it takes.
+  double worth_density(const Query& query) const {
+    double worth = settings_.classes[static_cast<std::size_t>(query.cls)].worth;
+    return settings_.worth_by_work
+               ? worth
+               : worth / static_cast<double>(std::max<std::size_t>(1, query.parts.size()));
   }
 
-  bool drawn_out(const Worth& worth, double asked) {
-    double fade = std::exp(-(now_ - worth.at) / worth_memory);
-    return uniform() < (worth.asked - worth_slack * worth.earned) * fade / (worth.asked * fade + asked);
+  // Draws whether to spare this work, by how far what was worked on exceeds what earned its worth. Random, so
+  // that a broker with little traffic does its share on average.
+  bool drawn_for_refusal(const DecayedMean& yield, double parts) {
+    double decay = std::exp(-(now_ - yield.updated) / yield_memory);
+    return uniform() < (yield.weight - yield_slack * yield.sum) * decay / (yield.weight * decay + parts);
   }
 
-  // On arrival. A shard whose parts do not come back, whichever replica they go to (all of them hang or are
-  // full, or it is hot), is spared by the same lot: the query does without the part, or is refused at once
-  // where it can't, before its other parts are worked on in vain.
-  void draw_lots(Query& query) {
+  // Refuses a query whose class and tenant, or whose shards, do not earn the work spent on them. A query that
+  // can do without the parts for a bad shard only skips these.
+  void refuse_at_random(Query& query) {
     double reachable = 0;
-    double draw = uniform();  // one for all parts: the first that is left out costs the query its wholeness
+    double draw =
+        uniform();  // one for all parts, since the first skipped part already makes the answer partial
     for (Part& part : query.parts) {
-      part.lost = drawn_out(shards_[part.shard], 1) || draw < left_out(query, part);
-      if (!part.lost) reachable += part.weight;
+      part.abandoned =
+          drawn_for_refusal(shard_yields_[part.shard], 1) || draw < skip_probability(query, part);
+      if (!part.abandoned) reachable += part.weight;
     }
-    query.dark = reachable < floor_of(query) - 2 * weight_slack;
-    if (query.dark || drawn_out(worth_[{query.cls, query.tenant}], static_cast<double>(query.parts.size())))
+    query.shards_unavailable = reachable < min_coverage(query) - 2 * weight_tolerance;
+    if (query.shards_unavailable ||
+        drawn_for_refusal(tenant_yields_[{query.cls, query.tenant}], static_cast<double>(query.parts.size())))
       finish(query);
   }
 
-  // A part that its query can do without, and that weighs less than an even share.
-  bool light(const Query& query, const Part& part) const {
-    const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
+  // Whether the query can do without the part and the part weighs less than an even share.
+  bool is_optional(const Query& query, const Part& part) const {
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(query.cls)];
     return cls.min_coverage < cls.whole_coverage &&
-           part.weight < 1 / static_cast<double>(query.parts.size()) - weight_slack;
+           part.weight < 1 / static_cast<double>(query.parts.size()) - weight_tolerance;
   }
 
-  // DESIGN's hot shard: narrowing trims the light parts of all shards alike, and those that wait at one add
-  // to its queue. There light parts are left out, with this chance, by how long even the quickest replica
-  // takes.
-  double left_out(const Query& query, const Part& part) const {
-    if (!light(query, part)) return 0;
+  // Optional parts for a hot shard only lengthen its queue. They are skipped with this probability, which
+  // grows with the latency of the shard's quickest replica.
+  double skip_probability(const Query& query, const Part& part) const {
+    if (!is_optional(query, part)) return 0;
     double quickest = 0;
     for (const auto& [id, node] : nodes_)
-      if (node.member.status == NodeStatus::ready && holds(node, part.shard))
+      if (node.member.status == NodeStatus::ready && holds_shard(node, part.shard))
         quickest = quickest > 0 ? std::min(quickest, expected_latency(node)) : expected_latency(node);
-    return quickest / (hot_share * shortest_aim().count()) - 1;
+    return quickest / (hot_shard_latency_share * shortest_latency_target().count()) - 1;
   }
 
-  // Lets queries in, the most worth for its parts first, while there is room under the limit; what has no
-  // time left to wait is given up at once.
+  // Admits waiting queries while there is room under the limit, those with the most worth for their work
+  // first. A query without the time that its parts take is finished at once.
   void admit() {
-    std::vector<Query*> held;
+    std::vector<Query*> waiting;
     for (auto& [id, query] : queries_)
-      if (!query.admitted && !query.ended && query.expected == 0) held.push_back(&query);
-    if (held.empty()) return;
-    std::stable_sort(held.begin(), held.end(),
-                     [this](auto* a, auto* b) { return density(*a) > density(*b); });
-    double room = limit_ - out_;
-    for (Query* query : held) {
-      // Without the time that its parts take it is given up at once, room or not. Old knowledge is not held
-      // against it: with nothing let in, nothing new would ever be learnt.
-      const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query->cls)];
+      if (!query.admitted && !query.ended && query.parts_pending == 0) waiting.push_back(&query);
+    if (waiting.empty()) return;
+    std::stable_sort(waiting.begin(), waiting.end(),
+                     [this](auto* a, auto* b) { return worth_density(*a) > worth_density(*b); });
+    double room = limit_ - in_flight_;
+    for (Query* query : waiting) {
+      const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(query->cls)];
       double parts = static_cast<double>(query->parts.size());
       double share =
-          cls.min_coverage < cls.whole_coverage ? 0.5 : std::min(hopeless_most, parts / (parts + 1));
-      bool fresh = !latencies_.empty() && latencies_.back().at > now_ - strain_window;
-      if (fresh && now_ + Duration(latency_at(share)) + margin() > query->aim_at) {
+          cls.min_coverage < cls.whole_coverage ? 0.5 : std::min(max_latency_quantile, parts / (parts + 1));
+      // Old latencies refuse nothing: without admissions there would never be new ones.
+      bool fresh = !latencies_.empty() && latencies_.back().at > now_ - outcome_window;
+      if (fresh && now_ + Duration(latency_quantile(share)) + margin() > query->target_at) {
         finish(*query);
       } else if (room > 0) {
         query->admitted = true;
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -1,22 +1,20 @@
-// Sends, time-outs, further attempts and second copies.
+// Attempts of parts: sends, timeouts, retries and hedged requests.
 #pragma once
 
 #include "policy/admission.h"
 
 namespace pearspar::policy {
 
-// Attempts.
-constexpr double overdue_share = 0.7;  // of the aim: a part out for longer counts as timed out
-constexpr double last_parts_wait =
-    1.5;                               // times what the others took, until the last parts are taken for lost
-constexpr double silence_usuals = 2;   // usual times without an outcome until an attempt is taken for lost
-constexpr double call_off_waits = 2;   // times as long, where the attempt has to be called off for another
-constexpr double silence_least = 0.2;  // of the aim, so that short queues do not look like silence
-constexpr double retry_pause = 0.08;   // of the aim: before a node that looks bad gets the part again
-constexpr double copy_gain = 2;        // a copy goes only where so many times quicker than the wait so far
-constexpr double extra_ratio = 0.15;   // further attempts that one sent part earns
-constexpr double false_alarm_gain = 0.05;  // weight of one more in the share of those that answered after all
-constexpr double extra_most = 30;          // further attempts saved up at most
+constexpr double overdue_share = 0.7;    // of the latency target: a part in flight for longer has timed out
+constexpr double last_parts_wait = 1.5;  // times what the other parts took, until the last are presumed lost
+constexpr double lost_after_usual = 2;   // usual latencies without an outcome, until presumed lost
+constexpr double lost_wait_factor_without_hedging = 2;  // since the attempt is cancelled first
+constexpr double min_lost_wait_share = 0.2;  // of the latency target, so that a short queue is not a loss
+constexpr double retry_pause_share = 0.08;   // of the latency target: before a node gets the part again
+constexpr double hedge_min_gain = 2;         // how much quicker than the wait so far a hedge must be
+constexpr double hedge_credit_per_part = 0.15;
+constexpr double max_hedge_credit = 30;
+constexpr double false_alarm_gain = 0.05;  // weight of a new sample in the false alarm rate
 
 class Attempts : public Admission {
  protected:
@@ -28,195 +26,199 @@
     Attempt attempt;
     attempt.node = node.member.node;
     attempt.sent = now_;
-    Duration patience = (query.aim_at - query.arrived) * overdue_share;
-    attempt.overdue_at = now_ + patience;
-    attempt.patience = patience.count();
-    auto& [call, used] = round_calls_[attempt.node];
+    Duration timeout = (query.target_at - query.arrived) * overdue_share;
+    attempt.overdue_at = now_ + timeout;
+    attempt.timeout_s = timeout.count();
+    auto& [call, used] = batch_calls_[attempt.node];
     if (used == 0 || used >= call_size_) {
       call = ++last_call_;
       used = 0;
-      ++node.calls;
+      ++node.open_calls;
     }
     ++used;
     attempt.call = call;
-    part.called_off = false;
-    ++call_parts_[call];
+    part.cancel_requested = false;
+    ++call_parts_in_flight_[call];
     part.attempts.push_back(attempt);
-    node.outstanding.push_back(now_);
-    ++out_;
-    while (!node.recent_sends.empty() && node.recent_sends.front() <= now_ - s_.cold_load_window)
+    node.in_flight.push_back(now_);
+    ++in_flight_;
+    while (!node.recent_sends.empty() && node.recent_sends.front() <= now_ - settings_.cold_load_window)
       node.recent_sends.pop_front();
     node.recent_sends.push_back(now_);
-    if (!cold(node)) note_warm_sends(1);
-    if (further && s_.has_retry_budget) extras_.push_back(now_);
-    Duration wait = end_of(query) - now_;
-    if (!s_.may_hedge && !s_.may_cancel && more_allowed(query, part))
+    if (!is_cold(node)) count_warm_sends(1);
+    if (further && settings_.has_retry_budget) retry_times_.push_back(now_);
+    Duration wait = worthless_after(query) - now_;
+    if (!settings_.may_hedge && !settings_.may_cancel && may_retry(query, part))
       wait = std::min(wait, attempt.overdue_at - now_);
-    actions_->push_back(SendPart{part.id, attempt.node, std::max(wait, s_.min_batch_interval)});
+    actions_->push_back(SendPart{part.id, attempt.node, std::max(wait, settings_.min_batch_interval)});
   }
 
-  // An attempt that is out for far longer than attempts usually are is taken for lost: it, its answer or its
-  // node. It counts as its node's failure, no longer as out, and another may go.
-  void give_up_lost(const Query& query, Attempt& attempt) {
-    Duration wait =
-        std::max(Duration(usual_ * silence_usuals), (query.aim_at - query.arrived) * silence_least);
-    // The last few parts of a query hold up all the others' work.
-    if (query.mostly_in > Duration{})
-      wait = std::min(
-          wait, std::max(query.mostly_in * last_parts_wait, (query.aim_at - query.arrived) * silence_least));
-    // Where no copy may run beside it, a mistake costs the work done so far.
-    if (!s_.may_hedge) wait *= call_off_waits;
-    if (attempt.given_up || now_ - attempt.sent <= wait) return;
+  // Presumes an attempt lost that has been in flight for far longer than usual. It then counts as a failure
+  // of its node and no longer as in flight, and another attempt may be made.
+  void presume_lost_if_silent(const Query& query, Attempt& attempt) {
+    Duration wait = std::max(Duration(usual_latency_ * lost_after_usual),
+                             (query.target_at - query.arrived) * min_lost_wait_share);
+    // The last few parts of a query delay its answer.
+    if (query.most_answered_after > Duration{})
+      wait = std::min(wait, std::max(query.most_answered_after * last_parts_wait,
+                                     (query.target_at - query.arrived) * min_lost_wait_share));
+    // Without hedging the attempt is cancelled, and a mistake costs the work done so far.
+    if (!settings_.may_hedge) wait *= lost_wait_factor_without_hedging;
+    if (attempt.presumed_lost || now_ - attempt.sent <= wait) return;
     Node& node = nodes_.at(attempt.node);
-    attempt.given_up = true;
-    --out_;
-    node_forgets(node, attempt);
-    take_latency(node, std::max(node.latency, Duration(now_ - attempt.sent).count()));  // so long at least
+    attempt.presumed_lost = true;
+    --in_flight_;
+    remove_in_flight(node, attempt);
+    add_node_latency(node, std::max(node.latency, Duration(now_ - attempt.sent).count()));
   }
 
-  void node_forgets(Node& node, const Attempt& attempt) {
-    node.outstanding.erase(std::find(node.outstanding.begin(), node.outstanding.end(), attempt.sent));
+  void remove_in_flight(Node& node, const Attempt& attempt) {
+    node.in_flight.erase(std::find(node.in_flight.begin(), node.in_flight.end(), attempt.sent));
   }
 
-  bool more_allowed(const Query& query, const Part& part) const {
-    return static_cast<int>(part.attempts.size()) < s_.max_attempts &&
-           s_.classes[static_cast<std::size_t>(query.cls)].idempotency != Idempotency::non_idempotent;
+  bool may_retry(const Query& query, const Part& part) const {
+    return static_cast<int>(part.attempts.size()) < settings_.max_attempts &&
+           settings_.classes[static_cast<std::size_t>(query.cls)].idempotency != Idempotency::non_idempotent;
   }
 
   void on(const AttemptEnded& ended) {
     auto found = nodes_.find(ended.node);
-    auto owner = part_owner_.find(ended.part);
-    if (found == nodes_.end() || owner == part_owner_.end()) return;
+    auto owner = query_by_part_.find(ended.part);
+    if (found == nodes_.end() || owner == query_by_part_.end()) return;
     Query& query = queries_.at(owner->second);
     Part& part =
         *std::find_if(query.parts.begin(), query.parts.end(), [&](auto& p) { return p.id == ended.part; });
     if (ended.attempt < 0 || static_cast<std::size_t>(ended.attempt) >= part.attempts.size()) return;
     Attempt& attempt = part.attempts[static_cast<std::size_t>(ended.attempt)];
-    if (!attempt.out || attempt.node != ended.node) return;
+    if (!attempt.in_flight || attempt.node != ended.node) return;
     Node& node = found->second;
     close_attempt(node, attempt);
-    judge(node, attempt, ended);
+    record_attempt(node, attempt, ended);
     if (ended.outcome == Outcome::refused || ended.outcome == Outcome::connect_failed ||
         ended.outcome == Outcome::not_sent)
       attempt.may_have_run = false;
-    part.retry_at = now_ + (query.aim_at - query.arrived) * retry_pause;
-    if (ended.outcome != Outcome::ok || query.ended || part.in || part.step != query.step) return;
-    part.in = true;
-    cancel_out(part);
+    part.retry_at = now_ + (query.target_at - query.arrived) * retry_pause_share;
+    if (ended.outcome != Outcome::ok || query.ended || part.answered || part.step != query.step) return;
+    part.answered = true;
+    cancel_in_flight(part);
   }
 
   void close_attempt(Node& node, Attempt& attempt) {
-    attempt.out = false;
-    if (!attempt.given_up) --out_, node_forgets(node, attempt);
-    auto call = call_parts_.find(attempt.call);
+    attempt.in_flight = false;
+    if (!attempt.presumed_lost) --in_flight_, remove_in_flight(node, attempt);
+    auto call = call_parts_in_flight_.find(attempt.call);
     if (--call->second > 0) return;
-    call_parts_.erase(call);
-    --node.calls;
+    call_parts_in_flight_.erase(call);
+    --node.open_calls;
   }
 
-  void judge(Node& node, const Attempt& attempt, const AttemptEnded& ended) {
-    double took = ended.took.count();
-    // An attempt that was given up and answers after all was only waiting: where most do, the fleet is
-    // crowded, and further attempts would crowd it more.
-    if (attempt.given_up && ended.outcome != Outcome::cancelled)
-      false_alarms_ += false_alarm_gain * ((ended.outcome == Outcome::ok ? 1 : 0) - false_alarms_);
+  // Updates the statistics with the outcome of an attempt.
+  void record_attempt(Node& node, const Attempt& attempt, const AttemptEnded& ended) {
+    double latency = ended.took.count();
+    // An answer after all means that the attempt was only queued. Where this is common the nodes are
+    // overloaded, and hedging would add to the load.
+    if (attempt.presumed_lost && ended.outcome != Outcome::cancelled)
+      false_alarm_rate_ += false_alarm_gain * ((ended.outcome == Outcome::ok ? 1 : 0) - false_alarm_rate_);
     switch (ended.outcome) {
       case Outcome::ok:
-        note_latency(node, took);
-        take_success(node, took);
-        if (!attempt.overdue) note_outcome(false);
+        record_latency(node, latency);
+        record_success(node, latency);
+        if (!attempt.overdue) record_outcome(false);
         break;
       case Outcome::refused:
-        note_outcome(true);
-        ++turned_away_;
-        if (!attempt.given_up) note_latency(node, attempt.patience);  // lost, not slow
-        take_latency(node, std::max(node.latency, attempt.patience));
+        record_outcome(true);
+        ++refused_attempts_;
+        if (!attempt.presumed_lost) record_latency(node, attempt.timeout_s);  // not the time to refuse it
+        add_node_latency(node, std::max(node.latency, attempt.timeout_s));
         break;
       case Outcome::timeout:
-        if (!attempt.given_up) note_latency(node, took);
-        take_latency(node, std::max(node.latency, took));
-        if (!attempt.overdue) note_outcome(true);
+        if (!attempt.presumed_lost) record_latency(node, latency);
+        add_node_latency(node, std::max(node.latency, latency));
+        if (!attempt.overdue) record_outcome(true);
         break;
       case Outcome::connect_failed:
       case Outcome::reset:
-        if (ended.outcome == Outcome::connect_failed) ++node.unreached;
-        note_outcome(false);
-        take_failure(node, attempt);
+        if (ended.outcome == Outcome::connect_failed) ++node.failed_connects;
+        record_outcome(false);
+        record_failure(node, attempt);
         break;
       case Outcome::error:
-        note_outcome(false);
-        take_failure(node, attempt);
+        record_outcome(false);
+        record_failure(node, attempt);
         break;
       case Outcome::cancelled:
-        if (!attempt.given_up) note_latency(node, took);
-        if (took > node.latency) take_latency(node, took);
+        if (!attempt.presumed_lost) record_latency(node, latency);
+        if (latency > node.latency) add_node_latency(node, latency);
         break;
       case Outcome::not_sent:
         break;
     }
   }
 
-  // Sends what is chosen and not out. A part whose attempt is taken for lost goes to another node as well,
-  // where second copies are allowed and earned, or instead, once that attempt is called off.
-  void pursue(Query& query, Part& part) {
-    if (!part.chosen || part.in || part.lost || query.ended) return;
-    int out = 0;
-    bool stuck = true;
+  // Makes the part's next attempt if one is due. If all its attempts in flight are presumed lost, it is sent
+  // to another node as well, where hedging is allowed and earned, or once the attempt has been cancelled.
+  void advance_part(Query& query, Part& part) {
+    if (!part.selected || part.answered || part.abandoned || query.ended) return;
+    int in_flight = 0;
+    bool all_lost = true;
     for (std::size_t i = 0; i < part.attempts.size(); ++i) {
       Attempt& attempt = part.attempts[i];
-      if (!attempt.out) continue;
-      ++out;
+      if (!attempt.in_flight) continue;
+      ++in_flight;
       if (!attempt.overdue && now_ >= attempt.overdue_at) {
         attempt.overdue = true;
-        note_outcome(true);
+        record_outcome(true);
       }
-      give_up_lost(query, attempt);
-      stuck = stuck && attempt.given_up;
+      presume_lost_if_silent(query, attempt);
+      all_lost = all_lost && attempt.presumed_lost;
     }
-    if (out > 0 && (!stuck || out > 1 || !more_allowed(query, part))) return;
-    // Nothing more goes out that could hardly be back in time; a part that would need it is given up at once.
-    if (!part.attempts.empty() && now_ + Duration(median_) > std::min(query.aim_at, end_of(query))) {
-      part.lost = out == 0;
+    if (in_flight > 0 && (!all_lost || in_flight > 1 || !may_retry(query, part))) return;
+    // No further attempt that would hardly be answered in time; a part that needs one is abandoned.
+    if (!part.attempts.empty() &&
+        now_ + Duration(median_latency_) > std::min(query.target_at, worthless_after(query))) {
+      part.abandoned = in_flight == 0;
       return;
     }
-    if (out > 0 && !s_.may_hedge && s_.may_cancel) {
-      if (extra_credit_ >= 1 && !part.called_off) {
-        part.called_off = true;
-        extra_credit_ -= 1;
-        cancel_out(part, true);
+    if (in_flight > 0 && !settings_.may_hedge && settings_.may_cancel) {
+      if (hedge_credit_ >= 1 && !part.cancel_requested) {
+        part.cancel_requested = true;
+        hedge_credit_ -= 1;
+        cancel_in_flight(part, true);
       }
       return;
     }
-    if (out > 0 && (extra_credit_ < 1 || light(query, part))) return;  // copies are for what is needed
-    Node* node = choose_node(query, part);
+    if (in_flight > 0 && (hedge_credit_ < 1 || is_optional(query, part))) return;
+    Node* node = select_node(query, part);
     if (!node) {
-      if (out == 0 && !could_ever_send(query, part)) part.lost = true;
+      if (in_flight == 0 && !may_become_sendable(query, part)) part.abandoned = true;
       return;
     }
-    // Back to a node that the part has tried it goes after a moment: nodes that turn work away or can't be
-    // reached say so within a millisecond, and all attempts would be spent.
+    // A node that refuses or is unreachable says so within a millisecond; without a pause all attempts would
+    // be spent on it.
     bool tried = std::any_of(part.attempts.begin(), part.attempts.end(),
                              [&](auto& attempt) { return attempt.node == node->member.node; });
-    if (out == 0 && tried && now_ < part.retry_at) return;
-    if (out > 0 && node->member.node == part.attempts.back().node) return;
-    // Where the other replica is no quicker, the shard is hot, and a copy would only wait there too.
-    if (out > 0 && expected_latency(*node) * copy_gain > Duration(now_ - part.attempts.back().sent).count())
+    if (in_flight == 0 && tried && now_ < part.retry_at) return;
+    if (in_flight > 0 && node->member.node == part.attempts.back().node) return;
+    // Where the other replica is no quicker, the shard is hot and a hedge would only add to its load.
+    if (in_flight > 0 &&
+        expected_latency(*node) * hedge_min_gain > Duration(now_ - part.attempts.back().sent).count())
       return;
-    if (out > 0) extra_credit_ -= 1;
+    if (in_flight > 0) hedge_credit_ -= 1;
     if (part.attempts.empty())
-      extra_credit_ = std::min(extra_most, extra_credit_ + extra_ratio * std::pow(1 - false_alarms_, 2));
+      hedge_credit_ = std::min(max_hedge_credit,
+                               hedge_credit_ + hedge_credit_per_part * std::pow(1 - false_alarm_rate_, 2));
     send(query, part, *node);
   }
 
-  // Whether waiting may help a part that nothing can be sent for now: a cold node's allowance grows and a
-  // budget refills, but no time brings back a spent attempt limit or a shard without listed nodes.
-  bool could_ever_send(const Query& query, const Part& part) const {
-    if (static_cast<int>(part.attempts.size()) >= s_.max_attempts) return false;
-    const ClassSettings& cls = s_.classes[static_cast<std::size_t>(query.cls)];
+  // Whether a part that cannot be sent now may become sendable: a cold node's allowance grows and the retry
+  // budget refills, but spent attempts and a shard without listed nodes do not come back.
+  bool may_become_sendable(const Query& query, const Part& part) const {
+    if (static_cast<int>(part.attempts.size()) >= settings_.max_attempts) return false;
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(query.cls)];
     if (cls.idempotency == Idempotency::non_idempotent && part.may_have_run()) return false;
-    if (cls.idempotency == Idempotency::deduplicated && !within_dedup(cls, part)) return false;
+    if (cls.idempotency == Idempotency::deduplicated && !within_dedup_window(cls, part)) return false;
     return std::any_of(nodes_.begin(), nodes_.end(), [&](auto& entry) {
-      return entry.second.member.status == NodeStatus::ready && holds(entry.second, part.shard);
+      return entry.second.member.status == NodeStatus::ready && holds_shard(entry.second, part.shard);
     });
   }
 };
--- a/src/policy/nodes.h
+++ b/src/policy/nodes.h
@@ -1,5 +1,5 @@
-// The list of nodes, drains, asking for the list where it does not come by itself; node health: smoothed
-// latency, in which failures count, and who is cold.
+// Node membership, drains, subscription to the member list, and node health: smoothed latency, in which
+// failures count, and which nodes are cold.
 #pragma once
 
 #include "policy/state.h"
@@ -7,11 +7,10 @@
 namespace pearspar::policy {
 
 constexpr double latency_gain = 0.2;     // weight of a new sample in the smoothed latency
-constexpr Duration latency_memory = 4s;  // a sample after a silence of this length weighs about two thirds
-constexpr int down_unreached = 2;        // failed connections without an answer: the node was down
-// Cold nodes: the share of what the rule allows that we plan to use, since all brokers' sends add up.
-constexpr double cold_use = 0.5;
-constexpr Duration rate_memory = 5s;  // own send rate to warm nodes is smoothed over this
+constexpr Duration latency_memory = 4s;  // after a silence of this length, a sample weighs about two thirds
+constexpr int down_after_failed_connects = 2;  // without an answer between them
+constexpr double cold_allowance_share = 0.5;   // of what the rule allows; the rest is margin
+constexpr Duration warm_send_rate_memory = 5s;
 
 class Nodes : public State {
  protected:
@@ -20,7 +19,7 @@
   void on(const MembersChanged& change) {
     if (change.form == MemberListForm::failed) {
       subscribed_ = false;
-      ask_again_ = now_ + s_.subscribe_within * (0.1 + 0.2 * uniform());
+      resubscribe_at_ = now_ + settings_.subscribe_within * (0.1 + 0.2 * uniform());
       return;
     }
     subscribed_ = true;
@@ -33,33 +32,34 @@
       node.member = member;
       node.listed = true;
       if (member.start_known && (!known || member.started > node.started)) {
-        // A process that started anew owes nothing to its predecessor's record.
-        if (known && member.started > node.started + 1ms) node.latency = 0, node.unreached = 0;
-        // What it got while it was thought warm no longer speaks for what a warm node gets.
+        // The health record is that of the previous process.
+        if (known && member.started > node.started + 1ms) node.latency = 0, node.failed_connects = 0;
+        // Recent sends were counted as those to a warm node.
         auto& sends = node.recent_sends;
-        auto recent = sends.end() - std::lower_bound(sends.begin(), sends.end(), now_ - s_.cold_load_window);
-        if (!cold(node)) note_warm_sends(-static_cast<double>(recent));
+        auto recent =
+            sends.end() - std::lower_bound(sends.begin(), sends.end(), now_ - settings_.cold_load_window);
+        if (!is_cold(node)) count_warm_sends(-static_cast<double>(recent));
         node.started = std::max(node.started, member.started);
       }
     }
-    // Of a node that is gone all is given back, but for what the rule on cold nodes needs should it return.
+    // The recent sends of a node are kept for the cold node rule, since the node may return.
     std::erase_if(nodes_, [this](const auto& entry) {
       const Node& node = entry.second;
-      return node.member.status == NodeStatus::gone && node.calls == 0 && !cold(node) &&
-             (node.recent_sends.empty() || node.recent_sends.back() <= now_ - s_.cold_load_window);
+      return node.member.status == NodeStatus::gone && node.open_calls == 0 && !is_cold(node) &&
+             (node.recent_sends.empty() || node.recent_sends.back() <= now_ - settings_.cold_load_window);
     });
   }
 
-  void ask_list() {
+  void subscribe() {
     actions_->push_back(SubscribeMembers{true});
-    ask_again_ = now_ + s_.subscribe_within * 0.5;
+    resubscribe_at_ = now_ + settings_.subscribe_within * 0.5;
   }
 
-  void renew_list() {
-    if (s_.membership_by_subscription && !subscribed_ && now_ >= ask_again_) ask_list();
+  void resubscribe_if_due() {
+    if (settings_.membership_by_subscription && !subscribed_ && now_ >= resubscribe_at_) subscribe();
   }
 
-  void take_latency(Node& node, double sample) {
+  void add_node_latency(Node& node, double sample) {
     if (node.latency <= 0) {
       node.latency = sample;
     } else {
@@ -69,57 +69,59 @@
     node.last_sample = now_;
   }
 
-  // A failure counts as an answer that took the whole patience of its attempt: a node that fails fast would
-  // else look quick, and one that often fails ranks behind one that is merely slow. Where all fail alike, the
-  // ranks stay as they are, and the least bad still gets its parts.
-  void take_failure(Node& node, const Attempt& attempt) {
-    bool bad = node.latency >= attempt.patience / 2;
-    take_latency(node, std::max(node.latency, attempt.patience));
-    if (!bad && node.latency >= attempt.patience / 2)
+  // Counts a failure as an answer that took the attempt's whole timeout, so that a node that fails fast does
+  // not look quick. Where all nodes fail alike, their order stays and the least bad one still gets parts.
+  void record_failure(Node& node, const Attempt& attempt) {
+    bool slow = node.latency >= attempt.timeout_s / 2;
+    add_node_latency(node, std::max(node.latency, attempt.timeout_s));
+    if (!slow && node.latency >= attempt.timeout_s / 2)
       log("node " + std::to_string(node.member.node) + " counts as slow: its attempts fail or stay out");
   }
 
-  void take_success(Node& node, double took) {
-    // It could not be reached time and again and now answers: take it for restarted, so cold, before the list
-    // says so. A broken connection alone proves nothing: a network that drops connections would make all
-    // nodes cold.
-    if (node.unreached >= down_unreached) {
+  void record_success(Node& node, double latency) {
+    // A node that was unreachable several times in a row is assumed to have restarted, before the member list
+    // says so. One broken connection is not enough: a lossy network would make all nodes cold.
+    if (node.failed_connects >= down_after_failed_connects) {
       node.started = std::max(node.started, now_);
       node.latency = 0;
     }
-    node.unreached = 0;
-    take_latency(node, took);
-    answer_rate_ = answer_rate() + 1 / answer_memory.count();
-    answered_at_ = now_;
+    node.failed_connects = 0;
+    add_node_latency(node, latency);
+    answer_rate_ = answer_rate() + 1 / answer_rate_memory.count();
+    answer_rate_updated_ = now_;
   }
 
-  bool cold(const Node& node) const {
-    return node.started != Time{} && now_ < node.started + s_.warm_up_time;
+  bool is_cold(const Node& node) const {
+    return node.started != Time{} && now_ < node.started + settings_.warm_up_time;
   }
 
-  // Sends a cold node may get from us in a span of the rule. The sum over all brokers counts; what warm nodes
-  // get from each adds up to what a warm node can do, so each stays within that share of its own rate.
+  // Sends that this broker may make to a cold node in a cold load window. The loads of all brokers add up,
+  // and so do their rates to a warm node; each therefore keeps to the same share of its own warm rate.
   double cold_allowance(const Node& node) const {
     double age = std::max(0.0, Duration(now_ - node.started).count());
-    double ready =
-        s_.cold_start_capacity + (1 - s_.cold_start_capacity) * std::min(1.0, age / s_.warm_up_time.count());
-    // A broker just restarted must not take its first burst for its rate.
-    double lived = std::max(now_ - born_, s_.cold_load_window).count();
-    double rate = warm_rate_ * std::exp(-Duration(now_ - warm_rate_at_).count() / rate_memory.count()) /
-                  (1 - std::exp(-lived / rate_memory.count()));
-    return std::max(1.0, cold_use * s_.cold_load_multiple * ready * rate * s_.cold_load_window.count());
+    double capacity = settings_.cold_start_capacity + (1 - settings_.cold_start_capacity) *
+                                                          std::min(1.0, age / settings_.warm_up_time.count());
+    // A broker that has just started must not take its first burst for its rate.
+    double running = std::max(now_ - running_since_, settings_.cold_load_window).count();
+    double rate =
+        warm_send_rate_ *
+        std::exp(-Duration(now_ - warm_send_rate_updated_).count() / warm_send_rate_memory.count()) /
+        (1 - std::exp(-running / warm_send_rate_memory.count()));
+    return std::max(1.0, cold_allowance_share * settings_.cold_load_multiple * capacity * rate *
+                             settings_.cold_load_window.count());
   }
 
-  // Shared out over the nodes that were warm at the time: when many restart at once, the few that are still
-  // warm must not be credited with what all of them took.
-  void note_warm_sends(double sends) {
+  // Divides by the number of nodes that are warm now: when many restart at once, the few that are still warm
+  // must not be credited with the load of all of them.
+  void count_warm_sends(double sends) {
     double warm = 0;
     for (const auto& [id, node] : nodes_)
-      if (node.member.status == NodeStatus::ready && !cold(node)) ++warm;
-    double gap = Duration(now_ - warm_rate_at_).count() / rate_memory.count();
-    warm_rate_ = warm_rate_ * std::exp(-gap) + sends / (rate_memory.count() * std::max(1.0, warm));
-    warm_rate_ = std::max(0.0, warm_rate_);
-    warm_rate_at_ = now_;
+      if (node.member.status == NodeStatus::ready && !is_cold(node)) ++warm;
+    double elapsed = Duration(now_ - warm_send_rate_updated_).count() / warm_send_rate_memory.count();
+    warm_send_rate_ =
+        warm_send_rate_ * std::exp(-elapsed) + sends / (warm_send_rate_memory.count() * std::max(1.0, warm));
+    warm_send_rate_ = std::max(0.0, warm_send_rate_);
+    warm_send_rate_updated_ = now_;
   }
 };
 
