--- a/src/benchlink/frame.cpp
+++ b/src/benchlink/frame.cpp
@@ -8,94 +8,97 @@
 namespace pearspar::benchlink {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "frames are little-endian and copied as they are");
+static_assert(std::endian::native == std::endian::little, "frames are little-endian and copied byte by byte");
 
+// Codes of the records in a batch.
 enum EventCode : std::uint8_t {
-  open_instance = 1,
-  update = 2,
-  submit = 3,
-  head_received = 4,
-  done = 5,
-  cancelled_by_client = 6,
-  bell = 7,
-  status_back = 8,
-  peer_data = 9,
-  exit_instance = 10,
-  ledger = 11,
-  switch_to = 12
+  start_instance = 1,
+  members_changed = 2,
+  arrival = 3,
+  stream_started = 4,
+  attempt_ended = 5,
+  client_disconnected = 6,
+  timer_fired = 7,
+  probe_ended = 8,
+  peer_message = 9,
+  stop_instance = 10,
+  store_members = 11,
+  select_instance = 12
 };
 
+// Codes of the records in a reply.
 enum ActionCode : std::uint8_t {
-  die = 1,
-  tell = 2,
-  probe = 3,
-  drop_conns = 4,
-  pull = 5,
-  instance_code = 6,
-  gather_up = 7,
-  timer = 8,
-  issue = 9,
-  fail = 10,
-  journal_line = 11,
-  reject = 12,
-  cancel = 13,
-  listen = 14
+  report_crash = 1,
+  send_to_peer = 2,
+  probe_node = 3,
+  drop_idle_connections = 4,
+  fetch_members = 5,
+  instance_header = 6,
+  answer_query = 7,
+  set_timer = 8,
+  send_part = 9,
+  fail_query = 10,
+  log_line = 11,
+  refuse_query = 12,
+  cancel_attempt = 13,
+  subscribe_members = 14
 };
 
-constexpr std::size_t member_size = 22;
-constexpr std::uint8_t last_slot = 15;
-constexpr std::size_t max_text = 65535;
+constexpr std::size_t member_record_size = 22;
+constexpr std::uint8_t max_list_slot = 15;
+constexpr std::size_t max_text_size = 65535;
 
+// Reads a frame field by field and throws FrameError where it ends too early.
 class Reader {
  public:
   explicit Reader(std::span<const std::uint8_t> bytes) : bytes_(bytes) {}
 
   template <typename T>
-  T take() {
-    need(sizeof(T));
+  T read() {
+    require(sizeof(T));
     T value;
-    std::memcpy(&value, bytes_.data() + at_, sizeof(T));
-    at_ += sizeof(T);
+    std::memcpy(&value, bytes_.data() + position_, sizeof(T));
+    position_ += sizeof(T);
     return value;
   }
 
-  std::string take_text(std::size_t size) {
-    need(size);
-    std::string text(reinterpret_cast<const char*>(bytes_.data()) + at_, size);
-    at_ += size;
+  std::string read_text(std::size_t size) {
+    require(size);
+    std::string text(reinterpret_cast<const char*>(bytes_.data()) + position_, size);
+    position_ += size;
     return text;
   }
 
-  Time take_time() { return Time(Duration(take_finite<double>("a time"))); }
-  Duration take_span() { return Duration(take_finite<double>("a span of time")); }
+  Time read_time() { return Time(Duration(read_finite<double>("time"))); }
+  Duration read_duration() { return Duration(read_finite<double>("duration")); }
 
   template <typename T>
-  T take_finite(const char* what) {
-    T value = take<T>();
+  T read_finite(const char* what) {
+    T value = read<T>();
     if (!std::isfinite(value)) throw FrameError(std::string(what) + " is not a finite number");
     return value;
   }
 
-  // Whole numbers that travel as f32.
-  std::int64_t take_whole(const char* what) {
-    double value = take_finite<float>(what);
+  // An integer that is sent as a 32-bit float.
+  std::int64_t read_integer(const char* what) {
+    double value = read_finite<float>(what);
     if (std::abs(value) > 4294967295.0 || value != std::floor(value))
-      throw FrameError(std::string(what) + " is not a whole number");
+      throw FrameError(std::string(what) + " is not an integer");
     return static_cast<std::int64_t>(value);
   }
 
-  std::size_t left() const { return bytes_.size() - at_; }
+  std::size_t remaining() const { return bytes_.size() - position_; }
 
  private:
-  void need(std::size_t size) const {
-    if (left() < size) throw FrameError("a record ends beyond its frame");
+  void require(std::size_t size) const {
+    if (remaining() < size) throw FrameError("record extends beyond its frame");
   }
 
   std::span<const std::uint8_t> bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
-Outcome outcome_of(std::uint16_t code) {
+Outcome to_outcome(std::uint16_t code) {
   switch (code) {
     case 0:
       return Outcome::error;
@@ -118,19 +121,19 @@
   }
 }
 
-std::vector<double> take_report(Reader& in) {
-  std::vector<double> report(in.take<std::uint8_t>());
-  for (double& value : report) value = in.take<float>();
+std::vector<double> read_report(Reader& in) {
+  std::vector<double> report(in.read<std::uint8_t>());
+  for (double& value : report) value = in.read<float>();
   return report;
 }
 
-Member take_member(Reader& in) {
+Member read_member(Reader& in) {
   Member member;
-  member.node = in.take<std::uint32_t>();
-  member.zone = in.take<std::uint8_t>();
-  member.kind = in.take<std::uint16_t>();
-  member.cell = in.take<std::uint16_t>();
-  switch (std::uint8_t status = in.take<std::uint8_t>()) {
+  member.node = in.read<std::uint32_t>();
+  member.zone = in.read<std::uint8_t>();
+  member.kind = in.read<std::uint16_t>();
+  member.cell = in.read<std::uint16_t>();
+  switch (std::uint8_t status = in.read<std::uint8_t>()) {
     case 0:
       member.status = NodeStatus::gone;
       break;
@@ -141,68 +144,69 @@
       member.status = NodeStatus::draining;
       break;
     default:
-      throw FrameError("unknown list status " + std::to_string(status));
+      throw FrameError("unknown node status " + std::to_string(status));
   }
-  member.rating = in.take_finite<float>("a rating");
-  double started = in.take_finite<double>("a start time");
+  member.rating = in.read_finite<float>("rating");
+  double started = in.read_finite<double>("start time");
   member.start_known = started != 0;
   member.started = Time(Duration(started));
   return member;
 }
 
-MemberListStored take_list(Reader& in) {
+MemberListStored read_member_list(Reader& in) {
   MemberListStored list;
-  list.slot = in.take<std::uint8_t>();
-  if (list.slot > last_slot) throw FrameError("list number " + std::to_string(list.slot) + " is over 15");
-  std::uint32_t count = in.take<std::uint32_t>();
-  if (in.left() / member_size < count) throw FrameError("a list is longer than its frame");
+  list.slot = in.read<std::uint8_t>();
+  if (list.slot > max_list_slot)
+    throw FrameError("member list number " + std::to_string(list.slot) + " is above 15");
+  std::uint32_t count = in.read<std::uint32_t>();
+  if (in.remaining() / member_record_size < count) throw FrameError("member list is longer than its frame");
   auto members = std::make_shared<std::vector<Member>>();
   members->reserve(count);
-  for (std::uint32_t i = 0; i < count; ++i) members->push_back(take_member(in));
+  for (std::uint32_t i = 0; i < count; ++i) members->push_back(read_member(in));
   list.members = std::move(members);
   return list;
 }
 
-MemberListChanged take_news(Reader& in) {
-  MemberListChanged news;
-  switch (std::uint8_t form = in.take<std::uint8_t>()) {
+MemberListChanged read_members_changed(Reader& in) {
+  MemberListChanged changed;
+  switch (std::uint8_t form = in.read<std::uint8_t>()) {
     case 0:
-      news.form = MemberListForm::delta;
+      changed.form = MemberListForm::delta;
       break;
     case 1:
-      news.form = MemberListForm::full;
+      changed.form = MemberListForm::full;
       break;
     case 2:
-      news.form = MemberListForm::saved;
+      changed.form = MemberListForm::saved;
       break;
     case 3:
-      news.form = MemberListForm::failed;
+      changed.form = MemberListForm::failed;
       break;
     default:
-      throw FrameError("unknown form of list " + std::to_string(form));
+      throw FrameError("unknown member list form " + std::to_string(form));
   }
-  news.version = in.take<std::uint32_t>();
-  news.slot = in.take<std::uint8_t>();
-  return news;
+  changed.version = in.read<std::uint32_t>();
+  changed.slot = in.read<std::uint8_t>();
+  return changed;
 }
 
-Event take_submit(Reader& in) {
-  std::uint32_t job = in.take<std::uint32_t>();
-  int cls = in.take<std::uint16_t>();
-  auto tenant = static_cast<std::int32_t>(in.take<std::uint32_t>());
-  std::uint64_t key = in.take<std::uint64_t>();
-  Time deadline = in.take_time();
-  Duration cost = Duration(in.take<double>());
-  std::int64_t ordinal = in.take_whole("a query number");
-  std::int64_t shard = in.take_whole("a shard");
-  double amount = in.take_finite<float>("an amount");
-  std::uint16_t options = in.take<std::uint16_t>();
+Event read_arrival(Reader& in) {
+  std::uint32_t id = in.read<std::uint32_t>();
+  int cls = in.read<std::uint16_t>();
+  auto tenant = static_cast<std::int32_t>(in.read<std::uint32_t>());
+  std::uint64_t key = in.read<std::uint64_t>();
+  Time deadline = in.read_time();
+  Duration cost = Duration(in.read<double>());
+  std::int64_t ordinal = in.read_integer("query ordinal");
+  std::int64_t shard = in.read_integer("shard");
+  double amount = in.read_finite<float>("amount");
+  std::uint16_t options = in.read<std::uint16_t>();
   bool cost_known = (options & 1) != 0 && std::isfinite(cost.count());
-  if (ordinal < 0) throw FrameError("a query number is negative");
+  if (ordinal < 0) throw FrameError("query ordinal is negative");
   if (shard < 0) {
-    if (amount < 0 || amount > 1e9) throw FrameError("a query's count of parts is out of range");
+    if (amount < 0 || amount > 1e9) throw FrameError("number of parts is out of range");
     QueryArrived query;
-    query.query = job;
+    query.query = id;
     query.ordinal = static_cast<std::uint32_t>(ordinal);
     query.cls = cls;
     query.tenant = tenant;
@@ -215,9 +219,9 @@
     query.write = (options & 4) != 0;
     return query;
   }
-  if (shard > 0x7fffffff) throw FrameError("a shard is out of range");
+  if (shard > 0x7fffffff) throw FrameError("shard is out of range");
   PartArrived part;
-  part.part = job;
+  part.part = id;
   part.ordinal = static_cast<std::uint32_t>(ordinal);
   part.shard = static_cast<int>(shard);
   part.weight = amount;
@@ -227,69 +231,69 @@
   return part;
 }
 
-Event take_done(Reader& in) {
+Event read_attempt_ended(Reader& in) {
   AttemptEnded ended;
-  ended.part = in.take<std::uint32_t>();
-  ended.node = in.take<std::uint32_t>();
-  ended.took = in.take_span();
-  ended.outcome = outcome_of(in.take<std::uint16_t>());
-  ended.part_open = in.take<std::uint8_t>() == 0;  // `closed`: false while the part is still open
-  ended.attempt = in.take<std::uint8_t>();
-  ended.report = take_report(in);
+  ended.part = in.read<std::uint32_t>();
+  ended.node = in.read<std::uint32_t>();
+  ended.took = in.read_duration();
+  ended.outcome = to_outcome(in.read<std::uint16_t>());
+  ended.part_open = in.read<std::uint8_t>() == 0;  // the frame holds whether it is closed
+  ended.attempt = in.read<std::uint8_t>();
+  ended.report = read_report(in);
   return ended;
 }
 
-Event take_status(Reader& in) {
+Event read_probe_ended(Reader& in) {
   ProbeEnded ended;
-  ended.took = in.take_span();
-  ended.outcome = outcome_of(in.take<std::uint16_t>());
-  ended.node = in.take<std::uint32_t>();
-  ended.report = take_report(in);
+  ended.took = in.read_duration();
+  ended.outcome = to_outcome(in.read<std::uint16_t>());
+  ended.node = in.read<std::uint32_t>();
+  ended.report = read_report(in);
   return ended;
 }
 
-Event take_head(Reader& in) {
+Event read_stream_started(Reader& in) {
   StreamStarted started;
-  started.part = in.take<std::uint32_t>();
-  started.attempt = in.take<std::uint8_t>();
-  started.node = in.take<std::uint32_t>();
-  started.took = in.take_span();
+  started.part = in.read<std::uint32_t>();
+  started.attempt = in.read<std::uint8_t>();
+  started.node = in.read<std::uint32_t>();
+  started.took = in.read_duration();
   return started;
 }
 
-Record take_record(Reader& in) {
-  switch (std::uint8_t code = in.take<std::uint8_t>()) {
-    case switch_to:
-      return InstanceSelected{in.take<std::uint32_t>()};
-    case open_instance: {
+Record read_record(Reader& in) {
+  switch (std::uint8_t code = in.read<std::uint8_t>()) {
+    case select_instance:
+      return InstanceSelected{in.read<std::uint32_t>()};
+    case start_instance: {
       InstanceStarted opened;
-      opened.seed = in.take<std::uint64_t>();
-      opened.settings = in.take_text(in.take<std::uint32_t>());
+      opened.seed = in.read<std::uint64_t>();
+      opened.settings = in.read_text(in.read<std::uint32_t>());
       return opened;
     }
-    case ledger:
-      return take_list(in);
-    case update:
-      return take_news(in);
-    case submit:
-      return take_submit(in);
-    case head_received:
-      return take_head(in);
-    case done:
-      return take_done(in);
-    case cancelled_by_client:
-      return Event(ClientDisconnected{in.take<std::uint32_t>()});
-    case bell:
-      return Event(TimerFired{in.take<std::uint64_t>()});
-    case status_back:
-      return take_status(in);
-    case peer_data: {
+    case store_members:
+      return read_member_list(in);
+    case members_changed:
+      return read_members_changed(in);
+    case arrival:
+      return read_arrival(in);
+    case stream_started:
+      return read_stream_started(in);
+    case attempt_ended:
+      return read_attempt_ended(in);
+    case client_disconnected:
+      return Event(ClientDisconnected{in.read<std::uint32_t>()});
+    case timer_fired:
+      return Event(TimerFired{in.read<std::uint64_t>()});
+    case probe_ended:
+      return read_probe_ended(in);
+    case peer_message: {
       PeerMessage message;
-      message.from = in.take<std::uint32_t>();
-      message.payload = in.take_text(in.take<std::uint16_t>());
+      message.from = in.read<std::uint32_t>();
+      message.payload = in.read_text(in.read<std::uint16_t>());
       return Event(std::move(message));
     }
-    case exit_instance:
+    case stop_instance:
       return InstanceStopped{};
     default:
       throw FrameError("unknown record code " + std::to_string(code));
@@ -305,67 +309,68 @@
 
 void put_code(Bytes& out, ActionCode code) { put(out, static_cast<std::uint8_t>(code)); }
 
-// Longer texts are cut, at the start of a character.
+// Cuts longer texts, at the start of a UTF-8 character.
 void put_text(Bytes& out, const std::string& text) {
-  std::size_t size = std::min(text.size(), max_text);
+  std::size_t size = std::min(text.size(), max_text_size);
   while (size < text.size() && size > 0 && (static_cast<unsigned char>(text[size]) & 0xc0) == 0x80) --size;
   put(out, static_cast<std::uint16_t>(size));
   out.insert(out.end(), text.begin(), text.begin() + static_cast<std::ptrdiff_t>(size));
 }
 
+// Appends one action to a reply.
 struct Encoder {
   Bytes& out;
 
   void operator()(const SendPart& a) const {
-    put_code(out, issue);
+    put_code(out, send_part);
     put(out, a.part);
     put(out, a.node);
     put(out, a.max_wait.count());
   }
   void operator()(const CancelAttempt& a) const {
-    put_code(out, cancel);
+    put_code(out, cancel_attempt);
     put(out, a.part);
     put(out, static_cast<std::uint8_t>(a.attempt));
   }
   void operator()(const AnswerQuery& a) const {
-    put_code(out, gather_up);
+    put_code(out, answer_query);
     put(out, a.query);
     put(out, static_cast<std::uint8_t>(a.whole ? 1 : 0));
   }
   void operator()(const RefuseQuery& a) const {
-    put_code(out, reject);
+    put_code(out, refuse_query);
     put(out, a.query);
     put(out, a.retry_after.count());
   }
   void operator()(const FailQuery& a) const {
-    put_code(out, fail);
+    put_code(out, fail_query);
     put(out, a.query);
   }
   void operator()(const ProbeNode& a) const {
-    put_code(out, probe);
+    put_code(out, probe_node);
     put(out, a.node);
   }
   void operator()(const SendToPeer& a) const {
-    put_code(out, tell);
+    put_code(out, send_to_peer);
     put(out, a.to);
     put_text(out, a.payload);
   }
-  void operator()(const FetchMembers&) const { put_code(out, pull); }
+  void operator()(const FetchMembers&) const { put_code(out, fetch_members); }
   void operator()(const SubscribeMembers& a) const {
-    put_code(out, listen);
+    put_code(out, subscribe_members);
     put(out, static_cast<std::uint8_t>(a.on ? 1 : 0));
   }
   void operator()(const SetTimer& a) const {
-    put_code(out, timer);
+    put_code(out, set_timer);
     put(out, a.after.count());
     put(out, a.token);
   }
   void operator()(const DropIdleConnections& a) const {
-    put_code(out, drop_conns);
+    put_code(out, drop_idle_connections);
     put(out, a.node);
   }
   void operator()(const LogLine& a) const {
-    put_code(out, journal_line);
+    put_code(out, log_line);
     put_text(out, a.text);
   }
 };
@@ -373,28 +378,29 @@
 }  // namespace
 
 std::size_t declared_frame_size(std::span<const std::uint8_t> header) {
-  std::uint32_t size = Reader(header).take<std::uint32_t>();
-  if (size < batch_header_size) throw FrameError("a frame states a length shorter than its header");
-  if (size > max_frame_size) throw FrameError("a frame states a length of over 1 GiB");
+  std::uint32_t size = Reader(header).read<std::uint32_t>();
+  if (size < batch_header_size) throw FrameError("frame length is shorter than its header");
+  if (size > max_frame_size) throw FrameError("frame length is over 1 GiB");
   return size;
 }
 
 Batch decode_batch(std::span<const std::uint8_t> frame) {
-  if (declared_frame_size(frame) != frame.size()) throw FrameError("a frame is not as long as it states");
+  if (declared_frame_size(frame) != frame.size())
+    throw FrameError("frame size differs from the length in its header");
   Reader in(frame);
-  in.take<std::uint32_t>();
+  in.read<std::uint32_t>();
   Batch batch;
-  batch.now = in.take_time();
-  std::uint32_t count = in.take<std::uint32_t>();
-  if (count > in.left()) throw FrameError("a frame states more records than it has bytes");
+  batch.now = in.read_time();
+  std::uint32_t count = in.read<std::uint32_t>();
+  if (count > in.remaining()) throw FrameError("frame has more records than bytes");
   batch.records.reserve(count);
-  for (std::uint32_t i = 0; i < count; ++i) batch.records.push_back(take_record(in));
-  if (in.left() != 0) throw FrameError("a frame has bytes behind its last record");
+  for (std::uint32_t i = 0; i < count; ++i) batch.records.push_back(read_record(in));
+  if (in.remaining() != 0) throw FrameError("frame has bytes after its last record");
   return batch;
 }
 
 void ReplyWriter::begin_instance(std::uint32_t number) {
-  put_code(body_, instance_code);
+  put_code(body_, instance_header);
   put(body_, number);
   ++records_;
 }
@@ -405,7 +411,7 @@
 }
 
 void ReplyWriter::add_crash(const std::string& text) {
-  put_code(body_, die);
+  put_code(body_, report_crash);
   put_text(body_, text);
   ++records_;
 }
--- a/src/benchlink/frame.h
+++ b/src/benchlink/frame.h
@@ -1,5 +1,5 @@
-// The bench's frames: records of a batch decoded into interface events, actions encoded into a reply.
-// Everything that knows codes, offsets and the wire's words is in frame.cpp and settings.cpp.
+// The simulator's frame format: decodes the records of a batch into events of the decision module and encodes
+// its actions into a reply. All record codes and offsets are in frame.cpp.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace pearspar::benchlink {
 
-// What cannot be read as the wire slot says; the text is one plain line.
+// A frame that does not follow the format. The message is a single line.
 class FrameError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -26,6 +26,7 @@
 inline constexpr std::size_t batch_header_size = 16;
 inline constexpr std::size_t max_frame_size = std::size_t{1} << 30;
 
+// The records that follow are for this instance.
 struct InstanceSelected {
   std::uint32_t instance = 0;
 };
@@ -33,10 +34,12 @@
   std::uint64_t seed = 0;
   std::string settings;
 };
+// A member list that MemberListChanged records may refer to by its slot.
 struct MemberListStored {
   std::uint8_t slot = 0;
   MemberList members;
 };
+// The selected instance's member list has changed to the one in the slot.
 struct MemberListChanged {
   MemberListForm form = MemberListForm::delta;
   std::uint32_t version = 0;
@@ -52,15 +55,18 @@
   std::vector<Record> records;
 };
 
-// The whole frame's length as its header states it; throws where no frame can be so long.
+// Returns the frame's length, header included, from its header; throws FrameError if it is out of range.
 std::size_t declared_frame_size(std::span<const std::uint8_t> header);
+// Throws FrameError.
 Batch decode_batch(std::span<const std::uint8_t> frame);
 
+// Encodes a reply record by record.
 class ReplyWriter {
  public:
+  // The actions that follow are of this instance.
   void begin_instance(std::uint32_t number);
   void add_action(const Action& action);
-  // The module has thrown: the bench is to show `text` and stop.
+  // The decision module has thrown: the simulator shows `text` and stops.
   void add_crash(const std::string& text);
   Bytes finish() const;
 
--- a/src/benchlink/host.cpp
+++ b/src/benchlink/host.cpp
@@ -7,7 +7,7 @@
 namespace pearspar::benchlink {
 namespace {
 
-Settings settings_of(const std::string& text) {
+Settings parse_settings(const std::string& text) {
   try {
     return settings::read_settings(settings::values_of_lines(text));
   } catch (const settings::SettingsError& error) {
@@ -17,41 +17,41 @@
 
 }  // namespace
 
-Host::Instance& Host::open_instance(std::uint32_t number) {
+Host::Instance& Host::find_instance(std::uint32_t number) {
   auto found = instances_.find(number);
   if (found == instances_.end())
-    throw FrameError("an event for instance " + std::to_string(number) + ", which is not open");
+    throw FrameError("event for instance " + std::to_string(number) + ", which is not open");
   return found->second;
 }
 
-void Host::take(std::uint32_t number, Record& record) {
-  if (auto* opened = std::get_if<InstanceStarted>(&record)) {
+void Host::apply_record(std::uint32_t number, Record& record) {
+  if (auto* started = std::get_if<InstanceStarted>(&record)) {
     if (instances_.count(number) != 0)
-      throw FrameError("instance " + std::to_string(number) + " is opened while it is open");
-    Settings settings = settings_of(opened->settings);
+      throw FrameError("instance " + std::to_string(number) + " is already open");
+    Settings settings = parse_settings(started->settings);
     Instance& instance = instances_[number];
-    instance.classes = static_cast<int>(settings.classes.size());
-    instance.policy = make_policy(settings, opened->seed);
+    instance.class_count = static_cast<int>(settings.classes.size());
+    instance.policy = make_policy(settings, started->seed);
   } else if (std::get_if<InstanceStopped>(&record)) {
-    open_instance(number);
+    find_instance(number);
     instances_.erase(number);
-  } else if (auto* news = std::get_if<MemberListChanged>(&record)) {
-    MembersChanged changed{news->form, news->version, nullptr};
-    if (news->form != MemberListForm::failed) {
-      if (news->slot >= lists_.size() || !lists_[news->slot])
-        throw FrameError("a list is named by number " + std::to_string(news->slot) + ", which holds none");
-      changed.members = lists_[news->slot];
+  } else if (auto* change = std::get_if<MemberListChanged>(&record)) {
+    MembersChanged changed{change->form, change->version, nullptr};
+    if (change->form != MemberListForm::failed) {
+      if (change->slot >= member_lists_.size() || !member_lists_[change->slot])
+        throw FrameError("member list number " + std::to_string(change->slot) + " is not stored");
+      changed.members = member_lists_[change->slot];
     }
-    open_instance(number).events.emplace_back(std::move(changed));
+    find_instance(number).events.emplace_back(std::move(changed));
   } else {
-    take_event(number, std::get<Event>(record));
+    add_event(number, std::get<Event>(record));
   }
 }
 
-void Host::take_event(std::uint32_t number, Event& event) {
-  Instance& instance = open_instance(number);
-  if (auto* query = std::get_if<QueryArrived>(&event); query && query->cls >= instance.classes)
-    throw FrameError("a query of class " + std::to_string(query->cls) + ", which the settings do not hold");
+void Host::add_event(std::uint32_t number, Event& event) {
+  Instance& instance = find_instance(number);
+  if (auto* query = std::get_if<QueryArrived>(&event); query && query->cls >= instance.class_count)
+    throw FrameError("query class " + std::to_string(query->cls) + " is not in the settings");
   instance.events.push_back(std::move(event));
 }
 
@@ -59,14 +59,14 @@
   Batch batch = decode_batch(frame);
   std::optional<std::uint32_t> current;
   for (Record& record : batch.records) {
-    if (auto* named = std::get_if<InstanceSelected>(&record)) {
-      current = named->instance;
-    } else if (auto* kept = std::get_if<MemberListStored>(&record)) {
-      lists_[kept->slot] = kept->members;
+    if (auto* selected = std::get_if<InstanceSelected>(&record)) {
+      current = selected->instance;
+    } else if (auto* stored = std::get_if<MemberListStored>(&record)) {
+      member_lists_[stored->slot] = stored->members;
     } else if (!current) {
-      throw FrameError("a record for an instance before any instance is named");
+      throw FrameError("record for an instance before any instance is selected");
     } else {
-      take(*current, record);
+      apply_record(*current, record);
     }
   }
   ReplyWriter reply;
--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,4 +1,5 @@
-// pearspar_benchlink: frames on standard input, replies on standard output, until input ends.
+// pearspar_benchlink: runs the decision module for a simulator. Reads frames from standard input and writes
+// replies to standard output until input ends.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -10,19 +11,19 @@
 using pearspar::benchlink::Bytes;
 using pearspar::benchlink::FrameError;
 
-// Grows in steps, so that a false length in a broken frame does not claim its memory at once.
-constexpr std::size_t read_step = std::size_t{1} << 20;
+// Buffers grow in steps, so that a wrong length in a frame does not allocate that much memory at once.
+constexpr std::size_t read_chunk_bytes = std::size_t{1} << 20;
 
-// Reads until `frame` is `size` long; false where the input ended before the frame's first byte.
-bool read_to(Bytes& frame, std::size_t size) {
+// Reads until `frame` has `size` bytes. Returns false if the input ended before the frame's first byte.
+bool read_until(Bytes& frame, std::size_t size) {
   while (frame.size() < size) {
-    std::size_t had = frame.size();
-    frame.resize(std::min(size, had + read_step));
-    std::size_t got = std::fread(frame.data() + had, 1, frame.size() - had, stdin);
-    frame.resize(had + got);
-    if (got == 0 && std::ferror(stdin)) throw FrameError("standard input cannot be read");
-    if (got == 0 && frame.empty()) return false;
-    if (got == 0) throw FrameError("input ends within a frame");
+    std::size_t old_size = frame.size();
+    frame.resize(std::min(size, old_size + read_chunk_bytes));
+    std::size_t count = std::fread(frame.data() + old_size, 1, frame.size() - old_size, stdin);
+    frame.resize(old_size + count);
+    if (count == 0 && std::ferror(stdin)) throw FrameError("standard input cannot be read");
+    if (count == 0 && frame.empty()) return false;
+    if (count == 0) throw FrameError("input ends within a frame");
   }
   return true;
 }
@@ -31,8 +32,8 @@
   using namespace pearspar::benchlink;
   Host host;
   Bytes frame;
-  while (frame.clear(), read_to(frame, batch_header_size)) {
-    read_to(frame, declared_frame_size(frame));
+  while (frame.clear(), read_until(frame, batch_header_size)) {
+    read_until(frame, declared_frame_size(frame));
     Bytes reply = host.handle_frame(frame);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
       throw FrameError("standard output cannot be written");
