--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the frame codec on fixed byte sequences, and of the settings in text form.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,12 +11,12 @@
 namespace pearspar::benchlink {
 namespace {
 
-Settings settings_of(const std::string& text) {
+Settings parse_settings(const std::string& text) {
   return settings::read_settings(settings::values_of_lines(text));
 }
 
-// Hex as the wire page prints it, spaces and line breaks left in.
-Bytes bytes_of(const std::string& hex) {
+// Bytes from hexadecimal digits; other characters are ignored.
+Bytes parse_hex(const std::string& hex) {
   Bytes bytes;
   std::string digits;
   for (char c : hex)
@@ -25,8 +26,8 @@
   return bytes;
 }
 
-Bytes frame_of(const std::string& records, std::uint32_t count) {
-  Bytes body = bytes_of(records);
+Bytes make_frame(const std::string& records, std::uint32_t count) {
+  Bytes body = parse_hex(records);
   Bytes frame(body.size() + 16);
   auto size = static_cast<std::uint32_t>(frame.size());
   double now = 9.5;
@@ -39,37 +40,37 @@
 
 template <typename T>
 T only_event(const std::string& record) {
-  Batch batch = decode_batch(frame_of(record, 1));
+  Batch batch = decode_batch(make_frame(record, 1));
   return std::get<T>(std::get<Event>(batch.records.at(0)));
 }
 
-Bytes records_of(const Action& action) {
+Bytes encode_action(const Action& action) {
   ReplyWriter reply;
   reply.add_action(action);
   Bytes bytes = reply.finish();
   return Bytes(bytes.begin() + 8, bytes.end());
 }
 
-double seconds(const std::string& hex) {
-  Bytes bytes = bytes_of(hex);
+double parse_double(const std::string& hex) {
+  Bytes bytes = parse_hex(hex);
   double value;
   std::memcpy(&value, bytes.data(), 8);
   return value;
 }
 
-TEST(Codec, EmptyBatchAndItsReply) {
-  Batch batch = decode_batch(bytes_of("10000000 508d976e12d32040 00000000"));
-  EXPECT_DOUBLE_EQ(batch.now.time_since_epoch().count(), seconds("508d976e12d32040"));
+TEST(Codec, EmptyBatchAndReply) {
+  Batch batch = decode_batch(parse_hex("10000000 508d976e12d32040 00000000"));
+  EXPECT_DOUBLE_EQ(batch.now.time_since_epoch().count(), parse_double("508d976e12d32040"));
   EXPECT_TRUE(batch.records.empty());
-  EXPECT_EQ(ReplyWriter().finish(), bytes_of("00000000 08000000"));
+  EXPECT_EQ(ReplyWriter().finish(), parse_hex("00000000 08000000"));
 }
 
-TEST(Codec, PrintedBatchForTwoInstances) {
+TEST(Codec, BatchForTwoInstances) {
   Batch batch =
-      decode_batch(bytes_of("59000000 508d976e12d32040 05000000 0c 03000000"
-                            "03 c4913a5d 0000 00000000 640ad2557c3bf091 cba145b6f34d2140 fa7e6abc7493883f "
-                            "00005643 00000000 0000003e 0100"
-                            "07 4d00000000000000 0c 05000000 06 192b6f0e"));
+      decode_batch(parse_hex("59000000 508d976e12d32040 05000000 0c 03000000"
+                             "03 c4913a5d 0000 00000000 640ad2557c3bf091 cba145b6f34d2140 fa7e6abc7493883f "
+                             "00005643 00000000 0000003e 0100"
+                             "07 4d00000000000000 0c 05000000 06 192b6f0e"));
   ASSERT_EQ(batch.records.size(), 5u);
   EXPECT_EQ(std::get<InstanceSelected>(batch.records[0]).instance, 3u);
   auto part = std::get<PartArrived>(std::get<Event>(batch.records[1]));
@@ -79,47 +80,47 @@
   EXPECT_DOUBLE_EQ(part.weight, 0.125);
   EXPECT_EQ(part.key, 0x91f03b7c55d20a64u);
   EXPECT_TRUE(part.cost_known);
-  EXPECT_DOUBLE_EQ(part.cost.count(), seconds("fa7e6abc7493883f"));
+  EXPECT_DOUBLE_EQ(part.cost.count(), parse_double("fa7e6abc7493883f"));
   EXPECT_EQ(std::get<TimerFired>(std::get<Event>(batch.records[2])).token, 77u);
   EXPECT_EQ(std::get<InstanceSelected>(batch.records[3]).instance, 5u);
   EXPECT_EQ(std::get<ClientDisconnected>(std::get<Event>(batch.records[4])).query, 0x0e6f2b19u);
 }
 
-TEST(Codec, PrintedReply) {
+TEST(Codec, ReplyForTwoInstances) {
   ReplyWriter reply;
   reply.begin_instance(3);
-  reply.add_action(SendPart{0x5d3a91c4, 0x03124a07, Duration(seconds("7b14ae47e17ab43f"))});
+  reply.add_action(SendPart{0x5d3a91c4, 0x03124a07, Duration(parse_double("7b14ae47e17ab43f"))});
   reply.add_action(SetTimer{Duration(0.5), 77});
   reply.begin_instance(5);
   reply.add_action(LogLine{"two servers known"});
-  EXPECT_EQ(reply.finish(), bytes_of("05000000 48000000 06 03000000 09 c4913a5d 074a1203 7b14ae47e17ab43f"
-                                     "08 000000000000e03f 4d00000000000000 06 05000000"
-                                     "0b 1100 74776f2073657276657273206b6e6f776e"));
+  EXPECT_EQ(reply.finish(), parse_hex("05000000 48000000 06 03000000 09 c4913a5d 074a1203 7b14ae47e17ab43f"
+                                      "08 000000000000e03f 4d00000000000000 06 05000000"
+                                      "0b 1100 74776f2073657276657273206b6e6f776e"));
 }
 
-TEST(Codec, EachPrintedAction) {
-  EXPECT_EQ(records_of(AnswerQuery{0x0e6f2b19, true}), bytes_of("07 192b6f0e 01"));
-  EXPECT_EQ(records_of(SendToPeer{0xffffffff, "hi 7"}), bytes_of("02 ffffffff 0400 68692037"));
-  EXPECT_EQ(records_of(FetchMembers{}), bytes_of("05"));
-  EXPECT_EQ(records_of(CancelAttempt{0x5d3a91c4, 0}), bytes_of("0d c4913a5d 00"));
-  EXPECT_EQ(records_of(FailQuery{0x0e6f2b19}), bytes_of("0a 192b6f0e"));
-  EXPECT_EQ(records_of(ProbeNode{0x2c9011f2}), bytes_of("03 f211902c"));
-  EXPECT_EQ(records_of(RefuseQuery{0x0e6f2b19, Duration(seconds("000000000000d03f"))}),
-            bytes_of("0c 192b6f0e 000000000000d03f"));
-  EXPECT_EQ(records_of(SubscribeMembers{true}), bytes_of("0e 01"));
-  EXPECT_EQ(records_of(DropIdleConnections{0x2c9011f2}), bytes_of("04 f211902c"));
+TEST(Codec, EveryAction) {
+  EXPECT_EQ(encode_action(AnswerQuery{0x0e6f2b19, true}), parse_hex("07 192b6f0e 01"));
+  EXPECT_EQ(encode_action(SendToPeer{0xffffffff, "hi 7"}), parse_hex("02 ffffffff 0400 68692037"));
+  EXPECT_EQ(encode_action(FetchMembers{}), parse_hex("05"));
+  EXPECT_EQ(encode_action(CancelAttempt{0x5d3a91c4, 0}), parse_hex("0d c4913a5d 00"));
+  EXPECT_EQ(encode_action(FailQuery{0x0e6f2b19}), parse_hex("0a 192b6f0e"));
+  EXPECT_EQ(encode_action(ProbeNode{0x2c9011f2}), parse_hex("03 f211902c"));
+  EXPECT_EQ(encode_action(RefuseQuery{0x0e6f2b19, Duration(parse_double("000000000000d03f"))}),
+            parse_hex("0c 192b6f0e 000000000000d03f"));
+  EXPECT_EQ(encode_action(SubscribeMembers{true}), parse_hex("0e 01"));
+  EXPECT_EQ(encode_action(DropIdleConnections{0x2c9011f2}), parse_hex("04 f211902c"));
   ReplyWriter crash;
   crash.add_crash("index out of range");
   Bytes reply = crash.finish();
-  EXPECT_EQ(Bytes(reply.begin() + 8, reply.end()), bytes_of("01 1200 696e646578206f7574206f662072616e6765"));
+  EXPECT_EQ(Bytes(reply.begin() + 8, reply.end()), parse_hex("01 1200 696e646578206f7574206f662072616e6765"));
 }
 
-TEST(Codec, EachPrintedEvent) {
+TEST(Codec, EveryEvent) {
   Batch batch =
-      decode_batch(frame_of("0b 00 02000000 074a1203 00 0000 0000 01 0000803f 0000000000000000"
-                            "f211902c 01 0000 0000 01 0000c03f 6666666666661840"
-                            "02 02 29000000 00",
-                            2));
+      decode_batch(make_frame("0b 00 02000000 074a1203 00 0000 0000 01 0000803f 0000000000000000"
+                              "f211902c 01 0000 0000 01 0000c03f 6666666666661840"
+                              "02 02 29000000 00",
+                              2));
   auto list = std::get<MemberListStored>(batch.records[0]);
   ASSERT_EQ(list.members->size(), 2u);
   EXPECT_EQ(list.members->at(0).node, 0x03124a07u);
@@ -129,9 +130,9 @@
   EXPECT_DOUBLE_EQ(list.members->at(1).rating, 1.5);
   EXPECT_TRUE(list.members->at(1).start_known);
   EXPECT_DOUBLE_EQ(list.members->at(1).started.time_since_epoch().count(), 6.1);
-  auto news = std::get<MemberListChanged>(batch.records[1]);
-  EXPECT_EQ(news.form, MemberListForm::saved);
-  EXPECT_EQ(news.version, 41u);
+  auto changed = std::get<MemberListChanged>(batch.records[1]);
+  EXPECT_EQ(changed.form, MemberListForm::saved);
+  EXPECT_EQ(changed.version, 41u);
 
   auto head = only_event<StreamStarted>("04 c4913a5d 00 074a1203 8b6ce7fba9f1823f");
   EXPECT_EQ(head.node, 0x03124a07u);
@@ -148,7 +149,7 @@
   EXPECT_TRUE(done.report.empty());
 }
 
-TEST(Codec, WholeQueryHasANegativeShard) {
+TEST(Codec, NegativeShardIsAQuery) {
   auto query = only_event<QueryArrived>(
       "03 01000000 0100 02000000 0000000000000000 0000000000002440 0000000000000000 0000803f 000080bf "
       "00008040 0600");
@@ -161,24 +162,24 @@
   EXPECT_TRUE(query.write);
 }
 
-TEST(Codec, MalformedFramesAreNamed) {
-  Bytes good = frame_of("07 4d00000000000000", 1);
+TEST(Codec, MalformedFramesThrow) {
+  Bytes good = make_frame("07 4d00000000000000", 1);
   EXPECT_NO_THROW(decode_batch(good));
   for (std::size_t size = 4; size < good.size(); ++size)
     EXPECT_THROW(decode_batch(std::span(good).first(size)), FrameError) << size;
-  EXPECT_THROW(decode_batch(frame_of("07 4d00000000000000 00", 1)), FrameError);  // bytes left over
-  EXPECT_THROW(decode_batch(frame_of("07 4d000000000000", 1)), FrameError);       // record cut short
-  EXPECT_THROW(decode_batch(frame_of("63", 1)), FrameError);                      // unknown code
-  EXPECT_THROW(decode_batch(frame_of("0b 00 ffffffff", 1)), FrameError);          // list too long
-  EXPECT_THROW(decode_batch(frame_of("0b 10 00000000", 1)), FrameError);          // list number over 15
-  EXPECT_THROW(decode_batch(frame_of("02 09 01000000 00", 1)), FrameError);       // unknown list form
-  EXPECT_THROW(decode_batch(frame_of("08 c7bab88d06f0563f 6300 f211902c 00", 1)), FrameError);
+  EXPECT_THROW(decode_batch(make_frame("07 4d00000000000000 00", 1)), FrameError);  // bytes left over
+  EXPECT_THROW(decode_batch(make_frame("07 4d000000000000", 1)), FrameError);       // record cut short
+  EXPECT_THROW(decode_batch(make_frame("63", 1)), FrameError);                      // unknown code
+  EXPECT_THROW(decode_batch(make_frame("0b 00 ffffffff", 1)), FrameError);          // member list too long
+  EXPECT_THROW(decode_batch(make_frame("0b 10 00000000", 1)), FrameError);     // member list number above 15
+  EXPECT_THROW(decode_batch(make_frame("02 09 01000000 00", 1)), FrameError);  // unknown member list form
+  EXPECT_THROW(decode_batch(make_frame("08 c7bab88d06f0563f 6300 f211902c 00", 1)), FrameError);
   Bytes huge = good;
   huge[3] = 0xff;
   EXPECT_THROW(declared_frame_size(huge), FrameError);
 }
 
-TEST(SettingsText, ReadsWhatItNeedsAndIgnoresTheRest) {
+TEST(SettingsText, IgnoresUnknownSettings) {
   const std::string text =
       "balancers=2\nme=1\nzone=1\nclasses.count=1\nclasses.0.aim_s=2.0\nclasses.0.give_up_s=4.0\n"
       "classes.0.dedup_window_s=5.0\nclasses.0.effect=dedup\nclasses.0.late_worth=0.3\nclasses.0.name=x\n"
@@ -190,7 +191,7 @@
       "1\n"
       "specifics.parts_a_call=8\nspecifics.sets=4\nspecifics.slabs=16\nspecifics.whole_at=0.9\n"
       "stats.fields=throughput,strange\nstats.source=piggyback\nweights=live\nno.such.key=whatever\n";
-  Settings s = settings_of(text);
+  Settings s = parse_settings(text);
   EXPECT_EQ(s.broker_index, 1);
   EXPECT_EQ(s.classes.at(0).idempotency, Idempotency::deduplicated);
   EXPECT_EQ(s.classes.at(0).fetch_parts, 2);
@@ -206,14 +207,14 @@
   EXPECT_EQ(s.report_fields[0], ReportField::throughput);
   EXPECT_EQ(s.report_fields[1], ReportField::unknown);
 
-  EXPECT_THROW(settings_of(""), settings::SettingsError);
-  EXPECT_THROW(settings_of("no equals sign"), settings::SettingsError);
-  EXPECT_THROW(settings_of("me=1"), settings::SettingsError);
-  EXPECT_THROW(settings_of(text + "me=x\n"), settings::SettingsError);
-  EXPECT_THROW(settings_of(text + "classes.0.effect=strange\n"), settings::SettingsError);
-  EXPECT_THROW(settings_of(text + "classes.count=2\n"), settings::SettingsError);
-  EXPECT_THROW(settings_of(text + "limits.cancel=maybe\n"), settings::SettingsError);
-  EXPECT_THROW(settings_of(text + "specifics.sets=0\n"), settings::SettingsError);
+  EXPECT_THROW(parse_settings(""), settings::SettingsError);
+  EXPECT_THROW(parse_settings("no equals sign"), settings::SettingsError);
+  EXPECT_THROW(parse_settings("me=1"), settings::SettingsError);
+  EXPECT_THROW(parse_settings(text + "me=x\n"), settings::SettingsError);
+  EXPECT_THROW(parse_settings(text + "classes.0.effect=strange\n"), settings::SettingsError);
+  EXPECT_THROW(parse_settings(text + "classes.count=2\n"), settings::SettingsError);
+  EXPECT_THROW(parse_settings(text + "limits.cancel=maybe\n"), settings::SettingsError);
+  EXPECT_THROW(parse_settings(text + "specifics.sets=0\n"), settings::SettingsError);
 }
 
 }  // namespace
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the host: instances, member lists and malformed frames.
 #include "benchlink/host.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
     "specifics.slabs=4\nspecifics.whole_at=1.0\nstats.fields=\nstats.source=silent\nweights=silent\n"
     "quantum_s=0.005\n";
 
-// Builds a batch's frame record by record, independently of the codec under test.
+// Builds a frame record by record, without the codec under test.
 class Frame {
  public:
   explicit Frame(double now) : now_(now) {}
@@ -41,8 +42,8 @@
     std::string text = settings_text;
     return record(1, seed, static_cast<std::uint32_t>(text.size())).text(text);
   }
-  Frame& list(std::uint8_t page, std::vector<std::uint32_t> nodes) {
-    record(11, page, static_cast<std::uint32_t>(nodes.size()));
+  Frame& list(std::uint8_t slot, std::vector<std::uint32_t> nodes) {
+    record(11, slot, static_cast<std::uint32_t>(nodes.size()));
     for (std::uint32_t node : nodes) {
       put(node);
       put(std::uint8_t{0});
@@ -54,7 +55,9 @@
     }
     return *this;
   }
-  Frame& news(std::uint8_t form, std::uint8_t page) { return record(2, form, std::uint32_t{1}, page); }
+  Frame& members_changed(std::uint8_t form, std::uint8_t slot) {
+    return record(2, form, std::uint32_t{1}, slot);
+  }
   Frame& submit(std::uint32_t id, std::uint16_t cls, float ordinal, float shard, float amount) {
     return record(3, id, cls, std::uint32_t{0}, std::uint64_t{0}, now_ + 4, 0.0, ordinal, shard, amount,
                   std::uint16_t{0});
@@ -88,81 +91,88 @@
   return count;
 }
 
-Frame& one_query(Frame& frame) {
+Frame& add_query(Frame& frame) {
   return frame.submit(1, 0, 1, -1, 2).submit(2, 0, 1, 0, 0.5f).submit(3, 0, 1, 1, 0.5f);
 }
 
-TEST(Host, ASendComesBackForEachPart) {
+TEST(Host, SendsEachPart) {
   Host host;
   Frame frame(10);
-  frame.instance(4).open(9).list(0, {7, 8}).news(2, 0);
-  Bytes reply = host.handle_frame(one_query(frame).bytes());
-  ASSERT_EQ(reply[8], 6);  // INSTANCE 4
+  frame.instance(4).open(9).list(0, {7, 8}).members_changed(2, 0);
+  Bytes reply = host.handle_frame(add_query(frame).bytes());
+  ASSERT_EQ(reply[8], 6);  // select instance 4
   EXPECT_EQ(reply[9], 4);
-  EXPECT_EQ(reply[13], 9);             // ISSUE
-  EXPECT_EQ(reply[13 + 17], 9);        // ISSUE
-  EXPECT_EQ(record_count(reply), 4u);  // with one timer
+  EXPECT_EQ(reply[13], 9);             // send part
+  EXPECT_EQ(reply[13 + 17], 9);        // send part
+  EXPECT_EQ(record_count(reply), 4u);  // and one timer
 }
 
-TEST(Host, RestartUnderTheSameNumberInOneBatchForgetsTheFormerLife) {
+TEST(Host, RestartedInstanceStartsWithoutState) {
   Host host;
   Frame first(10);
-  first.instance(0).open(9).list(0, {7, 8}).news(2, 0);
-  host.handle_frame(one_query(first).bytes());
+  first.instance(0).open(9).list(0, {7, 8}).members_changed(2, 0);
+  host.handle_frame(add_query(first).bytes());
   Frame second(11);
-  second.instance(0).record(10).open(10).news(2, 0);
+  second.instance(0).record(10).open(10).members_changed(2, 0);
   second.record(5, std::uint32_t{2}, std::uint32_t{7}, 0.1, std::uint16_t{1}, std::uint8_t{1},
                 std::uint8_t{0}, std::uint8_t{0});
   Bytes reply = host.handle_frame(second.bytes());
   EXPECT_EQ(record_count(reply), 0u);
 }
 
-TEST(Host, ListsAreSharedByNumberAndReplacedInOrder) {
+TEST(Host, MemberListsAreSharedAndReplacedInOrder) {
   Host host;
   Frame frame(10);
-  frame.instance(0).open(9).list(0, {7}).news(2, 0).list(0, {8}).instance(1).open(9).news(2, 0);
+  frame.instance(0)
+      .open(9)
+      .list(0, {7})
+      .members_changed(2, 0)
+      .list(0, {8})
+      .instance(1)
+      .open(9)
+      .members_changed(2, 0);
   frame.instance(0).submit(1, 0, 1, -1, 1).submit(2, 0, 1, 0, 1.0f);
   frame.instance(1).submit(1, 0, 1, -1, 1).submit(2, 0, 1, 0, 1.0f);
   Bytes reply = host.handle_frame(frame.bytes());
-  // INSTANCE 5 bytes, ISSUE 17, TIMER 17, twice, after a header of 8
+  // Twice: select instance 5 bytes, send 17, set timer 17; after a header of 8.
   ASSERT_EQ(reply.size(), 8u + 2 * (5 + 17 + 17));
   EXPECT_EQ(reply[8 + 5 + 5], 7);
   EXPECT_EQ(reply[8 + 39 + 5 + 5], 8);
 }
 
-// The same events give the same actions however the instances are dealt out among processes.
-TEST(Host, InstancesDoNotTouchEachOther) {
+// An instance's actions do not depend on the other instances of its process.
+TEST(Host, InstancesAreIndependent) {
   Host together, alone;
   Frame both(10), one(10);
-  both.instance(0).open(9).list(0, {7, 8, 9}).news(2, 0);
-  one_query(both).instance(1).open(9).news(2, 0);
-  Bytes shared = together.handle_frame(one_query(both).bytes());
-  one.instance(1).open(9).list(0, {7, 8, 9}).news(2, 0);
-  Bytes single = alone.handle_frame(one_query(one).bytes());
+  both.instance(0).open(9).list(0, {7, 8, 9}).members_changed(2, 0);
+  add_query(both).instance(1).open(9).members_changed(2, 0);
+  Bytes shared = together.handle_frame(add_query(both).bytes());
+  one.instance(1).open(9).list(0, {7, 8, 9}).members_changed(2, 0);
+  Bytes single = alone.handle_frame(add_query(one).bytes());
   Bytes tail(shared.end() - static_cast<std::ptrdiff_t>(single.size() - 8), shared.end());
   EXPECT_EQ(tail, Bytes(single.begin() + 8, single.end()));
 }
 
-TEST(Host, WhatCannotBeCarriedOutIsNamed) {
+TEST(Host, InvalidRecordsThrow) {
   EXPECT_THROW(Host().handle_frame(Frame(1).instance(2).record(7, std::uint64_t{1}).bytes()), FrameError);
   EXPECT_THROW(Host().handle_frame(Frame(1).record(7, std::uint64_t{1}).bytes()), FrameError);
-  EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).open(1).news(2, 0).bytes()), FrameError);
+  EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).open(1).members_changed(2, 0).bytes()), FrameError);
   EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).open(1).open(1).bytes()), FrameError);
   EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).record(10).bytes()), FrameError);
   EXPECT_THROW(Host().handle_frame(Frame(1).instance(0).open(1).submit(1, 9, 1, -1, 1).bytes()), FrameError);
 }
 
-// Truncated, bit-flipped and overlong frames give a plain one-line message or a valid reply, never anything
-// else; the sanitizer preset watches for what a passing run would hide.
-TEST(Host, DamagedFramesNeverCrashIt) {
+// Truncated, corrupted and overlong frames give a FrameError with a single-line message or a valid reply.
+// Under the sanitizers, memory errors fail the test.
+TEST(Host, CorruptedFramesDoNotCrash) {
   std::mt19937_64 engine(11);
   auto below = [&](std::size_t limit) { return static_cast<std::size_t>(engine() % limit); };
   std::size_t refused = 0, answered = 0;
   for (int round = 0; round < 4000; ++round) {
     Host host;
     Frame opening(10), later(10.02);
-    opening.instance(0).open(9).list(0, {7, 8}).news(2, 0);
-    one_query(opening);
+    opening.instance(0).open(9).list(0, {7, 8}).members_changed(2, 0);
+    add_query(opening);
     later.instance(0).record(5, std::uint32_t{2}, std::uint32_t{7}, 0.1, std::uint16_t{1}, std::uint8_t{1},
                              std::uint8_t{0}, std::uint8_t{0});
     later.record(8, 0.01, std::uint16_t{1}, std::uint32_t{7}, std::uint8_t{1}, 3.0f)
@@ -180,7 +190,7 @@
           for (std::size_t flips = below(6); flips > 0; --flips)
             frame[below(frame.size())] ^= static_cast<std::uint8_t>(1u << below(8));
       }
-      if (frame.size() >= 4 && below(3) > 0) {  // so that damage gets past the length check
+      if (frame.size() >= 4 && below(3) > 0) {  // so that the corrupted frame passes the length check
         auto size = static_cast<std::uint32_t>(frame.size());
         std::memcpy(frame.data(), &size, 4);
       }
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -1,4 +1,5 @@
-// One or more tests for each of the six rules; each fails when the rule's guard is taken out of the module.
+// Tests of the rules that every decision has to obey: one final answer per query, no repeated side effects,
+// drains, load on cold nodes, accurate answers and the retry budget.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,13 +9,14 @@
 namespace pearspar::testing {
 namespace {
 
-std::size_t ends(const Bench& bench) {
+// Number of final answers in the last step.
+std::size_t final_answers(const Bench& bench) {
   return bench.answers().size() + bench.refusals().size() + bench.failures().size();
 }
 
-// ---- no query is lost ----
+// ---- exactly one final answer ----
 
-TEST(NoQueryIsLost, EachGetsOneFinalAnswerBeforeTheClientLeaves) {
+TEST(FinalAnswer, OneAnswerBeforeTheDeadline) {
   Bench bench;
   bench.list_all();
   bench.query(1, {0.5, 0.5}, {}, 3s);
@@ -23,23 +25,23 @@
   Time at{};
   while (bench.now < deadline + 2s) {
     bench.step();
-    if (ends(bench) > 0) at = bench.now;
-    ended += ends(bench);
+    if (final_answers(bench) > 0) at = bench.now;
+    ended += final_answers(bench);
   }
   EXPECT_EQ(ended, 1u);
   EXPECT_LE(at, deadline);
 }
 
-TEST(NoQueryIsLost, OneThatArrivesWithItsTimeNearlyOverIsEndedInTheSameBatch) {
+TEST(FinalAnswer, ArrivalNearItsDeadlineEndsInTheSameBatch) {
   Bench bench;
   bench.list_all();
   bench.query(1, {1.0}, {}, 6ms);
   bench.step();
-  EXPECT_EQ(ends(bench), 1u);
+  EXPECT_EQ(final_answers(bench), 1u);
   EXPECT_TRUE(bench.sends().empty());
 }
 
-TEST(NoQueryIsLost, NothingIsSentAfterTheEnd) {
+TEST(FinalAnswer, NoSendAfterTheEnd) {
   Bench bench;
   bench.list_all();
   bench.query(0, {0.6, 0.4});
@@ -52,7 +54,7 @@
     if (ended) {
       EXPECT_TRUE(bench.sends().empty());
     }
-    ended = ended || ends(bench) > 0;
+    ended = ended || final_answers(bench) > 0;
   }
   EXPECT_TRUE(ended);
   bench.outcome(sends[1].part, sends[1].node, 0, Outcome::error);
@@ -60,7 +62,7 @@
   EXPECT_TRUE(bench.sends().empty());
 }
 
-TEST(NoQueryIsLost, NothingIsSentForAClientThatLeft) {
+TEST(FinalAnswer, NoSendForADisconnectedClient) {
   Bench bench;
   bench.list_all();
   QueryId id = bench.query(1, {1.0});
@@ -70,12 +72,12 @@
   bench.outcome(send.part, send.node, 0, Outcome::refused);
   bench.step();
   EXPECT_TRUE(bench.sends().empty());
-  EXPECT_EQ(ends(bench), 0u);
+  EXPECT_EQ(final_answers(bench), 0u);
 }
 
-// Timers travel in whole microseconds and may fire a hair before the moment they were set for. A module that
-// then took its timer for still pending would set no other, and a query held back would be lost.
-TEST(NoQueryIsLost, ATimerThatFiresAHairEarlyIsFollowedByAnother) {
+// A timer may fire slightly early, since its time is rounded on the way. If the module still took it for
+// pending, it would set no other, and waiting queries would never end.
+TEST(FinalAnswer, TimerThatFiresEarlyIsSetAgain) {
   Bench bench;
   bench.list_all();
   bench.query(1, {1.0}, {}, 3s);
@@ -87,23 +89,23 @@
     ASSERT_FALSE(timers.empty());
     bench.pending.emplace_back(TimerFired{timers.back().token});
     bench.step(timers.back().after - Duration(1e-7));
-    ended += ends(bench);
+    ended += final_answers(bench);
   }
   EXPECT_EQ(ended, 1u);
   EXPECT_LE(bench.now, deadline);
 }
 
-// ---- no effect happens twice ----
+// ---- no repeated side effects ----
 
-Settings with_effect(Idempotency effect) {
+Settings with_idempotency(Idempotency idempotency) {
   Settings settings = plain_settings();
-  settings.classes[1].idempotency = effect;
+  settings.classes[1].idempotency = idempotency;
   return settings;
 }
 
-TEST(NoEffectTwice, AnUnsafePartThatMayHaveRunIsNotSentAgainNorItsQueryRefused) {
+TEST(RetrySafety, NonIdempotentPartThatMayHaveRunFailsItsQuery) {
   for (Outcome outcome : {Outcome::error, Outcome::timeout, Outcome::reset}) {
-    Bench bench(with_effect(Idempotency::non_idempotent));
+    Bench bench(with_idempotency(Idempotency::non_idempotent));
     bench.list_all();
     bench.query(1, {1.0});
     bench.step();
@@ -116,9 +118,9 @@
   }
 }
 
-TEST(NoEffectTwice, AnUnsafePartThatIsProvedNotToHaveRunIsSentAgain) {
+TEST(RetrySafety, NonIdempotentPartThatDidNotRunIsRetried) {
   for (Outcome outcome : {Outcome::refused, Outcome::connect_failed}) {
-    Bench bench(with_effect(Idempotency::non_idempotent));
+    Bench bench(with_idempotency(Idempotency::non_idempotent));
     bench.list_all();
     bench.query(1, {1.0});
     bench.step();
@@ -129,8 +131,8 @@
   }
 }
 
-TEST(NoEffectTwice, AnUnsafePartGetsNoSecondCopy) {
-  Bench bench(with_effect(Idempotency::non_idempotent));
+TEST(RetrySafety, NonIdempotentPartIsNotHedged) {
+  Bench bench(with_idempotency(Idempotency::non_idempotent));
   bench.list_all();
   bench.query(1, {1.0});
   bench.step();
@@ -138,9 +140,9 @@
   EXPECT_TRUE(bench.sends().empty());
 }
 
-TEST(NoEffectTwice, AKeyedPartIsSentAgainOnlyWithinItsWindow) {
+TEST(RetrySafety, DeduplicatedPartIsRetriedOnlyWithinItsWindow) {
   for (bool late : {false, true}) {
-    Settings settings = with_effect(Idempotency::deduplicated);
+    Settings settings = with_idempotency(Idempotency::deduplicated);
     settings.may_hedge = false;
     Bench bench(settings);
     bench.list_all();
@@ -153,7 +155,7 @@
   }
 }
 
-TEST(NoEffectTwice, NeverTwoAttemptsAtOnceWhereCopiesAreNotAllowed) {
+TEST(RetrySafety, OneAttemptAtATimeWithoutHedging) {
   for (bool may_cancel : {false, true}) {
     Settings settings = plain_settings();
     settings.may_hedge = false;
@@ -173,9 +175,9 @@
   }
 }
 
-// ---- drains are kept ----
+// ---- drains ----
 
-TEST(Drains, NothingNewGoesToADrainingNodeWhileAnotherIsThere) {
+TEST(Drains, NoSendToADrainingNode) {
   Bench bench;
   bench.list_all(2);
   bench.step();
@@ -186,7 +188,7 @@
   for (const SendPart& send : bench.sends()) EXPECT_EQ(send.node, 2u);
 }
 
-TEST(Drains, NothingAtAllGoesThereEvenWhereNoOtherNodeIsLeft) {
+TEST(Drains, NoSendEvenIfNoOtherNodeIsLeft) {
   for (NodeStatus status : {NodeStatus::draining, NodeStatus::gone}) {
     Bench bench;
     bench.list({Bench::member(1, 0)}, MemberListForm::saved);
@@ -201,7 +203,7 @@
   }
 }
 
-TEST(Drains, ANodeMissingFromAWholeListIsGone) {
+TEST(Drains, NodeMissingFromAFullListIsGone) {
   Bench bench;
   bench.list_all(2);
   bench.step();
@@ -214,7 +216,7 @@
   }
 }
 
-TEST(Drains, WhereTheListMustBeAskedForItIsAndAgainAfterAFailure) {
+TEST(Drains, SubscribesAgainAfterAFailure) {
   Settings settings = plain_settings();
   settings.membership_by_subscription = true;
   Bench bench(settings);
@@ -227,9 +229,9 @@
   EXPECT_GE(bench.of<SubscribeMembers>().size(), 1u);
 }
 
-// ---- a cold node is not pushed over ----
+// ---- load on cold nodes ----
 
-TEST(ColdNode, GetsAShareOfWhatWarmNodesGet) {
+TEST(ColdNode, GetsAFractionOfTheLoadOfWarmNodes) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(60, 50ms);
@@ -244,7 +246,7 @@
     bench.step(25ms);
     for (const SendPart& send : bench.sends()) {
       ++(send.node == 1 ? to_cold : to_warm);
-      // the cold node answers fast: only the guard holds the sends back
+      // The cold node answers fast, so that only the cold node rule limits its sends.
       bench.outcome(send.part, send.node, 0, Outcome::ok, send.node == 1 ? 10ms : 60ms);
     }
   }
@@ -253,7 +255,7 @@
   EXPECT_LT(to_cold, to_warm / 4);
 }
 
-TEST(ColdNode, HoldsThePartsWhenEveryReplicaIsCold) {
+TEST(ColdNode, PartsWaitWhenEveryReplicaIsCold) {
   Bench bench;
   std::vector<Member> members;
   for (NodeId node = 1; node <= 2; ++node) {
@@ -267,7 +269,7 @@
   EXPECT_LE(bench.sends().size(), 6u);
 }
 
-TEST(ColdNode, OneThatCouldNotBeReachedAndAnswersAgainIsTakenForCold) {
+TEST(ColdNode, UnreachableNodeThatAnswersAgainIsCold) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(60, 50ms);
@@ -294,9 +296,9 @@
   EXPECT_LT(to_cold, to_warm / 4);
 }
 
-// A network that drops connections now and then must not make all nodes look restarted: they would be held to
-// what cold nodes get, and nearly everything refused.
-TEST(ColdNode, BrokenConnectionsAloneDoNotMakeNodesCold) {
+// If every broken connection were taken for a restart, a lossy network would make all nodes cold and nearly
+// all queries would be refused.
+TEST(ColdNode, BrokenConnectionsDoNotMakeNodesCold) {
   Bench bench;
   bench.list_all(3);
   bench.warm_up(30, 50ms);
@@ -318,9 +320,9 @@
   EXPECT_EQ(sent, 600);
 }
 
-// ---- answers are honest ----
+// ---- answer accuracy ----
 
-TEST(HonestAnswers, NoneUnderTheFloor) {
+TEST(AnswerAccuracy, NoAnswerBelowTheMinimumCoverage) {
   Bench bench;
   bench.list_all();
   bench.query(0, {0.35, 0.33, 0.32});
@@ -329,10 +331,10 @@
   bench.outcome(sends[0].part, sends[0].node, 0, Outcome::ok);
   bench.run(4s);
   EXPECT_TRUE(bench.answers().empty());
-  EXPECT_EQ(ends(bench), 1u);
+  EXPECT_EQ(final_answers(bench), 1u);
 }
 
-TEST(HonestAnswers, APartCountsOnce) {
+TEST(AnswerAccuracy, PartCountsOnce) {
   Bench bench;
   bench.list_all(2);
   bench.query(0, {0.3, 0.7});
@@ -345,7 +347,7 @@
   EXPECT_TRUE(bench.answers().empty());
 }
 
-TEST(HonestAnswers, NoneIsMarkedWholeThatIsNot) {
+TEST(AnswerAccuracy, PartialAnswerIsNotMarkedWhole) {
   Settings settings = plain_settings();
   settings.classes[0].whole_coverage = 0.9;
   for (bool whole : {false, true}) {
@@ -362,7 +364,7 @@
   }
 }
 
-TEST(HonestAnswers, ASecondStepAfterAPartialFirstIsNotWhole) {
+TEST(AnswerAccuracy, SecondStepAfterAPartialFirstIsNotWhole) {
   Settings settings = plain_settings();
   settings.classes[0].fetch_parts = 1;
   Bench bench(settings);
@@ -382,9 +384,9 @@
   EXPECT_FALSE(bench.answers()[0].whole);
 }
 
-// ---- further attempts stay within a budget ----
+// ---- retry budget ----
 
-TEST(AttemptBudget, IsNeverPassedInAnyWindow) {
+TEST(RetryBudget, IsNotExceededInAnyWindow) {
   Settings settings = plain_settings();
   settings.has_retry_budget = true;
   settings.retry_budget_base = 2;
@@ -392,26 +394,26 @@
   settings.retry_budget_window = 2s;
   Bench bench(settings);
   bench.list_all();
-  std::vector<Time> taken, further;
+  std::vector<Time> arrivals, retries;
   std::map<PartId, int> attempts;
   for (int i = 0; i < 400; ++i) {
     if (i % 10 == 0 && i < 200) {
       bench.query(1, {0.5, 0.5}, {0, 1});
-      for (int n = 0; n < 3; ++n) taken.push_back(bench.now + 10ms);
+      for (int n = 0; n < 3; ++n) arrivals.push_back(bench.now + 10ms);
     }
     bench.step(10ms);
     for (const SendPart& send : bench.sends()) {
       int attempt = attempts[send.part]++;
-      if (attempt > 0) further.push_back(bench.now);
+      if (attempt > 0) retries.push_back(bench.now);
       bench.outcome(send.part, send.node, attempt, Outcome::error, 10ms);
     }
   }
-  EXPECT_GT(further.size(), 3u);
-  for (Time end : further) {
+  EXPECT_GT(retries.size(), 3u);
+  for (Time end : retries) {
     auto within = [&](Time t) { return t > end - 2s && t <= end; };
-    auto sent = std::count_if(further.begin(), further.end(), within);
-    auto took = std::count_if(taken.begin(), taken.end(), within);
-    EXPECT_LE(static_cast<double>(sent), 2 + 0.1 * static_cast<double>(took) + 1e-9);
+    auto sent = std::count_if(retries.begin(), retries.end(), within);
+    auto arrived = std::count_if(arrivals.begin(), arrivals.end(), within);
+    EXPECT_LE(static_cast<double>(sent), 2 + 0.1 * static_cast<double>(arrived) + 1e-9);
   }
 }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,4 +1,4 @@
-// The ordinary path: ranking and coverage, narrowing and widening, replica choice, attempts, answering.
+// Tests of the decision module: coverage, replica selection, attempts, admission and answering.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -11,8 +11,8 @@
 namespace pearspar::testing {
 namespace {
 
-// Drives the share of strained outcomes: `good` parts answered and `bad` ones turned away, all at once.
-void outcomes(Bench& bench, int good, int bad, int shard = 0) {
+// Sends one query of which `good` parts are answered and `bad` ones refused.
+void record_outcomes(Bench& bench, int good, int bad, int shard = 0) {
   std::size_t count = static_cast<std::size_t>(good + bad);
   bench.query(1, std::vector<double>(count, 1.0 / (good + bad)), std::vector<int>(count, shard));
   bench.step();
@@ -25,6 +25,7 @@
   bench.step(100ms);
 }
 
+// Sends a query of eight parts and returns how many of them were sent.
 std::size_t parts_sent(Bench& bench) {
   bench.query(0, {0.05, 0.3, 0.1, 0.05, 0.2, 0.1, 0.1, 0.1});
   bench.step();
@@ -33,7 +34,7 @@
   return count;
 }
 
-TEST(Coverage, StartsWholeAndSendsTheHeaviestFirst) {
+TEST(Coverage, StartsWithAllParts) {
   Bench bench;
   bench.list_all();
   bench.query(0, {0.1, 0.4, 0.2, 0.3});
@@ -43,11 +44,11 @@
   EXPECT_EQ(sent, (std::set<PartId>{1000, 1001, 1002, 1003}));
 }
 
-TEST(Coverage, NarrowsUnderStrainAndLeavesOutTheLightest) {
+TEST(Coverage, FallsUnderOverloadAndSkipsTheLightestParts) {
   Bench bench;
   bench.list_all();
   EXPECT_EQ(parts_sent(bench), 8u);
-  outcomes(bench, 20, 10);
+  record_outcomes(bench, 20, 10);
   bench.query(0, {0.05, 0.3, 0.1, 0.05, 0.2, 0.1, 0.1, 0.1});
   PartId first = bench.next_part - 8;
   bench.step();
@@ -58,34 +59,34 @@
   EXPECT_FALSE(sent.count(first + 3));
 }
 
-TEST(Coverage, AClassWithoutPartialAnswersGetsEveryPart) {
+TEST(Coverage, ClassWithoutPartialAnswersSendsAllParts) {
   Bench bench;
   bench.list_all();
-  outcomes(bench, 20, 10);
+  record_outcomes(bench, 20, 10);
   bench.query(1, {0.05, 0.3, 0.1, 0.05, 0.2, 0.1, 0.1, 0.1});
   bench.step();
   EXPECT_EQ(bench.sends().size(), 8u);
 }
 
-TEST(Coverage, NeverGoesUnderTheFloorAndWidensAgain) {
+TEST(Coverage, StaysAboveTheMinimumAndRecovers) {
   Bench bench;
   bench.list_all();
   for (int i = 0; i < 12; ++i) {
-    outcomes(bench, 20, 20);
+    record_outcomes(bench, 20, 20);
     bench.run(2s);
   }
-  // floor 0.4: 0.3 and 0.2 reach it
+  // The weights 0.3 and 0.2 reach the minimum of 0.4.
   EXPECT_EQ(parts_sent(bench), 2u);
   for (int i = 0; i < 12; ++i) {
-    outcomes(bench, 60, 0);
+    record_outcomes(bench, 60, 0);
     bench.run(2s);
   }
   EXPECT_EQ(parts_sent(bench), 8u);
 }
 
-// Nodes come under new ids all day: what is known of one that is gone is given back, so that one that returns
-// much later is as unheard of as any new one.
-TEST(Membership, ANodeThatIsGoneIsForgotten) {
+// The state of nodes that are gone must be freed, since nodes come under new ids all the time. A node that
+// returns later counts as a new one.
+TEST(Membership, ForgetsNodesThatAreGone) {
   Bench bench;
   auto node = [](NodeId id, NodeStatus status) { return std::vector<Member>{Bench::member(id, 0, status)}; };
   bench.list({Bench::member(1, 0), Bench::member(2, 0)}, MemberListForm::saved);
@@ -112,15 +113,15 @@
   EXPECT_EQ(sent_to_first(), 0);
   bench.list(node(1, NodeStatus::gone));
   bench.run(4s);
-  bench.list(node(2, NodeStatus::ready));  // any news will do
+  bench.list(node(2, NodeStatus::ready));  // any change removes nodes that are gone
   bench.step();
   bench.list(node(1, NodeStatus::ready));
   EXPECT_GT(sent_to_first(), 0);
 }
 
-// DESIGN's weak spot, as many brokers make it: each sends the light parts of its wide queries to a cell whose
-// queue is long, and the queries that need all their parts fail there.
-TEST(Coverage, LightPartsAreLeftOutWhereTheQuickestReplicaIsSlow) {
+// Optional parts of wide queries must not lengthen the queues of a hot shard, where queries that need all
+// their parts would fail.
+TEST(Coverage, SkipsOptionalPartsOfHotShards) {
   Bench bench;
   bench.list_all();
   auto serve = [&](int shard, Duration took) {
@@ -143,40 +144,40 @@
   EXPECT_EQ(sent(0), (std::set<PartId>{0, 1, 2, 3}));
   serve(0, 1200ms);
   serve(1, 50ms);
-  EXPECT_EQ(sent(0), (std::set<PartId>{0, 1, 3}));  // the heavy part goes there still
+  EXPECT_EQ(sent(0), (std::set<PartId>{0, 1, 3}));  // the heavy part is still sent there
   serve(0, 1200ms);
-  EXPECT_EQ(sent(1), (std::set<PartId>{0, 1, 2, 3}));  // this one needs all
+  EXPECT_EQ(sent(1), (std::set<PartId>{0, 1, 2, 3}));  // this class needs all parts
   serve(0, 50ms);
-  EXPECT_EQ(sent(0), (std::set<PartId>{0, 1, 2, 3}));  // over
+  EXPECT_EQ(sent(0), (std::set<PartId>{0, 1, 2, 3}));  // the shard is no longer hot
 }
 
-TEST(Coverage, HoldsOnFewOutcomes) {
+TEST(Coverage, UnchangedWithFewOutcomes) {
   Bench bench;
   bench.list_all();
-  for (int i = 0; i < 3; ++i) {  // the nodes asked below are known to be quick
+  for (int i = 0; i < 3; ++i) {  // so that the nodes used below are known to be quick
     bench.query(1, {1.0});
     bench.step();
     bench.answer_sends(50ms);
   }
-  outcomes(bench, 2, 5, 1);
+  record_outcomes(bench, 2, 5, 1);
   EXPECT_EQ(parts_sent(bench), 8u);
 }
 
-// A broker with little traffic never sees twenty outcomes in one window; it looks further back for them.
-TEST(Coverage, ASmallBrokerReadsStrainOverALongerTime) {
+// A broker with little traffic does not see enough outcomes in one window and has to look further back.
+TEST(Coverage, LooksFurtherBackAtLowTraffic) {
   Bench bench;
   bench.list_all();
   for (int i = 0; i < 8; ++i) {  // four outcomes a second, half of them refusals
-    outcomes(bench, 1, 2);
+    record_outcomes(bench, 1, 2);
     bench.run(800ms);
   }
   EXPECT_LT(parts_sent(bench), 8u);
 }
 
-TEST(Coverage, ANarrowedQueryIsAnsweredOnceItsChosenPartsAreInAndNotAsWhole) {
+TEST(Coverage, ReducedQueryGetsAPartialAnswerOnceItsPartsAreIn) {
   Bench bench;
   bench.list_all();
-  outcomes(bench, 20, 10);
+  record_outcomes(bench, 20, 10);
   bench.query(0, {0.05, 0.3, 0.1, 0.05, 0.2, 0.1, 0.1, 0.1});
   bench.step();
   bench.answer_sends();
@@ -184,7 +185,7 @@
   EXPECT_FALSE(bench.answers()[0].whole);
 }
 
-TEST(ReplicaChoice, TakesTheLeastLatencyTimesCalls) {
+TEST(ReplicaSelection, MinimizesLatencyTimesOpenCalls) {
   Bench bench;
   bench.list_all(2);
   // node 1 answers in 50 ms, node 2 in 200 ms
@@ -200,12 +201,12 @@
   bench.step();
   std::map<NodeId, int> count;
   for (const SendPart& send : bench.sends()) ++count[send.node];
-  // 50 ms x (1 + calls) stays under 200 ms for three calls; with four of five there at least
+  // 50 ms x (1 + calls) stays below 200 ms for three calls.
   EXPECT_GE(count[1], 3);
   EXPECT_LE(count[2], 2);
 }
 
-TEST(ReplicaChoice, AnUnheardOfNodeCountsAsAverage) {
+TEST(ReplicaSelection, UnknownNodeCountsAsAverage) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(16, 100ms);
@@ -217,8 +218,9 @@
   EXPECT_EQ(nodes, (std::set<NodeId>{1, 2, 3}));
 }
 
-// What a cell's nodes share, such as a rush for its shards, is learnt from any of them.
-TEST(ReplicaChoice, AnUnheardOfNodeCountsAsItsCellDoes) {
+// The latency of a new node is estimated from the other nodes of its cell, which share the load on its
+// shards.
+TEST(ReplicaSelection, UnknownNodeCountsAsItsCell) {
   Settings settings = plain_settings();
   settings.cells_per_shard = 2;  // both cells hold every shard
   Bench bench(settings);
@@ -238,13 +240,13 @@
   EXPECT_EQ(nodes, (std::set<NodeId>{11, 12}));
 }
 
-TEST(ReplicaChoice, PartsThatShareACallCountAsOne) {
+TEST(ReplicaSelection, PartsOfOneCallCountOnce) {
   Settings settings = plain_settings();
   settings.parts_per_call = 4;
   Bench bench(settings);
   bench.list({Bench::member(1, 0), Bench::member(2, 0)}, MemberListForm::saved);
-  // Node 2 is nearly four times as slow. Six parts over two nodes make calls of three, so node 1 counts one
-  // call and then two: the lesser throughout. Counted by part it would not be from the fourth part on.
+  // Node 2 is 3.5 times slower. Counted by calls of four parts, node 1 is cheaper for all eight parts;
+  // counted by parts, it would not be from the fourth part on.
   for (int i = 0; i < 6; ++i) {
     bench.query(1, {0.5, 0.5});
     bench.step();
@@ -258,8 +260,9 @@
   for (const SendPart& send : bench.sends()) EXPECT_EQ(send.node, 1u);
 }
 
-// A wide query is spread evenly even where one node is the quickest: a call counts as full at an even share.
-TEST(ReplicaChoice, AWideQueryIsNotPiledOnTheQuickestNode) {
+// A wide query is spread evenly even if one node is the quickest: a call is full at an even share of the
+// parts.
+TEST(ReplicaSelection, SpreadsWideQueriesEvenly) {
   Settings settings = plain_settings();
   settings.cells = 1;
   settings.parts_per_call = 8;
@@ -279,7 +282,7 @@
   for (NodeId node = 1; node <= 4; ++node) EXPECT_EQ(count[node], 2) << node;
 }
 
-TEST(ReplicaChoice, ASilentNodeLosesItsPlaceBeforeAnyTimeOut) {
+TEST(ReplicaSelection, AvoidsSilentNodesBeforeTheTimeout) {
   Settings settings = plain_settings();
   settings.may_hedge = false;
   Bench bench(settings);
@@ -289,7 +292,7 @@
   bench.step();
   auto sends = bench.sends();
   ASSERT_EQ(sends.size(), 2u);
-  // one answers, the other stays silent: what comes later goes to the one that answers
+  // One node answers and the other stays silent: later parts go to the one that answers.
   bench.outcome(sends[0].part, sends[0].node, 0, Outcome::ok);
   bench.step(250ms);
   bench.query(1, {0.5, 0.5});
@@ -297,7 +300,7 @@
   for (const SendPart& send : bench.sends()) EXPECT_EQ(send.node, sends[0].node);
 }
 
-TEST(ReplicaChoice, WhenAllLookBadTheLeastBadStillGetsIt) {
+TEST(ReplicaSelection, StillSendsWhenAllNodesFail) {
   Bench bench;
   bench.list_all(2);
   for (int i = 0; i < 6; ++i) {
@@ -314,7 +317,7 @@
   EXPECT_EQ(bench.sends().size(), 1u);
 }
 
-TEST(Health, ANodeThatFailsFastIsAvoided) {
+TEST(Health, AvoidsNodesThatFailFast) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(8, 100ms);
@@ -339,8 +342,8 @@
   EXPECT_LE(to_failing, 4);
 }
 
-// The copy goes elsewhere; the first attempt stays out, since its end tells whether giving it up was wise.
-TEST(Attempts, APartOnASilentNodeGetsASecondCopyElsewhere) {
+// The hedge goes to another node, and the first attempt is not cancelled.
+TEST(Attempts, HedgesOnAnotherNodeWhenTheFirstIsSilent) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(40, 100ms);
@@ -349,22 +352,22 @@
   auto first = bench.sends().at(0);
   bench.run(950ms);
   ASSERT_EQ(bench.sends().size(), 1u);
-  auto copy = bench.sends()[0];
-  EXPECT_NE(copy.node, first.node);
-  bench.outcome(first.part, copy.node, 1, Outcome::ok);
+  auto hedge = bench.sends()[0];
+  EXPECT_NE(hedge.node, first.node);
+  bench.outcome(first.part, hedge.node, 1, Outcome::ok);
   bench.step();
   ASSERT_EQ(bench.answers().size(), 1u);
   EXPECT_TRUE(bench.answers()[0].whole);
   EXPECT_TRUE(bench.of<CancelAttempt>().empty());
 }
 
-// A copy that would wait as long as the attempt it is to overtake only adds to the queue of a hot shard.
-TEST(Attempts, NoCopyGoesToAReplicaThatIsNoQuicker) {
+// A hedge that would wait as long as the first attempt only lengthens the queue of a hot shard.
+TEST(Attempts, NoHedgeToAReplicaThatIsNoQuicker) {
   for (bool hot : {false, true}) {
     Bench bench;
     bench.list_all(2);
     for (int i = 0; i < 40; ++i) {
-      int shard = i % 10 == 0 ? 0 : 1;  // the other cell answers, so that 100 ms is usual
+      int shard = i % 10 == 0 ? 0 : 1;  // the other cell answers, so that 100 ms is the usual latency
       bench.query(1, {1.0}, {shard});
       bench.step();
       bench.answer_sends(shard == 0 && hot ? 700ms : 100ms);
@@ -377,8 +380,8 @@
   }
 }
 
-// What a query can do without is not worth a second copy; the credit is kept for what it needs.
-TEST(Attempts, ALightPartGetsNoCopy) {
+// The hedge credit is kept for parts that the query cannot do without.
+TEST(Attempts, NoHedgeForOptionalParts) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(40, 100ms);
@@ -391,9 +394,10 @@
   EXPECT_EQ(bench.sends()[0].part, heavy);
 }
 
-// Where what was given up answers after all, the fleet is merely crowded: hardly any copy is earned then.
-TEST(Attempts, FalseAlarmsEarnNoFurtherCopies) {
-  std::size_t copies[2] = {0, 0};
+// If attempts that were presumed lost are answered after all, the nodes are overloaded and hedging has to
+// stop.
+TEST(Attempts, FalseAlarmsReduceHedging) {
+  std::size_t hedges[2] = {0, 0};
   for (bool answers_late : {false, true}) {
     Bench bench;
     bench.list_all(3);
@@ -402,24 +406,24 @@
       bench.query(1, std::vector<double>(10, 0.1));
       bench.step();
       auto sends = bench.sends();
-      if (sends.size() < 10) continue;  // drawn out by the lot
+      if (sends.size() < 10) continue;  // refused at random
       for (std::size_t k = 0; k < 9; ++k) bench.outcome(sends[k].part, sends[k].node, 0, Outcome::ok);
       bench.run(900ms);
-      for (const SendPart& copy : bench.sends()) {
-        ++copies[answers_late ? 1 : 0];
-        bench.outcome(copy.part, copy.node, 1, Outcome::ok);
+      for (const SendPart& hedge : bench.sends()) {
+        ++hedges[answers_late ? 1 : 0];
+        bench.outcome(hedge.part, hedge.node, 1, Outcome::ok);
       }
       bench.outcome(sends[9].part, sends[9].node, 0, answers_late ? Outcome::ok : Outcome::timeout, 1s);
       bench.step(100ms);
     }
   }
-  EXPECT_GT(copies[0], 6u);
-  EXPECT_LT(copies[1], copies[0] * 3 / 4) << copies[1];
+  EXPECT_GT(hedges[0], 6u);
+  EXPECT_LT(hedges[1], hedges[0] * 3 / 4) << hedges[1];
 }
 
-// A part that waits on a node which goes on answering others is left alone: its attempt runs on, and a copy
-// would add to the load that it waits for.
-TEST(Attempts, APartThatMerelyWaitsGetsNoCopy) {
+// A part that waits on a node which goes on answering others is not lost; a hedge would add to the node's
+// load.
+TEST(Attempts, NoHedgeWhileTheNodeAnswersOtherParts) {
   Bench bench;
   bench.list_all(1);
   bench.list({Bench::member(2, 0)});
@@ -431,7 +435,7 @@
   // Both nodes answer one of their parts every 50 ms, in order.
   std::map<NodeId, std::deque<PartId>> queues;
   for (const SendPart& send : sends) queues[send.node].push_back(send.part);
-  std::size_t further = 0;
+  std::size_t retries = 0;
   for (int i = 1; i <= 15; ++i) {
     for (auto& [node, queue] : queues) {
       if (queue.empty()) continue;
@@ -439,38 +443,38 @@
       queue.pop_front();
     }
     bench.step(50ms);
-    further += bench.sends().size();
+    retries += bench.sends().size();
   }
-  EXPECT_EQ(further, 0u);
+  EXPECT_EQ(retries, 0u);
 }
 
-// A node that answers later attempts but not an earlier one has lost it: that one part is sent elsewhere.
-TEST(Attempts, AnAttemptThatWasOvertakenForLongIsSentElsewhere) {
+// A node that answers later attempts but not an earlier one has lost the earlier one.
+TEST(Attempts, HedgesWhenLaterAttemptsAreAnsweredFirst) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(16, 50ms);
   bench.query(1, {1.0});
   bench.step();
   auto lost = bench.sends().at(0);
-  std::size_t copies = 0;
+  std::size_t hedges = 0;
   for (int i = 0; i < 40; ++i) {
     bench.query(1, {0.5, 0.5});
     bench.step(20ms);
     for (const SendPart& send : bench.sends()) {
       if (send.part == lost.part) {
-        ++copies;
+        ++hedges;
         EXPECT_NE(send.node, lost.node);
       } else {
         bench.outcome(send.part, send.node, 0, Outcome::ok, 20ms);
       }
     }
   }
-  EXPECT_EQ(copies, 1u);
+  EXPECT_EQ(hedges, 1u);
 }
 
-// Nodes that cannot be reached or are full say so at once; a part must not spend all its attempts on them
-// within a few batches, since one may take it a moment later.
-TEST(Attempts, APartPausesBeforeItGoesToABadNodeAgain) {
+// Nodes that are full or unreachable fail at once. A part must not spend all its attempts on them within a
+// few batches.
+TEST(Attempts, PausesBeforeRetryingOnTheSameNode) {
   Bench bench;
   bench.list_all(1);
   bench.list({Bench::member(2, 0)});
@@ -488,11 +492,11 @@
     bench.step();
   }
   ASSERT_EQ(sent.size(), 4u);
-  EXPECT_LT(sent[1] - start, Duration(20ms));     // the other node, at once
-  EXPECT_GT(sent[3] - sent[1], Duration(200ms));  // then with pauses
+  EXPECT_LT(sent[1] - start, Duration(20ms));     // the other node, without a pause
+  EXPECT_GT(sent[3] - sent[1], Duration(200ms));  // the same nodes, after a pause
 }
 
-TEST(Attempts, SecondCopiesAreEarnedByTraffic) {
+TEST(Attempts, HedgesAreLimitedByTraffic) {
   Bench bench;
   bench.list_all(3);
   bench.warm_up(10, 100ms);
@@ -503,11 +507,11 @@
   for (std::size_t i = 0; i < 80; ++i) bench.outcome(sends[i].part, sends[i].node, 0, Outcome::ok);
   bench.run(1500ms);
   EXPECT_GT(bench.sends().size(), 0u);
-  EXPECT_LT(bench.sends().size(), 10u);  // of the twenty that are out
+  EXPECT_LT(bench.sends().size(), 10u);  // of the twenty in flight
 }
 
-// Where nothing answers, waiting longer than usual is usual: no copy tells a lost attempt from a crowd.
-TEST(Attempts, WhereNoneAnswersNoneIsTakenForLost) {
+// Attempts in flight count in the usual latency, so that a general slowdown does not look like lost attempts.
+TEST(Attempts, NoHedgeWhenNothingAnswers) {
   Bench bench;
   bench.list_all(3);
   bench.warm_up(40, 100ms);
@@ -518,11 +522,11 @@
   EXPECT_TRUE(bench.sends().empty());
 }
 
-// In overload the rest is held back, and what has no time left to wait is given up at once.
-TEST(Admission, QueriesWaitWhileOurPartsOutAreAtTheLimit) {
+// Under overload, queries above the limit wait, and those without enough time left are refused.
+TEST(Admission, QueriesWaitAtTheConcurrencyLimit) {
   Bench bench;
   bench.list_all(2);
-  bench.warm_up(60, 700ms);  // far above what leaves room for the aim
+  bench.warm_up(60, 700ms);  // far above the latency that is controlled for
   std::size_t sent = 0, refused = 0;
   for (int i = 0; i < 40; ++i) {
     bench.query(1, {0.5, 0.5}, {0, 1});
@@ -537,9 +541,9 @@
   EXPECT_GT(refused, 10u);
 }
 
-// Found on a day on which nodes turned thousands of parts away while the median latency still looked good:
-// the limit came two seconds late.
-TEST(Admission, WhatIsTurnedAwayLowersTheLimitBeforeTheMedianDoes) {
+// Nodes may refuse many parts while the median latency still looks good; the limit must not wait for the
+// median.
+TEST(Admission, RefusalsLowerTheLimitBeforeTheMedianRises) {
   Bench bench;
   bench.list_all(3);
   bench.warm_up(120, 20ms);
@@ -556,9 +560,9 @@
   EXPECT_TRUE(lowered);
 }
 
-// What comes with less time than the parts have lately taken is refused on arrival, even with room to spare;
-// once that knowledge is old, it is let in again.
-TEST(Admission, AQueryWithoutTheTimeItsPartsTakeIsRefusedAtOnce) {
+// A query with less time than its parts have recently taken is refused on arrival, even below the limit. Once
+// these latencies are old, it is admitted again.
+TEST(Admission, RefusesQueriesWithTooLittleTime) {
   Bench bench;
   bench.list_all(2);
   bench.warm_up(40, 500ms);
@@ -572,11 +576,11 @@
   EXPECT_EQ(bench.sends().size(), 10u);
 }
 
-// A class whose clients leave before their answers come is let in only now and then, also on a broker that
-// sees few of them; its shards, which merely had no time, are not blamed.
-TEST(Admission, AClassThatEarnsNothingIsLetInByLot) {
+// A class whose clients disconnect before they are answered is admitted only sometimes, also at low traffic.
+// Its shards, which had too little time, are not counted as failing.
+TEST(Admission, RandomlyRefusesAClassThatEarnsNothing) {
   Settings settings = plain_settings();
-  settings.classes.push_back(class_of(1, 1));  // not narrowed by the first one's time-outs
+  settings.classes.push_back(class_of(1, 1));  // not affected by the first class's timeouts
   Bench bench(settings);
   bench.list_all(2);
   std::size_t sent = 0, refused = 0, other = 0;
@@ -590,7 +594,7 @@
     bench.pending.emplace_back(ClientDisconnected{id});
     for (const SendPart& send : sends) bench.outcome(send.part, send.node, 0, Outcome::ok, 300ms);
     bench.step(100ms);
-    bench.query(2, {0.5, 0.5});  // of another class, for the same shard
+    bench.query(2, {0.5, 0.5});  // another class, same shard
     bench.step();
     other += bench.sends().empty() ? 0 : 1;
     bench.answer_sends();
@@ -601,8 +605,8 @@
   EXPECT_EQ(other, 40u);
 }
 
-// Another customer's queries of the same class are not held back by that.
-TEST(Admission, OneCustomersFailuresDoNotCloseTheDoorToAnother) {
+// Queries of one tenant are not refused for the failures of another tenant of the same class.
+TEST(Admission, OneTenantsFailuresDoNotAffectAnother) {
   Bench bench;
   bench.list_all(2);
   auto ask = [&](int tenant, bool answer) {
@@ -628,11 +632,11 @@
   EXPECT_EQ(other, 20);
 }
 
-// A shard whose parts fail at every replica is spared: a query that needs all its parts is refused at once,
-// one that may be answered in part does without it, and queries for other shards go on.
-TEST(Admission, AShardThatNeverAnswersIsLeftOutOrRefusedBeforeTheRestIsSent) {
+// If a shard's parts fail at every replica, a query that needs all its parts is refused at once, one that may
+// be answered in part skips the shard, and queries for other shards are not affected.
+TEST(Admission, SkipsOrRefusesPartsOfAFailingShard) {
   Settings settings = plain_settings();
-  settings.classes.push_back(class_of(1, 1));  // not held back for the first one's failures
+  settings.classes.push_back(class_of(1, 1));  // not affected by the first class's failures
   Bench bench(settings);
   bench.list_all(2);
   std::size_t whole_sent = 0, other_sent = 0, partial_without = 0;
@@ -655,13 +659,13 @@
     partial_without += ask(0, {0, 1}) == 1 ? 1 : 0;
   }
   EXPECT_LT(whole_sent, 40u);
-  EXPECT_GT(whole_sent, 0u);  // now and then one looks whether the shard is back
+  EXPECT_GT(whole_sent, 0u);  // some are sent to detect that the shard has recovered
   EXPECT_GT(other_sent, 50u);
   EXPECT_GT(partial_without, 30u);
 }
 
-// A part that failed too late for another attempt ends its query there and then, not when the client leaves.
-TEST(Answering, AQueryWhosePartCanNoLongerBeBackIsGivenUpAtOnce) {
+// A part that fails too late for another attempt ends its query at once, not at the deadline.
+TEST(Answering, EndsAtOnceWhenAPartCannotFinishInTime) {
   Bench bench;
   bench.list_all(3);
   bench.warm_up(40, 300ms);
@@ -672,9 +676,9 @@
   bench.outcome(sends[0].part, sends[0].node, 0, Outcome::ok);
   bench.run(400ms);
   std::map<PartId, std::pair<NodeId, int>> last{{sends[1].part, {sends[1].node, 0}}};
-  for (const SendPart& copy : bench.sends()) last[copy.part] = {copy.node, 1};
-  bench.run(1500ms);  // of the aim of two seconds
-  for (const SendPart& copy : bench.sends()) last[copy.part] = {copy.node, 1};
+  for (const SendPart& hedge : bench.sends()) last[hedge.part] = {hedge.node, 1};
+  bench.run(1500ms);  // of the latency target of two seconds
+  for (const SendPart& hedge : bench.sends()) last[hedge.part] = {hedge.node, 1};
   bench.outcome(sends[1].part, sends[1].node, 0, Outcome::error);
   auto [node, attempt] = last[sends[1].part];
   if (attempt == 1) bench.outcome(sends[1].part, node, 1, Outcome::error);
@@ -683,9 +687,8 @@
   EXPECT_TRUE(bench.sends().empty());
 }
 
-// Full size: 200 parts over 300 nodes, one of which never answers. Its parts go elsewhere, the answer is
-// whole.
-TEST(Attempts, OneLostNodeAmongHundredsDoesNotCostAWideQueryItsWholeAnswer) {
+// 200 parts over 300 nodes, one of which never answers: its parts are sent to other nodes.
+TEST(Attempts, WideQueryIsWholeDespiteOneLostNode) {
   Settings settings = plain_settings();
   settings.cells = 75;
   settings.shards = 75;
@@ -716,7 +719,7 @@
   EXPECT_EQ(whole, 5u);
 }
 
-TEST(Answering, APartialAnswerIsGivenBeforeTheAimIsLost) {
+TEST(Answering, PartialAnswerMeetsTheLatencyTarget) {
   Bench bench;
   bench.list_all();
   QueryId id = bench.query(0, {0.5, 0.3, 0.2});
@@ -732,8 +735,8 @@
   EXPECT_LT(bench.now, start + 2s + 5ms);
 }
 
-// A client that says it leaves before the aim gets what is in before it does.
-TEST(Answering, WhereTheClientLeavesBeforeTheAimAPartialAnswerIsGivenBefore) {
+// If the deadline is before the latency target, a partial answer has to be given before the deadline.
+TEST(Answering, PartialAnswerMeetsADeadlineBeforeTheTarget) {
   Bench bench;
   bench.list_all();
   bench.query(0, {0.6, 0.4}, {1, 1}, 800ms);
@@ -746,16 +749,16 @@
   EXPECT_GT(Duration(bench.now - start).count(), 0.5);
 }
 
-TEST(Answering, WhatCannotBeServedIsRefusedAtOnceWithATimeToComeBack) {
+TEST(Answering, RefusesUnservableQueriesAtOnceWithRetryAfter) {
   Bench bench;
   bench.list({Bench::member(1, 0)}, MemberListForm::saved);
-  bench.query(1, {0.5, 0.5}, {0, 1});  // nobody holds shard 1
+  bench.query(1, {0.5, 0.5}, {0, 1});  // no node holds shard 1
   bench.step();
   ASSERT_EQ(bench.refusals().size(), 1u);
   EXPECT_GT(bench.refusals()[0].retry_after, Duration{});
 }
 
-TEST(Answering, AQueryWithoutPartsEndsAtOnce) {
+TEST(Answering, QueryWithoutPartsEndsAtOnce) {
   Bench bench;
   bench.list_all();
   bench.query(0, {});
@@ -764,7 +767,7 @@
   EXPECT_TRUE(bench.answers().empty());
 }
 
-TEST(Answering, OutcomesAndDeparturesAfterTheEndAreIgnored) {
+TEST(Answering, IgnoresEventsAfterTheEnd) {
   Bench bench;
   bench.list_all();
   QueryId id = bench.query(1, {1.0});
@@ -781,7 +784,7 @@
   EXPECT_TRUE(bench.actions.empty());
 }
 
-TEST(Answering, ASecondStepIsAnsweredFromItsOwnParts) {
+TEST(Answering, SecondStepIsAnsweredFromItsOwnParts) {
   Settings settings = plain_settings();
   settings.classes[1].fetch_parts = 2;
   Bench bench(settings);
@@ -801,9 +804,8 @@
 }
 
 #if defined(__GLIBC__) && !defined(__SANITIZE_ADDRESS__)
-// Where no budget is set, nothing reads the account of what was taken and sent again; kept, it grew by eight
-// bytes a part for as long as the broker lived.
-TEST(Memory, WhatHasEndedLeavesNothingBehind) {
+// Without a retry budget, the times of arrivals and retries must not be kept: nothing would ever remove them.
+TEST(Memory, EndedQueriesAreFreed) {
   Bench bench;
   bench.list_all();
   bench.warm_up(4000, 10ms);
@@ -814,7 +816,7 @@
 }
 #endif
 
-TEST(Determinism, TheSameEventsGiveTheSameActions) {
+TEST(Determinism, SameEventsGiveSameActions) {
   auto play = [](std::uint64_t seed) {
     Bench bench(plain_settings(), seed);
     bench.list_all();
@@ -837,7 +839,7 @@
   EXPECT_EQ(play(1), play(1));
 }
 
-TEST(Determinism, InstancesInOneProcessShareNothing) {
+TEST(Determinism, InstancesShareNoState) {
   Bench alone, beside, noisy;
   for (Bench* bench : {&alone, &beside, &noisy}) bench->list_all();
   for (int i = 0; i < 20; ++i) {
