--- a/src/benchlink/frame.cpp
+++ b/src/benchlink/frame.cpp
@@ -266,10 +266,10 @@
     case select_instance:
       return InstanceSelected{in.read<std::uint32_t>()};
     case start_instance: {
-      InstanceStarted opened;
-      opened.seed = in.read<std::uint64_t>();
-      opened.settings = in.read_text(in.read<std::uint32_t>());
-      return opened;
+      InstanceStarted started;
+      started.seed = in.read<std::uint64_t>();
+      started.settings = in.read_text(in.read<std::uint32_t>());
+      return started;
     }
     case store_members:
       return read_member_list(in);
--- a/src/benchlink/frame.h
+++ b/src/benchlink/frame.h
@@ -30,6 +30,7 @@
 struct InstanceSelected {
   std::uint32_t instance = 0;
 };
+// Starts a new instance under the selected number.
 struct InstanceStarted {
   std::uint64_t seed = 0;
   std::string settings;
@@ -45,11 +46,13 @@
   std::uint32_t version = 0;
   std::uint8_t slot = 0;
 };
+// Discards the selected instance with its state.
 struct InstanceStopped {};
 
 using Record = std::variant<InstanceSelected, InstanceStarted, MemberListStored, MemberListChanged,
                             InstanceStopped, Event>;
 
+// The records of one frame, all at the same time.
 struct Batch {
   Time now{};
   std::vector<Record> records;
@@ -57,7 +60,7 @@
 
 // Returns the frame's length, header included, from its header; throws FrameError if it is out of range.
 std::size_t declared_frame_size(std::span<const std::uint8_t> header);
-// Throws FrameError.
+// Decodes a whole frame; throws FrameError if it is malformed.
 Batch decode_batch(std::span<const std::uint8_t> frame);
 
 // Encodes a reply record by record.
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -86,15 +86,15 @@
                : worth / static_cast<double>(std::max<std::size_t>(1, query.parts.size()));
   }
 
-  // Draws whether to spare this work, by how far what was worked on exceeds what earned its worth. Random, so
-  // that a broker with little traffic does its share on average.
+  // Whether to refuse this work, with a probability that grows with the share of earlier work that earned
+  // nothing. Random, so that it also works at a broker with little traffic.
   bool drawn_for_refusal(const DecayedMean& yield, double parts) {
     double decay = std::exp(-(now_ - yield.updated) / yield_memory);
     return uniform() < (yield.weight - yield_slack * yield.sum) * decay / (yield.weight * decay + parts);
   }
 
   // Refuses a query whose class and tenant, or whose shards, do not earn the work spent on them. A query that
-  // can do without the parts for a bad shard only skips these.
+  // can do without the parts for a failing shard only skips these.
   void refuse_at_random(Query& query) {
     double reachable = 0;
     double draw =
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -11,6 +11,7 @@
 
 constexpr double most_parts_share = 0.9;  // of a query's parts; the rest are its last parts
 
+// The decision module, composed of the layers in this folder.
 class Broker final : public Policy, private Attempts {
  public:
   Broker(const Settings& settings, std::uint64_t seed) : Attempts(settings, seed) {}
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -22,6 +22,7 @@
 constexpr Duration answer_delivery_margin = 8ms;  // way to the client, beside two batch intervals
 constexpr double weight_tolerance = 5e-5;         // rounding error allowed in a sum of weights
 
+// One send of a part to a node.
 struct Attempt {
   NodeId node = 0;
   Time sent{};
@@ -34,6 +35,7 @@
   bool may_have_run = true;
 };
 
+// The share of a query that one shard answers.
 struct Part {
   PartId id = 0;
   int step = 1;
@@ -55,6 +57,7 @@
   }
 };
 
+// A query, from its arrival until it has ended and no attempt is in flight.
 struct Query {
   QueryId id = 0;
   std::uint32_t ordinal = 0;
@@ -75,6 +78,7 @@
   std::vector<Part> parts;
 };
 
+// A node and its health.
 struct Node {
   Member member;
   bool listed = false;
@@ -95,6 +99,7 @@
   Time updated{};
 };
 
+// An ended attempt, as a sample of latency or of overload.
 struct Sample {
   Time at{};
   bool overload = false;  // refused or timed out
