--- a/src/altavia/door.cpp
+++ b/src/altavia/door.cpp
@@ -83,33 +83,35 @@
 Door::Door(net::Loop& loop, transport::Wire& wire, Options options)
     : loop_(loop),
       front_(loop, std::move(options.warn), options.most_clients, *this, patience, first_limits),
-      nodes_(loop, [this](pederu::CallId call,
-                          const pederu::CallEnd& end) { station_.desk().ended(loop_.now(), call, end); }),
-      station_(wire, std::move(options.follower), nodes_, options.allowance) {}
+      nodes_(loop,
+             [this](dispatch::CallId call, const dispatch::CallResult& end) {
+               gateway_.dispatcher().call_ended(loop_.now(), call, end);
+             }),
+      gateway_(wire, std::move(options.follower), nodes_, options.allowance) {}
 
 void Door::start(const net::Address& address) {
   front_.leave_heads_bare();
   front_.listen(address);
-  station_.start(loop_.now());
+  gateway_.start(loop_.now());
 }
 
 void Door::client_left(net::SlotId connection) {
   auto found = requests_.find(key(connection));
   if (found == requests_.end()) return;
-  station_.left(found->second);
+  gateway_.client_disconnected(found->second);
   clients_.erase(key(found->second));
   requests_.erase(found);
 }
 
 void Door::request_arrived(net::SlotId connection, const http::Message& message) {
-  pederu::Arrival arrival;
+  dispatch::ClientRequest arrival;
   arrival.method = message.method;
   Target target = target_of(message);
   arrival.target = target.path;
   arrival.host = target.host;
   arrival.id = only_id(message);
   arrival.body = message.body;
-  arrival.began = front_.request_began(connection);
+  arrival.received_at = front_.request_began(connection);
   if (auto deadline = message.header("Deadline-Ms")) {
     double ms = 0;
     auto [stop, error] = std::from_chars(deadline->data(), deadline->data() + deadline->size(), ms);
@@ -124,53 +126,54 @@
   }
   if (message.body.empty() && (message.header("Content-Length") || message.header("Transfer-Encoding")))
     arrival.head += "Content-Length: 0\r\n";
-  pederu::FinalAnswer final;
+  dispatch::ClientResponse final;
   if (arrival.id.empty()) {
     final.status = 400;
     return answer(connection, std::move(final));
   }
-  vandelli::Drawer drawer;
-  if (const averau::Allowances* allowances = station_.allowances()) {
-    drawer.holder = message.header(allowances->holder_header).value_or(std::string_view());
-    drawer.key = allowances->key_header.empty() ? arrival.id
-                                                : message.header(allowances->key_header).value_or(arrival.id);
+  edgegateway::QuotaIdentity quota_identity;
+  if (const averau::Allowances* allowances = gateway_.quota_rules()) {
+    quota_identity.holder = message.header(allowances->holder_header).value_or(std::string_view());
+    quota_identity.key = allowances->key_header.empty()
+                             ? arrival.id
+                             : message.header(allowances->key_header).value_or(arrival.id);
   }
-  pederu::RequestId request = station_.arrive(loop_.now(), arrival, drawer, final);
+  dispatch::RequestId request = gateway_.submit(loop_.now(), arrival, quota_identity, final);
   if (!request) return answer(connection, std::move(final));
   clients_[key(request)] = connection;
   requests_[key(connection)] = request;
 }
 
-void Door::answer(net::SlotId connection, pederu::FinalAnswer final) {
+void Door::answer(net::SlotId connection, dispatch::ClientResponse final) {
   clients::Answer answer;
   answer.status = final.status;
-  answer.type = final.type;
+  answer.type = final.content_type;
   answer.retry_after_s = final.retry_after_s;
   answer.headers = std::move(final.headers);
   answer.body = std::move(final.body);
-  answer.bare = final.bare;
+  answer.bare = final.no_body;
   front_.answer(connection, answer);
 }
 
 bool Door::take_configuration() {
-  if (station_.routed() == routed_) return false;
-  routed_ = station_.routed();
-  const averau::Limits& limits = station_.follower().view().configuration()->limits;
-  front_.set_bounds({pederu::from_ms(limits.header_wait_ms), patience.answer},
+  if (gateway_.routed_revision() == routed_) return false;
+  routed_ = gateway_.routed_revision();
+  const averau::Limits& limits = gateway_.follower().view().configuration()->limits;
+  front_.set_bounds({dispatch::from_ms(limits.header_wait_ms), patience.answer},
                     {limits.header_bytes, limits.body_bytes, lines_in(limits.header_bytes)});
   return true;
 }
 
 void Door::sweep() {
   nodes_.sweep();
-  if (const auto& configuration = station_.follower().view().configuration())
-    front_.close_idle_since(loop_.now() - pederu::from_ms(configuration->limits.idle_ms));
+  if (const auto& configuration = gateway_.follower().view().configuration())
+    front_.close_idle_since(loop_.now() - dispatch::from_ms(configuration->limits.idle_ms));
 }
 
 void Door::after_turn() {
   net::Time now = loop_.now();
-  station_.advance(now);
-  for (auto& [request, final] : station_.take_answers(now)) {
+  gateway_.advance(now);
+  for (auto& [request, final] : gateway_.take_responses(now)) {
     auto found = clients_.find(key(request));
     if (found == clients_.end()) continue;
     net::SlotId connection = found->second;
--- a/src/altavia/door.h
+++ b/src/altavia/door.h
@@ -1,4 +1,4 @@
-// What stands between clients and nodes: the front door, the connections to nodes, and vandelli's station,
+// What stands between clients and nodes: the front door, the connections to nodes, and edgegateway's gateway,
 // which decides. It is given its wire to the core, and listens when it is told to.
 #pragma once
 
@@ -6,9 +6,9 @@
 #include <unordered_map>
 
 #include "clients/front.h"
+#include "edgegateway/edge_gateway.h"
 #include "net/loop.h"
 #include "upstream/node_links.h"
-#include "vandelli/station.h"
 
 namespace pearspar::altavia {
 
@@ -16,7 +16,7 @@
  public:
   struct Options {
     vazzoler::FollowerOptions follower;
-    pederu::AllowanceRules allowance;
+    dispatch::RetryBudgetRules allowance;
     std::size_t most_clients = 0;
     clients::Front::Warn warn;
   };
@@ -27,7 +27,7 @@
   // After every turn of the loop and every frame of the core's: answers go out, limits are taken over.
   void after_turn();
   // This process ends: every request that is open is answered with the end of this turn.
-  void end_open() { station_.end_open(loop_.now()); }
+  void finish_open_requests() { gateway_.finish_open_requests(loop_.now()); }
   // True once for each edition that requests are routed by from here on.
   bool take_configuration();
   // To be called every second: connections that have been idle for too long.
@@ -42,21 +42,21 @@
   clients::Front& front() { return front_; }
   const clients::Front& front() const { return front_; }
   const upstream::NodeLinks& nodes() const { return nodes_; }
-  vandelli::Station& station() { return station_; }
-  const vandelli::Station& station() const { return station_; }
+  edgegateway::EdgeGateway& gateway() { return gateway_; }
+  const edgegateway::EdgeGateway& gateway() const { return gateway_; }
 
  private:
   void request_arrived(net::SlotId connection, const http::Message& message) override;
   void client_left(net::SlotId connection) override;
-  void answer(net::SlotId connection, pederu::FinalAnswer answer);
+  void answer(net::SlotId connection, dispatch::ClientResponse answer);
 
   net::Loop& loop_;
   clients::Front front_;
   upstream::NodeLinks nodes_;
-  vandelli::Station station_;
-  averau::Edition routed_ = 0;                                     // edition whose limits hold
-  std::unordered_map<std::uint64_t, net::SlotId> clients_;         // of open requests
-  std::unordered_map<std::uint64_t, pederu::RequestId> requests_;  // the other way
+  edgegateway::EdgeGateway gateway_;
+  averau::Edition routed_ = 0;                                       // edition whose limits hold
+  std::unordered_map<std::uint64_t, net::SlotId> clients_;           // of open requests
+  std::unordered_map<std::uint64_t, dispatch::RequestId> requests_;  // the other way
 };
 
 }  // namespace pearspar::altavia
--- a/src/altavia/edge.cpp
+++ b/src/altavia/edge.cpp
@@ -43,7 +43,7 @@
              {settings.retry_ratio, settings.retry_slack, net::Duration(settings.retry_window_s)},
              most_clients(settings),
              warn}) {
-  door_.station().desk().nodes().set_home(settings.zone);
+  door_.gateway().dispatcher().load_balancer().set_home_zone(settings.zone);
   door_.set_memory_bounds(settings.memory_bytes(edge_shares.clients),
                           settings.memory_bytes(edge_shares.servers));
   links_.set_memory_bound(settings.memory_bytes(edge_shares.links));
@@ -61,7 +61,7 @@
   } else if (message.target == "/pearspar/counters") {
     answer.body = metrics::as_json(samples());
   } else if (message.target == "/pearspar/failures") {
-    answer.body = door_.station().desk().failures().as_json(loop_.now());
+    answer.body = door_.gateway().dispatcher().failure_log().as_json(loop_.now());
   } else if (message.target == "/pearspar/metrics") {
     answer.type = "text/plain; version=0.0.4";
     answer.body = metrics::as_text(samples(), settings_.node_name, settings_.zone);
@@ -84,17 +84,17 @@
 }
 
 void Edge::link_up(transport::LinkId link, const std::string& address) {
-  door_.station().link_up(link, address);
+  door_.gateway().link_up(link, address);
 }
-void Edge::link_down(transport::LinkId link) { door_.station().link_down(link); }
+void Edge::link_down(transport::LinkId link) { door_.gateway().link_down(link); }
 void Edge::link_frame(transport::LinkId link, std::string_view frame) {
-  door_.station().link_frame(loop_.now(), link, frame);
+  door_.gateway().link_frame(loop_.now(), link, frame);
   take_configuration();
 }
 
 void Edge::take_configuration() {
   if (!door_.take_configuration()) return;
-  const auto& configuration = door_.station().follower().view().configuration();
+  const auto& configuration = door_.gateway().follower().view().configuration();
   log(Level::info, "configuration",
       {{"edition", configuration->edition}, {"routes", configuration->routes.size()}});
 }
@@ -110,14 +110,14 @@
   door_.after_turn();
   take_configuration();
   if (stopping_) wind_down();
-  net::Time due = door_.station().due(now);
+  net::Time due = door_.gateway().due(now);
   if (stopping_) due = std::min(due, now + net::Duration(0.05));
   due_ = loop_.at(std::max(due, now), [] {});
 }
 
 void Edge::settings_changed(const coldai::Settings& settings) {
   settings_.seeds = settings.seeds;
-  door_.station().follower().set_seeds(settings_.inner_seeds());
+  door_.gateway().follower().set_seeds(settings_.inner_seeds());
 }
 
 void Edge::stop() {
@@ -127,7 +127,7 @@
   stop_at_ = loop_.now() + std::min(leave_after, grace * leave_share);
   end_at_ = loop_.now() + grace - std::min(leave_before, grace * most_left_of_grace);
   door_.front().wind_down();
-  log(Level::info, "edge_stops", {{"open", door_.station().desk().open()}});
+  log(Level::info, "edge_stops", {{"open", door_.gateway().dispatcher().open_requests()}});
 }
 
 void Edge::wind_down() {
@@ -137,44 +137,45 @@
   if (door_.front().busy() > 0 && loop_.now() < end_at_) return;
   if (answers_taken_by_ == net::Time{}) {
     answers_taken_by_ = loop_.now() + answers_taken_within;
-    door_.end_open();
+    door_.finish_open_requests();
     door_.after_turn();
   }
   if (door_.front().busy() > 0 && loop_.now() < answers_taken_by_) return;
-  door_.station().follower().farewell();
+  door_.gateway().follower().farewell();
   ended_ = true;
 }
 
 std::vector<metrics::Sample> Edge::samples() const {
-  const pederu::DeskCounters& desk = door_.station().desk().counters();
-  const pramperet::PurseCounters& purse = door_.station().purse().counters();
+  const dispatch::DispatcherCounters& dispatcher = door_.gateway().dispatcher().counters();
+  const pramperet::PurseCounters& purse = door_.gateway().purse().counters();
   const upstream::LinkCounters& links = door_.nodes().counters();
   const clients::FrontCounters& front = door_.front().counters();
   auto n = [](auto value) { return static_cast<double>(value); };
   return {
-      {"altavia_requests_total", "requests of clients", n(desk.requests)},
-      {"altavia_gathered_total", "of those on routes that gather", n(desk.gathered)},
-      {"altavia_whole_total", "gathered answers with all parts", n(desk.whole)},
-      {"altavia_partial_total", "gathered answers that left parts out", n(desk.partial)},
-      {"altavia_single_total", "other answers", n(desk.single)},
-      {"altavia_refused_total", "given up before anything ran, with a time to come back", n(desk.refused)},
+      {"altavia_requests_total", "requests of clients", n(dispatcher.requests)},
+      {"altavia_gathered_total", "of those on routes that gather", n(dispatcher.gathered)},
+      {"altavia_whole_total", "gathered answers with all parts", n(dispatcher.whole)},
+      {"altavia_partial_total", "gathered answers that left parts out", n(dispatcher.partial)},
+      {"altavia_single_total", "other answers", n(dispatcher.single)},
+      {"altavia_refused_total", "given up before anything ran, with a time to come back",
+       n(dispatcher.refused)},
       {"altavia_given_up_total", "of those, for services that were asked for more than they can do",
-       n(desk.given_up)},
+       n(dispatcher.given_up)},
       {"altavia_allowance_drawn_total", "tokens of allowances spent here", n(purse.drawn)},
       {"altavia_allowance_repeated_total", "tries of what was counted here before", n(purse.repeated)},
       {"altavia_allowance_waited_total", "requests that waited for the leader's word", n(purse.waited)},
       {"altavia_allowance_refused_total", "refused: nothing was left, or no word came", n(purse.refused)},
       {"altavia_allowance_given_back_total", "drawn, and run by nobody", n(purse.given_back)},
-      {"altavia_failed_total", "given up after something may have run", n(desk.failed)},
-      {"altavia_no_route_total", "404", n(desk.no_route)},
-      {"altavia_calls_total", "requests sent to nodes", n(desk.calls)},
-      {"altavia_second_calls_total", "of those past the first of a part", n(desk.second_calls)},
-      {"altavia_withheld_total", "second calls that the allowance did not cover", n(desk.withheld)},
-      {"altavia_not_run_total", "calls that a node turned away", n(desk.not_run)},
-      {"altavia_misplaced_total", "calls that met another node (421)", n(desk.misplaced)},
-      {"altavia_no_way_total", "calls without a connection", n(desk.no_way)},
-      {"altavia_broken_total", "calls whose connection broke or carried no answer", n(desk.broken)},
-      {"altavia_late_total", "calls out at their request's aim", n(desk.late)},
+      {"altavia_failed_total", "given up after something may have run", n(dispatcher.failed)},
+      {"altavia_no_route_total", "404", n(dispatcher.no_route)},
+      {"altavia_calls_total", "requests sent to nodes", n(dispatcher.calls)},
+      {"altavia_second_calls_total", "of those past the first of a part", n(dispatcher.second_calls)},
+      {"altavia_withheld_total", "second calls that the allowance did not cover", n(dispatcher.withheld)},
+      {"altavia_not_run_total", "calls that a node turned away", n(dispatcher.not_run)},
+      {"altavia_misplaced_total", "calls that met another node (421)", n(dispatcher.misdirected)},
+      {"altavia_no_way_total", "calls without a connection", n(dispatcher.no_connection)},
+      {"altavia_broken_total", "calls whose connection broke or carried no answer", n(dispatcher.broken)},
+      {"altavia_late_total", "calls out at their request's aim", n(dispatcher.late)},
       {"altavia_opened_total", "connections opened to nodes", n(links.opened)},
       {"altavia_reused_total", "calls on a connection that stood", n(links.reused)},
       {"altavia_spoilt_total", "answers to something else, or none", n(links.spoilt)},
@@ -197,17 +198,17 @@
       {"altavia_link_bytes", "held for links to other processes", n(links_.held_bytes())},
       {"altavia_links_closed_for_memory_total", "links cut off since their bytes had reached their bound",
        n(links_.closed_for_memory())},
-      {"altavia_unread_total", "frames that could not be read", n(door_.station().follower().unread())},
+      {"altavia_unread_total", "frames that could not be read", n(door_.gateway().follower().unread())},
       {"altavia_log_lines_dropped_total", "lines that would have waited, or were too many",
        n(logging::dropped_lines())},
-      {"altavia_cancelled_total", "calls ended since their client had left", n(desk.cancelled)},
+      {"altavia_cancelled_total", "calls ended since their client had left", n(dispatcher.cancelled)},
       {"altavia_allocations_refused_total", "served from the reserve", n(allocation::refusals())},
       {"altavia_violations_total", "of invariants; never to be more than none", n(invariants::violations())},
-      {"altavia_open", "requests under way", n(door_.station().desk().open())},
-      {"altavia_coverage", "share of the weight that is asked", door_.station().desk().coverage()},
-      {"altavia_edition", "configuration in force", n(door_.station().follower().view().edition())},
-      {"altavia_nodes", "nodes known", n(door_.station().follower().view().nodes().all().size())},
-      {"altavia_edges", "edges that hold a lease", n(door_.station().follower().view().edges())},
+      {"altavia_open", "requests under way", n(door_.gateway().dispatcher().open_requests())},
+      {"altavia_coverage", "share of the weight that is asked", door_.gateway().dispatcher().coverage()},
+      {"altavia_edition", "configuration in force", n(door_.gateway().follower().view().edition())},
+      {"altavia_nodes", "nodes known", n(door_.gateway().follower().view().nodes().all().size())},
+      {"altavia_edges", "edges that hold a lease", n(door_.gateway().follower().view().edges())},
       {"altavia_ready", "whether it takes clients", ready() ? 1.0 : 0.0},
   };
 }
--- a/src/altavia/edge.h
+++ b/src/altavia/edge.h
@@ -1,4 +1,4 @@
-// A process that clients reach: the door with its station, the check of its readiness, the links to the core,
+// A process that clients reach: the door with its gateway, the check of its readiness, the links to the core,
 // and how it ends.
 #pragma once
 
@@ -30,7 +30,7 @@
   std::size_t client_bytes() const { return door_.front().held_bytes() + check_.held_bytes(); }
   std::size_t server_bytes() const { return door_.nodes().held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
-  bool ready() const { return !stopping_ && door_.station().ready(); }
+  bool ready() const { return !stopping_ && door_.gateway().ready(); }
 
  private:
   // The check of our readiness.
--- a/src/biella/cluster.cpp
+++ b/src/biella/cluster.cpp
@@ -80,13 +80,13 @@
 std::string Cluster::core_address(std::size_t core) const { return cores_[core]->address; }
 std::string Cluster::edge_address(std::size_t edge) const { return edges_[edge]->address; }
 const vazzoler::Follower* Cluster::follower(std::size_t edge) const {
-  return edges_[edge]->process ? &edges_[edge]->process->station.follower() : nullptr;
+  return edges_[edge]->process ? &edges_[edge]->process->gateway.follower() : nullptr;
 }
-const pederu::Desk* Cluster::desk(std::size_t edge) const {
-  return edges_[edge]->process ? &edges_[edge]->process->station.desk() : nullptr;
+const dispatch::Dispatcher* Cluster::dispatcher(std::size_t edge) const {
+  return edges_[edge]->process ? &edges_[edge]->process->gateway.dispatcher() : nullptr;
 }
-const vandelli::Station* Cluster::station(std::size_t edge) const {
-  return edges_[edge]->process ? &edges_[edge]->process->station : nullptr;
+const edgegateway::EdgeGateway* Cluster::gateway(std::size_t edge) const {
+  return edges_[edge]->process ? &edges_[edge]->process->gateway : nullptr;
 }
 std::string Cluster::node_address(std::size_t node) const { return nodes_[node]->address; }
 std::string Cluster::node_depot(std::size_t node) const { return nodes_[node]->depot; }
@@ -95,11 +95,11 @@
   if (leader() < 0) checker_.broken("ACKS", "nobody leads long after everything was mended");
   for (auto& edge : edges_) {
     if (!edge->process) continue;
-    checker_.settled(edge->name, edge->process->station.follower().view().edition());
+    checker_.settled(edge->name, edge->process->gateway.follower().view().edition());
     for (auto& node : nodes_)
-      if (node->up && !node->closing && !edge->process->station.follower().view().nodes().find(node->id))
+      if (node->up && !node->closing && !edge->process->gateway.follower().view().nodes().find(node->id))
         checker_.broken("LIST", edge->name + " does not know " + node->id);
-    std::size_t known = edge->process->station.follower().view().nodes().all().size();
+    std::size_t known = edge->process->gateway.follower().view().nodes().all().size();
     if (known > nodes_.size()) checker_.broken("LIST", edge->name + " knows too many nodes");
   }
   checker_.finish();
--- a/src/biella/cluster.h
+++ b/src/biella/cluster.h
@@ -17,9 +17,9 @@
 #include "biella/net.h"
 #include "biella/streams.h"
 #include "biella/strikes.h"
-#include "pederu/desk.h"
+#include "dispatch/dispatcher.h"
+#include "edgegateway/edge_gateway.h"
 #include "sennes/member.h"
-#include "vandelli/station.h"
 #include "vazzoler/follower.h"
 
 namespace pearspar::altavia {
@@ -49,7 +49,7 @@
   std::string allowances;
   std::vector<std::string> holders;  // that retrieve
   double retrievals_per_s = 0;
-  bool http = false;      // clients and nodes speak to edges in bytes; else the desk is called by itself
+  bool http = false;  // clients and nodes speak to edges in bytes; else the dispatcher is called by itself
   double first_edge = 0;  // share of the requests that go to the first edge beside its own part
   int operators = 2;
   double clock_drift = 0;     // members' clocks run up to this part of their speed apart
@@ -127,7 +127,7 @@
   void kill_edge(std::size_t edge, double back_s);
   void freeze_edge(std::size_t edge, double for_s);
   const vazzoler::Follower* follower(std::size_t edge) const;
-  const pederu::Desk* desk(std::size_t edge) const;
+  const dispatch::Dispatcher* dispatcher(std::size_t edge) const;
   std::string edge_address(std::size_t edge) const;
 
   std::size_t nodes() const { return nodes_.size(); }
@@ -199,7 +199,7 @@
   void set_allowances(const std::string& json) { options_.allowances = json; }
   const Auditor& auditor() const { return auditor_; }
   std::vector<std::string> audit(const std::vector<Auditor::Limit>& limits, bool exactly) const;
-  const vandelli::Station* station(std::size_t edge) const;
+  const edgegateway::EdgeGateway* gateway(std::size_t edge) const;
   // Told whenever an edge routes by another edition.
   std::function<void(std::size_t edge, std::uint64_t edition)> edge_told = [](std::size_t, std::uint64_t) {};
   std::vector<std::string> seeds() const;
@@ -244,7 +244,7 @@
   void ask();
   // A client's request by its name and path, and further lines of its head.
   void request(Edge& edge, const std::string& id, const std::string& target, const std::string& lines,
-               const vandelli::Drawer& drawer);
+               const edgegateway::QuotaIdentity& quota_identity);
   void count_for_services(Edge& edge, const std::string& id, const std::string& target);
   // What its client hears in the end; `stamps` and `missing` of a gathered answer.
   void heard(const std::string& id, int status, const std::string& stamps, const std::string& missing,
--- a/src/biella/cluster_core.cpp
+++ b/src/biella/cluster_core.cpp
@@ -236,7 +236,7 @@
       core->process->life.run(
           [this, process = core->process.get()] { process->member->set_seeds(told_seeds_); });
   for (auto& edge : edges_)
-    if (edge->process) edge->process->station.follower().set_seeds(told_seeds_);
+    if (edge->process) edge->process->gateway.follower().set_seeds(told_seeds_);
 }
 
 void Cluster::wipe_core(std::size_t index, double back_s) {
--- a/src/biella/cluster_edges.cpp
+++ b/src/biella/cluster_edges.cpp
@@ -19,7 +19,7 @@
     Time now = world_.now();
     process.turn();
     process.tell_routes();
-    Time due = std::max(process.station.due(now), now + Duration(0.0005));
+    Time due = std::max(process.gateway.due(now), now + Duration(0.0005));
     if (process.service) {
       due = std::min(due, std::max(process.service->loop->next_due(), now + Duration(0.0005)));
       // Somebody had something: there may be more.
@@ -44,7 +44,7 @@
     process.service->door->start(net::Address::of(edge.door));
     process.sweep();
   } else {
-    process.station.start(world_.now());
+    process.gateway.start(world_.now());
   }
   process.life.run([] {});
 }
@@ -54,14 +54,14 @@
       edge(of),
       life(to.world_),
       port(to.net_, of.address, *this),
-      station(make_station(number)) {}
+      gateway(make_gateway(number)) {}
 
-vandelli::Station& Cluster::Edge::Process::make_station(std::uint64_t number) {
+edgegateway::EdgeGateway& Cluster::Edge::Process::make_gateway(std::uint64_t number) {
   const ClusterOptions& options = cluster.options_;
   vazzoler::FollowerOptions follower{number, edge.name, "z", cluster.seeds(), edge.address};
-  pederu::AllowanceRules rules{options.retry_ratio, options.retry_slack, std::chrono::seconds(10)};
+  dispatch::RetryBudgetRules rules{options.retry_ratio, options.retry_slack, std::chrono::seconds(10)};
   if (!options.http) {
-    alone = std::make_unique<vandelli::Station>(port, follower, *this, rules);
+    alone = std::make_unique<edgegateway::EdgeGateway>(port, follower, *this, rules);
     return *alone;
   }
   service = std::make_unique<Service>(cluster.streams_);
@@ -69,7 +69,7 @@
   service->loop = std::make_unique<net::Loop>();
   service->door = std::make_unique<altavia::Door>(
       *service->loop, port, altavia::Door::Options{follower, rules, most_clients, [](std::string_view) {}});
-  return service->door->station();
+  return service->door->gateway();
 }
 
 Cluster::Edge::Process::~Process() {
@@ -96,8 +96,8 @@
     service->door->take_configuration();
     return;
   }
-  station.advance(now);
-  for (auto& [request, answer] : station.take_answers(now)) {
+  gateway.advance(now);
+  for (auto& [request, answer] : gateway.take_responses(now)) {
     auto found = open.find(std::uint64_t{request.index} << 32 | request.generation);
     if (found == open.end()) continue;
     std::string id = found->second;
@@ -107,8 +107,8 @@
 }
 
 // One request to one node, as a connection of its own would carry it.
-bool Cluster::Edge::Process::start(pederu::CallId call, const pederu::KnownNode& known, int,
-                                   pederu::NodeRequest to_send, pederu::Time end) {
+bool Cluster::Edge::Process::start(dispatch::CallId call, const dispatch::NodeState& known, int,
+                                   dispatch::NodeRequest to_send, dispatch::Time end) {
   const std::string request = to_send.text(end - cluster.world_.now());
   World& world = cluster.world_;
   std::string id = between(request, "Request-Id: ", "\r\n");
@@ -118,16 +118,16 @@
   std::string holder = between(request, "Holder: ", "\r\n"),
               key = between(request, "Retrieval-Key: ", "\r\n");
   std::string address = known.address;
-  auto back = [this, call, alive = life.alive](pederu::Ending ending, int status, std::string stamp,
+  auto back = [this, call, alive = life.alive](dispatch::CallOutcome ending, int status, std::string stamp,
                                                std::string body) {
     if (!*alive) return;
     life.run([this, call, ending, status, stamp, body] {
-      pederu::CallEnd done;
-      done.ending = ending;
+      dispatch::CallResult done;
+      done.outcome = ending;
       done.status = status;
-      done.stamp = stamp;
+      done.postmark = stamp;
       done.body = body;
-      station.desk().ended(cluster.world_.now(), call, done);
+      gateway.dispatcher().call_ended(cluster.world_.now(), call, done);
     });
   };
   // The request goes its way whatever becomes of the edge that sent it.
@@ -138,20 +138,20 @@
     auto found = std::find_if(all.nodes_.begin(), all.nodes_.end(),
                               [&](const auto& node) { return node->address == address && node->up; });
     if (!all.net_.reaches(here, address) || !all.net_.reaches(address, here))
-      return world.in(Duration(0.7), [back] { back(pederu::Ending::no_way, 0, {}, {}); });
+      return world.in(Duration(0.7), [back] { back(dispatch::CallOutcome::no_connection, 0, {}, {}); });
     if (found == all.nodes_.end()) {
       auto dark = std::find_if(all.nodes_.begin(), all.nodes_.end(),
                                [&](const auto& node) { return node->address == address && node->dark; });
       Time told = dark == all.nodes_.end() ? world.now() + all.net_.delay(address, here)
                                            : world.now() + Duration(0.7);
-      world.at(told, [back] { back(pederu::Ending::no_way, 0, {}, {}); });
+      world.at(told, [back] { back(dispatch::CallOutcome::no_connection, 0, {}, {}); });
       return;
     }
     Node& node = **found;
     auto later = [&world, &all, here, address](std::function<void()> what) {
       world.in(all.net_.delay(address, here), std::move(what));
     };
-    if (node.id != addressee) return later([back] { back(pederu::Ending::misplaced, 421, {}, {}); });
+    if (node.id != addressee) return later([back] { back(dispatch::CallOutcome::misdirected, 421, {}, {}); });
     all.checker_.request_reached(all.seconds(), node.id, node.depot, id, all.edge_in_touch());
     auto begins = [&all, &node, id, holder, key, method, target] {
       if (!key.empty()) all.auditor_.ran(holder, id[0] == 'g' ? "sweep" : "pull", key);
@@ -159,15 +159,16 @@
     };
     auto done = [&all, &node, id, back, later] {
       Made made = all.make_answer(node, id, true);
-      later([back, made] { back(pederu::Ending::answered, 200, made.stamp, made.body); });
+      later([back, made] { back(dispatch::CallOutcome::answered, 200, made.stamp, made.body); });
     };
-    auto lost = [back, later] { later([back] { back(pederu::Ending::broken, 0, {}, {}); }); };
-    if (!all.work(node, begins, done, lost)) later([back] { back(pederu::Ending::not_run, 503, {}, {}); });
+    auto lost = [back, later] { later([back] { back(dispatch::CallOutcome::broken, 0, {}, {}); }); };
+    if (!all.work(node, begins, done, lost))
+      later([back] { back(dispatch::CallOutcome::not_run, 503, {}, {}); });
   });
   return true;
 }
 
-void Cluster::Edge::Process::finish(const std::string& id, const pederu::FinalAnswer& answer) {
+void Cluster::Edge::Process::finish(const std::string& id, const dispatch::ClientResponse& answer) {
   cluster.calls_.heard(id, {answer.status, between(answer.headers, "Request-Id: ", "\r\n"),
                             id[0] == 'g' ? "" : between(answer.headers, "Postmark: ", "\r\n"), answer.body});
   cluster.heard(id, answer.status, between(answer.headers, "Part-Postmarks: ", "\r\n"),
@@ -210,7 +211,7 @@
   Edge& edge =
       *edges_[options_.first_edge > 0 && world_.chance(options_.first_edge) ? 0
                                                                             : world_.below(edges_.size())];
-  if (!edge.process || !edge.process->station.ready()) return;
+  if (!edge.process || !edge.process->gateway.ready()) return;
   double drawn = world_.uniform(0, 1);
   std::string kind = drawn < 0.5 ? "g" : drawn < 0.75 ? "s" : "u";
   if (clients_) return clients_->ask(edge, kind);
@@ -219,19 +220,20 @@
 }
 
 void Cluster::request(Edge& edge, const std::string& id, const std::string& target, const std::string& lines,
-                      const vandelli::Drawer& drawer) {
+                      const edgegateway::QuotaIdentity& quota_identity) {
   if (clients_) return clients_->send_one(edge, id, target, lines);
   calls_.begun(id, {"GET", target, "", id[0] != 'u', id[0] == 'g'});
   calls_.sent(id);
   Edge::Process& process = *edge.process;
-  process.life.run(
-      [&process, id, target, lines, drawer] { process.take_request(id, target, lines, drawer); });
+  process.life.run([&process, id, target, lines, quota_identity] {
+    process.take_request(id, target, lines, quota_identity);
+  });
 }
 
 // A request counts for every service that its route names, sent there or not.
 void Cluster::count_for_services(Edge& edge, const std::string& id, const std::string& target) {
   if (!edge.process) return;
-  const auto& configuration = edge.process->station.follower().view().configuration();
+  const auto& configuration = edge.process->gateway.follower().view().configuration();
   if (!configuration) return;
   for (const averau::Route& route : configuration->routes)
     if (target.starts_with(route.prefix)) {
@@ -242,17 +244,18 @@
 }
 
 void Cluster::Edge::Process::take_request(const std::string& id, const std::string& target,
-                                          const std::string& lines, const vandelli::Drawer& drawer) {
-  pederu::Arrival arrival;
+                                          const std::string& lines,
+                                          const edgegateway::QuotaIdentity& quota_identity) {
+  dispatch::ClientRequest arrival;
   arrival.method = "GET";
   arrival.target = target;
   arrival.host = "h";
   arrival.id = id;
   arrival.deadline_ms = 1500;
   arrival.head = "GET " + target + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\n" + lines;
-  pederu::FinalAnswer answer;
+  dispatch::ClientResponse answer;
   cluster.count_for_services(edge, id, target);
-  pederu::RequestId request = station.arrive(cluster.world_.now(), arrival, drawer, answer);
+  dispatch::RequestId request = gateway.submit(cluster.world_.now(), arrival, quota_identity, answer);
   if (request)
     open[std::uint64_t{request.index} << 32 | request.generation] = id;
   else
--- a/src/biella/cluster_parts.h
+++ b/src/biella/cluster_parts.h
@@ -8,7 +8,7 @@
 #include "altavia/door.h"
 #include "biella/cluster.h"
 #include "biella/cluster_http.h"
-#include "vandelli/station.h"
+#include "edgegateway/edge_gateway.h"
 
 namespace pearspar::biella {
 
@@ -115,12 +115,12 @@
   std::string door;  // where clients connect, with `http`
   std::size_t place = 0;
   std::uint64_t starts = 0;
-  struct Process : transport::LinksUser, pederu::Calls {
+  struct Process : transport::LinksUser, dispatch::NodeClient {
     Cluster& cluster;
     Edge& edge;
     Life life;
     Port port;
-    // The HTTP side as in service, on simulated streams; null where the desk is called by itself.
+    // The HTTP side as in service, on simulated streams; null where the dispatcher is called by itself.
     struct Service {
       Host host;
       std::unique_ptr<net::Loop> loop;
@@ -129,38 +129,38 @@
       explicit Service(Streams& streams) : host(streams) {}
     };
     std::unique_ptr<Service> service;
-    std::unique_ptr<vandelli::Station> alone;
-    vandelli::Station& station;
+    std::unique_ptr<edgegateway::EdgeGateway> alone;
+    edgegateway::EdgeGateway& gateway;
     averau::Edition routed = 0;
     Time wake{};
     bool woken = false;
     std::unordered_map<std::uint64_t, std::string> open;  // request -> its id
     Process(Cluster& to, Edge& of, std::uint64_t number);
     ~Process() override;
-    vandelli::Station& make_station(std::uint64_t number);
+    edgegateway::EdgeGateway& make_gateway(std::uint64_t number);
     // Every second, on its own loop.
     void sweep();
     void link_up(transport::LinkId link, const std::string& address) override {
-      station.link_up(link, address);
+      gateway.link_up(link, address);
     }
-    void link_down(transport::LinkId link) override { station.link_down(link); }
+    void link_down(transport::LinkId link) override { gateway.link_down(link); }
     void link_frame(transport::LinkId link, std::string_view frame) override {
-      station.link_frame(life.world.now(), link, frame);
+      gateway.link_frame(life.world.now(), link, frame);
       tell_routes();
     }
     void tell_routes() {
-      if (station.routed() == routed) return;
-      routed = station.routed();
+      if (gateway.routed_revision() == routed) return;
+      routed = gateway.routed_revision();
       cluster.checker_.edge_routes_by(cluster.seconds(), edge.name, edge.starts, routed,
-                                      station.follower().view().configuration()->text);
+                                      gateway.follower().view().configuration()->text);
       cluster.edge_told(edge.place, routed);
     }
-    bool cancel(pederu::CallId, bool) override { return false; }  // its own wire lets calls run on
-    bool start(pederu::CallId call, const pederu::KnownNode& node, int most, pederu::NodeRequest request,
-               pederu::Time end) override;
+    bool cancel(dispatch::CallId, bool) override { return false; }  // its own wire lets calls run on
+    bool start(dispatch::CallId call, const dispatch::NodeState& node, int most,
+               dispatch::NodeRequest request, dispatch::Time end) override;
     void take_request(const std::string& id, const std::string& target, const std::string& lines,
-                      const vandelli::Drawer& drawer);
-    void finish(const std::string& id, const pederu::FinalAnswer& answer);
+                      const edgegateway::QuotaIdentity& quota_identity);
+    void finish(const std::string& id, const dispatch::ClientResponse& answer);
     void turn();
   };
   std::unique_ptr<Process> process;
--- a/src/biella/cluster_retrievals.cpp
+++ b/src/biella/cluster_retrievals.cpp
@@ -39,7 +39,7 @@
   auto again = [this, retrieval](double in) {
     world_.in(Duration(in), [this, retrieval] { try_retrieval(retrieval); });
   };
-  if (!edge.process || !edge.process->station.ready()) return again(0.1);
+  if (!edge.process || !edge.process->gateway.ready()) return again(0.1);
   std::string id = (retrieval->gathers ? "g" : "s") + std::to_string(++next_request_);
   auto over = std::make_shared<bool>(false);
   ended_[id] = [this, retrieval, over, again](int status) {
--- a/src/biella/http_days.cpp
+++ b/src/biella/http_days.cpp
@@ -78,9 +78,9 @@
     day.met["edge_reused"] += links.reused;
     day.met["edge_bad_requests"] += front.bad_requests;
     day.met["edge_timed_out"] += front.timed_out;
-    day.met["edge_second_calls"] += door->station().desk().counters().second_calls;
-    day.met["edge_no_way"] += door->station().desk().counters().no_way;
-    day.met["edge_broken"] += door->station().desk().counters().broken;
+    day.met["edge_second_calls"] += door->gateway().dispatcher().counters().second_calls;
+    day.met["edge_no_way"] += door->gateway().dispatcher().counters().no_connection;
+    day.met["edge_broken"] += door->gateway().dispatcher().counters().broken;
   }
 }
 
--- a/src/pederu/coverage.cpp
+++ b/src/dispatch/coverage_control.cpp
@@ -1,10 +1,10 @@
-#include "pederu/coverage.h"
+#include "dispatch/coverage_control.h"
 
 #include <algorithm>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-void Coverage::close_window(Time now) {
+void CoverageControl::close_window(Time now) {
   if (outcomes_ >= least_outcomes) {
     double bad = static_cast<double>(bad_) / outcomes_;
     if (bad > strain)
@@ -16,10 +16,10 @@
   outcomes_ = bad_ = 0;
 }
 
-void Coverage::outcome(Time now, bool refused_or_late) {
+void CoverageControl::outcome(Time now, bool refused_or_late) {
   if (now - window_start_ >= window) close_window(now);
   ++outcomes_;
   if (refused_or_late) ++bad_;
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/coverage.h
+++ b/src/dispatch/coverage_control.h
@@ -5,11 +5,11 @@
 
 #include <algorithm>
 
-#include "pederu/types.h"
+#include "dispatch/types.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-class Coverage {
+class CoverageControl {
  public:
   double share() const { return share_; }
   // Where an edge begins: at what its neighbours ask, not whole into an overload that they have narrowed for.
@@ -30,4 +30,4 @@
   int bad_ = 0;
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/desk.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,12 +1,12 @@
 // Requests come in, are planned, fall due and end; calls are in desk_calls.cpp, answers in desk_answers.cpp.
-#include "pederu/desk.h"
+#include "dispatch/dispatcher.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "invariants/invariants.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 namespace {
 
 using namespace std::chrono_literals;
@@ -22,17 +22,17 @@
 
 }  // namespace
 
-void Desk::set_edges(std::uint32_t edges) {
+void Dispatcher::set_edges(std::uint32_t edges) {
   edges_ = std::max<std::uint32_t>(1, edges);
-  allowance_.set_edges(edges_);
+  retry_budget_.set_edges(edges_);
 }
 
-RequestId Desk::arrive(Time now, const Arrival& arrival, FinalAnswer& answer) {
+RequestId Dispatcher::submit(Time now, const ClientRequest& arrival, ClientResponse& answer) {
   ++counters_.requests;
   auto refuse = [&](int status, double retry_after_s, Reason reason) {
     answer.status = status;
     answer.retry_after_s = retry_after_s;
-    answer.unrun = true;
+    answer.not_executed = true;
     answer.reason = reason;
     failures_.add({now, std::string(arrival.id), std::string(arrival.target), status, reason, {}, {}});
     return RequestId{};
@@ -47,7 +47,7 @@
   request.routes = routes_;
   request.route = route;
   request.arrived = now;
-  const Time began = arrival.began == Time{} ? now : std::min(now, arrival.began);
+  const Time began = arrival.received_at == Time{} ? now : std::min(now, arrival.received_at);
   double deadline = route->deadline_ms;
   if (arrival.deadline_ms > 0) deadline = std::min(deadline, arrival.deadline_ms);
   request.end = began + from_ms(deadline);
@@ -92,9 +92,9 @@
   return id;
 }
 
-bool Desk::admitted(Time now, const averau::Route& route, const std::vector<std::string>& depots,
-                    std::size_t least, FinalAnswer& answer, const Request& request) {
-  if (admission_.admit(now, route, depots, least, book_.typical(route).count() * 1000)) return true;
+bool Dispatcher::admitted(Time now, const averau::Route& route, const std::vector<std::string>& depots,
+                          std::size_t least, ClientResponse& answer, const Request& request) {
+  if (load_shedder_.admit(now, route, depots, least, book_.typical(route).count() * 1000)) return true;
   ++counters_.refused;
   ++counters_.given_up;
   answer = refusal(request, Reason::overload);
@@ -102,7 +102,7 @@
 }
 
 // Which services get it. False with an answer where it is given up already.
-bool Desk::plan(Time now, Request& request, FinalAnswer& answer) {
+bool Dispatcher::plan(Time now, Request& request, ClientResponse& answer) {
   const averau::Route& route = *request.route;
   if (!route.gathers()) {
     const std::string* depot = &route.depots[0].depot;
@@ -121,7 +121,7 @@
     request.parts.resize(1);
     request.parts[0].depot = *depot;
     request.parts[0].wanted = true;
-    allowance_.request(now, *depot);
+    retry_budget_.request(now, *depot);
     return true;
   }
   ++counters_.gathered;
@@ -152,11 +152,11 @@
     return false;
   }
   for (const Part& part : request.parts)
-    if (part.wanted) allowance_.request(now, part.depot);
+    if (part.wanted) retry_budget_.request(now, part.depot);
   return true;
 }
 
-void Desk::left(RequestId id) {
+void Dispatcher::client_disconnected(RequestId id) {
   Request* request = requests_.find(id);
   if (!request || request->done) return;
   request->done = true;
@@ -166,7 +166,7 @@
 }
 
 // The next moment at which something is to be done about it.
-void Desk::schedule(RequestId id, Request& request) {
+void Dispatcher::schedule(RequestId id, Request& request) {
   Time due = request.route->gathers() && !request.soft_over ? request.soft_end : request.end;
   for (const Part& part : request.parts)
     if (!part.in && !part.over) due = std::min(due, part.second_due);
@@ -175,7 +175,7 @@
   due_.emplace(due, id);
 }
 
-void Desk::end_open(Time now) {
+void Dispatcher::finish_open_requests(Time now) {
   ending_ = true;
   requests_.each([&](RequestId id, Request& request) {
     if (request.done) return;
@@ -187,7 +187,7 @@
   advance(now);
 }
 
-void Desk::advance(Time now) {
+void Dispatcher::advance(Time now) {
   while (!due_.empty() && due_.begin()->first <= now) {
     RequestId id = due_.begin()->second;
     due_.erase(due_.begin());
@@ -214,14 +214,14 @@
   }
 }
 
-void Desk::finish(Time now, RequestId id, FinalAnswer answer) {
+void Dispatcher::finish(Time now, RequestId id, ClientResponse answer) {
   Request& request = *requests_.find(id);
   if (answer.status == 503)
     ++counters_.refused;
   else if (answer.status >= 500 && request.route->gathers())
     ++counters_.failed;
   invariants::check(Promise::one_answer_per_request, !request.done, request.id);
-  invariants::check(Promise::refusal_means_not_run, !answer.unrun || !has_run(request), request.id);
+  invariants::check(Promise::refusal_means_not_run, !answer.not_executed || !has_run(request), request.id);
   note_failure(now, request, answer);
   request.done = true;
   due_.erase({request.due, id});
@@ -229,7 +229,7 @@
 }
 
 // With what became of its calls, those that are out still among them.
-void Desk::note_failure(Time now, const Request& request, const FinalAnswer& answer) {
+void Dispatcher::note_failure(Time now, const Request& request, const ClientResponse& answer) {
   if (answer.status < 500 && answer.reason == Reason::none) return;
   const Reason reason = answer.reason == Reason::none ? Reason::failed_at_nodes : answer.reason;
   Failure failure{now, request.id, request.route->name, answer.status, reason, now - request.arrived, {}};
@@ -243,7 +243,7 @@
 }
 
 // A request's place is kept until its last call has ended.
-void Desk::release(RequestId id) {
+void Dispatcher::release(RequestId id) {
   Request* request = requests_.find(id);
   if (!request || !request->done) return;
   for (const Part& part : request->parts)
@@ -251,4 +251,4 @@
   requests_.release(id);
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/desk.h
+++ b/src/dispatch/dispatcher.h
@@ -10,40 +10,41 @@
 #include <utility>
 #include <vector>
 
-#include "pederu/admission.h"
-#include "pederu/allowance.h"
-#include "pederu/coverage.h"
-#include "pederu/request.h"
-#include "pederu/route_book.h"
-#include "pederu/weights.h"
+#include "dispatch/coverage_control.h"
+#include "dispatch/load_shedder.h"
+#include "dispatch/request.h"
+#include "dispatch/retry_budget.h"
+#include "dispatch/route_statistics.h"
+#include "dispatch/shard_weights.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-// The desk's way to the nodes.
-class Calls {
+// The dispatcher's way to the nodes.
+class NodeClient {
  public:
-  virtual ~Calls() = default;
-  // False where no connection is to be had there now. Else desk.ended() follows, never from within this call.
-  virtual bool start(CallId call, const KnownNode& node, int most_connections, NodeRequest request,
+  virtual ~NodeClient() = default;
+  // False where no connection is to be had there now. Else dispatcher.call_ended() follows, never from within
+  // this call.
+  virtual bool start(CallId call, const NodeState& node, int most_connections, NodeRequest request,
                      Time end) = 0;
-  // Nobody waits for its answer. True where it is over by this, and desk.ended() does not follow: its
-  // connection ends. One of which something has been sent ends only with `even_if_sent`.
+  // Nobody waits for its answer. True where it is over by this, and dispatcher.call_ended() does not follow:
+  // its connection ends. One of which something has been sent ends only with `even_if_sent`.
   virtual bool cancel(CallId call, bool even_if_sent) = 0;
 };
 
-// What the desk takes from a client's request; all but the strings' bytes hold during the call only.
-struct Arrival {
+// What the dispatcher takes from a client's request; all but the strings' bytes hold during the call only.
+struct ClientRequest {
   std::string_view method;
   std::string_view target;
   std::string_view host;
   std::string_view id;
   double deadline_ms = 0;  // 0 = the client named none
-  Time began{};            // its first byte came; its time counts from there. Left out: now
+  Time received_at{};      // its first byte came; its time counts from there. Left out: now
   std::string head;        // lines to be handed on: request line, headers, each with its end
   std::string_view body;
 };
 
-struct DeskCounters {
+struct DispatcherCounters {
   std::uint64_t requests = 0;
   std::uint64_t gathered = 0;
   std::uint64_t whole = 0;
@@ -57,47 +58,47 @@
   std::uint64_t second_calls = 0;
   std::uint64_t withheld = 0;  // second calls that the allowance did not cover
   std::uint64_t not_run = 0;
-  std::uint64_t misplaced = 0;
-  std::uint64_t no_way = 0;
+  std::uint64_t misdirected = 0;
+  std::uint64_t no_connection = 0;
   std::uint64_t broken = 0;
   std::uint64_t late = 0;
   std::uint64_t cancelled = 0;  // calls whose client had gone
 };
 
-class Desk {
+class Dispatcher {
  public:
-  explicit Desk(Calls& calls) : calls_(calls) {}
+  explicit Dispatcher(NodeClient& calls) : node_client_(calls) {}
 
-  void set_routes(std::shared_ptr<const Routes> routes) { routes_ = std::move(routes); }
+  void set_routes(std::shared_ptr<const RouteTable> routes) { routes_ = std::move(routes); }
   void set_edges(std::uint32_t edges);
-  void set_allowance(const AllowanceRules& rules) { allowance_.set(rules); }
-  NodeBook& nodes() { return nodes_; }
+  void set_retry_budget(const RetryBudgetRules& rules) { retry_budget_.set(rules); }
+  LoadBalancer& load_balancer() { return nodes_; }
 
   // Its route; null where there is none.
-  const averau::Route* route_of(const Arrival& arrival) const {
+  const averau::Route* route_of(const ClientRequest& arrival) const {
     return routes_ ? routes_->find(arrival.host, arrival.target) : nullptr;
   }
-  // Where it can be told at once, `answer` is set; else it follows in take_answers().
-  RequestId arrive(Time now, const Arrival& arrival, FinalAnswer& answer);
+  // Where it can be told at once, `answer` is set; else it follows in take_responses().
+  RequestId submit(Time now, const ClientRequest& arrival, ClientResponse& answer);
   // Its client has gone: nothing new is begun, and calls that may be repeated, or of which nothing was sent,
   // end. What may not be repeated runs on.
-  void left(RequestId request);
+  void client_disconnected(RequestId request);
   // This process ends: every open request is answered now, with the parts that are in where they are enough,
   // else by 504, since a node may have run it.
-  void end_open(Time now);
-  void ended(Time now, CallId call, const CallEnd& end);
+  void finish_open_requests(Time now);
+  void call_ended(Time now, CallId call, const CallResult& end);
   // Does what has fallen due.
   void advance(Time now);
   Time due() const { return due_.empty() ? Time::max() : due_.begin()->first; }
 
-  std::vector<std::pair<RequestId, FinalAnswer>> take_answers() { return std::exchange(answers_, {}); }
-  std::size_t open() const { return requests_.size(); }
-  const DeskCounters& counters() const { return counters_; }
+  std::vector<std::pair<RequestId, ClientResponse>> take_responses() { return std::exchange(answers_, {}); }
+  std::size_t open_requests() const { return requests_.size(); }
+  const DispatcherCounters& counters() const { return counters_; }
   double coverage() const { return coverage_.share(); }
   void begin_coverage(double share) { coverage_.begin(share); }
-  Allowance& allowance() { return allowance_; }
-  const FailureLog& failures() const { return failures_; }
-  const Admission& admission() const { return admission_; }
+  RetryBudget& retry_budget() { return retry_budget_; }
+  const FailureLog& failure_log() const { return failures_; }
+  const LoadShedder& load_shedder() const { return load_shedder_; }
 
  private:
   struct Out {
@@ -109,19 +110,19 @@
     std::size_t sent = 0;  // bytes of the request
   };
 
-  bool plan(Time now, Request& request, FinalAnswer& answer);
+  bool plan(Time now, Request& request, ClientResponse& answer);
   bool admitted(Time now, const averau::Route& route, const std::vector<std::string>& depots,
-                std::size_t least, FinalAnswer& answer, const Request& request);
+                std::size_t least, ClientResponse& answer, const Request& request);
   bool send(Time now, RequestId id, std::size_t part);
   void cancel(Part& part, bool even_if_sent);
-  void settle_part(Time now, RequestId id, std::size_t part, const CallEnd& end);
+  void settle_part(Time now, RequestId id, std::size_t part, const CallResult& end);
   void look(Time now, RequestId id);
-  void finish(Time now, RequestId id, FinalAnswer answer);
-  FinalAnswer gathered(Request& request);
-  FinalAnswer single(const Request& request, const CallEnd& end, int status) const;
-  FinalAnswer refusal(const Request& request, Reason reason) const;
-  FinalAnswer failure(Time now, const Request& request) const;
-  void note_failure(Time now, const Request& request, const FinalAnswer& answer);
+  void finish(Time now, RequestId id, ClientResponse answer);
+  ClientResponse gathered(Request& request);
+  ClientResponse single(const Request& request, const CallResult& end, int status) const;
+  ClientResponse refusal(const Request& request, Reason reason) const;
+  ClientResponse failure(Time now, const Request& request) const;
+  void note_failure(Time now, const Request& request, const ClientResponse& answer);
   void schedule(RequestId id, Request& request);
   void second_calls(Time now, RequestId id);
   void note_late(Time now, Request& request);
@@ -129,23 +130,23 @@
   void outcome(Time now, Out& out, bool bad);
   int connections_for(const Request& request, const std::string& depot) const;
 
-  Calls& calls_;
-  std::shared_ptr<const Routes> routes_;
-  NodeBook nodes_;
-  Weights weights_;
-  Coverage coverage_;
-  Admission admission_;
-  RouteBook book_;
-  Allowance allowance_;
+  NodeClient& node_client_;
+  std::shared_ptr<const RouteTable> routes_;
+  LoadBalancer nodes_;
+  ShardWeights weights_;
+  CoverageControl coverage_;
+  LoadShedder load_shedder_;
+  RouteStatistics book_;
+  RetryBudget retry_budget_;
   std::uint32_t edges_ = 1;
   bool ending_ = false;
   std::uint64_t turn_ = 0;
   net::SlotTable<Request> requests_;
   net::SlotTable<Out> out_;
   std::set<std::pair<Time, RequestId>> due_;
-  std::vector<std::pair<RequestId, FinalAnswer>> answers_;
-  DeskCounters counters_;
+  std::vector<std::pair<RequestId, ClientResponse>> answers_;
+  DispatcherCounters counters_;
   FailureLog failures_;
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/desk_calls.cpp
+++ b/src/dispatch/dispatcher_calls.cpp
@@ -1,30 +1,30 @@
-// The desk's calls to nodes: sending, what becomes of each, a second one where it pays.
+// The dispatcher's calls to nodes: sending, what becomes of each, a second one where it pays.
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <cmath>
 
+#include "dispatch/dispatcher.h"
 #include "invariants/invariants.h"
-#include "pederu/desk.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 namespace {
 
 using invariants::Promise;
 
 constexpr double share_of_connections = 0.9;
 
-std::string how(const CallEnd& end) {
-  switch (end.ending) {
-    case Ending::answered:
+std::string how(const CallResult& end) {
+  switch (end.outcome) {
+    case CallOutcome::answered:
       return fmt::format("answered {}", end.status);
-    case Ending::not_run:
+    case CallOutcome::not_run:
       return "did not run it";
-    case Ending::misplaced:
+    case CallOutcome::misdirected:
       return "another node is there";
-    case Ending::no_way:
+    case CallOutcome::no_connection:
       return "no connection";
-    case Ending::broken:
+    case CallOutcome::broken:
       return "connection broke, or no answer came";
   }
   return {};
@@ -46,14 +46,14 @@
 }
 
 // A node takes so many connections from all callers together; each edge keeps to its part.
-int Desk::connections_for(const Request& request, const std::string& depot) const {
+int Dispatcher::connections_for(const Request& request, const std::string& depot) const {
   const averau::Depot* known = request.routes->depot(depot);
   if (!known || known->connections <= 0) return 64;
   return std::max(1, static_cast<int>(known->connections * share_of_connections / edges_));
 }
 
 // One call more for the part. False where no node has room for it.
-bool Desk::send(Time now, RequestId id, std::size_t index) {
+bool Dispatcher::send(Time now, RequestId id, std::size_t index) {
   Request& request = *requests_.find(id);
   Part& part = request.parts[index];
   int most = connections_for(request, part.depot);
@@ -64,7 +64,7 @@
     if (!node) break;
     CallId call = out_.add();
     const std::size_t size = request.head.size() + request.payload.size();
-    if (!calls_.start(call, *node, most, {request.head, node->id, request.payload}, request.end)) {
+    if (!node_client_.start(call, *node, most, {request.head, node->id, request.payload}, request.end)) {
       out_.release(call);
       passed.push_back(node);
       continue;
@@ -89,63 +89,63 @@
 }
 
 // What is learnt of a node from a call that ends so is nothing: it has not answered, and was not late.
-void Desk::cancel(Part& part, bool even_if_sent) {
+void Dispatcher::cancel(Part& part, bool even_if_sent) {
   for (const CallId call : std::vector<CallId>(part.calls)) {
-    if (!calls_.cancel(call, even_if_sent)) continue;
+    if (!node_client_.cancel(call, even_if_sent)) continue;
     ++counters_.cancelled;
-    nodes_.ended(*out_.find(call)->node);
+    nodes_.call_ended(*out_.find(call)->node);
     out_.release(call);
     std::erase(part.calls, call);
   }
 }
 
-void Desk::outcome(Time now, Out& out, bool bad) {
+void Dispatcher::outcome(Time now, Out& out, bool bad) {
   if (out.counted) return;
   out.counted = true;
   Request* request = requests_.find(out.request);
   if (!request) return;
   const averau::Route& route = *request->route;
   if (route.gathers()) coverage_.outcome(now, bad);
-  admission_.outcome(now, request->parts[out.part].depot, bad,
-                     !route.gathers() || coverage_.share() <= route.least_share);
+  load_shedder_.outcome(now, request->parts[out.part].depot, bad,
+                        !route.gathers() || coverage_.share() <= route.least_share);
 }
 
-void Desk::ended(Time now, CallId call, const CallEnd& end) {
+void Dispatcher::call_ended(Time now, CallId call, const CallResult& end) {
   Out* found = out_.find(call);
   if (!found) return;
-  KnownNode& node = *found->node;
-  bool answer = end.ending == Ending::answered && end.status < 500;
-  switch (end.ending) {
-    case Ending::answered:
+  NodeState& node = *found->node;
+  bool answer = end.outcome == CallOutcome::answered && end.status < 500;
+  switch (end.outcome) {
+    case CallOutcome::answered:
       if (answer)
         nodes_.answered(now, node, now - found->started);
       else
         nodes_.failed(now, node);
       break;
-    case Ending::not_run:
+    case CallOutcome::not_run:
       ++counters_.not_run;
       nodes_.refused(now, node);
       break;
-    case Ending::misplaced:
-      ++counters_.misplaced;
-      nodes_.misplaced(node);
+    case CallOutcome::misdirected:
+      ++counters_.misdirected;
+      nodes_.misdirected(node);
       break;
-    case Ending::no_way:
-      ++counters_.no_way;
+    case CallOutcome::no_connection:
+      ++counters_.no_connection;
       nodes_.failed(now, node);
       break;
-    case Ending::broken:
+    case CallOutcome::broken:
       ++counters_.broken;
       nodes_.failed(now, node);
       break;
   }
-  outcome(now, *found, end.ending == Ending::not_run);
-  if (answer && !end.stamp.empty())
+  outcome(now, *found, end.outcome == CallOutcome::not_run);
+  if (answer && !end.postmark.empty())
     if (const Request* request = requests_.find(found->request))
       book_.answered(*request->route, now - found->started, found->sent + end.body.size());
   Out out = *found;
   out_.release(call);
-  nodes_.ended(node);
+  nodes_.call_ended(node);
   Request* request = requests_.find(out.request);
   if (!request) return;
   Part& part = request->parts[out.part];
@@ -159,15 +159,16 @@
   release(out.request);
 }
 
-void Desk::settle_part(Time now, RequestId id, std::size_t index, const CallEnd& end) {
+void Dispatcher::settle_part(Time now, RequestId id, std::size_t index, const CallResult& end) {
   Request& request = *requests_.find(id);
   Part& part = request.parts[index];
   if (part.in || part.over) return;
-  bool good = end.ending == Ending::answered && end.status >= 200 && end.status < 300 && !end.stamp.empty();
-  if (end.ending == Ending::answered || end.ending == Ending::broken) part.ran = true;
+  bool good =
+      end.outcome == CallOutcome::answered && end.status >= 200 && end.status < 300 && !end.postmark.empty();
+  if (end.outcome == CallOutcome::answered || end.outcome == CallOutcome::broken) part.ran = true;
   if (good) {
     part.in = true;
-    part.stamp = end.stamp;
+    part.postmark = end.postmark;
     part.body = end.body;
     if (!request.route->gathers()) {
       ++counters_.single;
@@ -178,7 +179,7 @@
   if (!part.calls.empty()) return;  // another call of it is out
   bool may_repeat = request.route->safe || !part.ran;
   if (may_repeat && part.tries < request.route->tries && now < request.end) {
-    if (allowance_.spend(now, part.depot)) {
+    if (retry_budget_.spend(now, part.depot)) {
       ++counters_.second_calls;
       if (send(now, id, index)) return;
     } else {
@@ -188,9 +189,9 @@
   part.over = true;
   if (request.route->gathers()) return;
   // A node that ran it has said so; passed on, its word would be ours that it did not run.
-  if (end.ending == Ending::answered && !request.route->safe && promises(end.status))
+  if (end.outcome == CallOutcome::answered && !request.route->safe && promises(end.status))
     return finish(now, id, failure(now, request));
-  if (end.ending == Ending::answered) {
+  if (end.outcome == CallOutcome::answered) {
     // The node's own failure, as it stands.
     ++counters_.failed;
     bool spoilt = end.status >= 200 && end.status < 300;
@@ -201,7 +202,7 @@
 
 // A second call where the first takes longer than nearly all do, there is time for it, and the budget allows
 // it.
-void Desk::second_calls(Time now, RequestId id) {
+void Dispatcher::second_calls(Time now, RequestId id) {
   Request& request = *requests_.find(id);
   for (std::size_t i = 0; i < request.parts.size(); ++i) {
     Part& part = request.parts[i];
@@ -210,7 +211,7 @@
     if (!request.route->safe || part.tries >= request.route->tries || part.calls.empty()) continue;
     if (now + book_.typical(*request.route) > request.soft_end) continue;
     if (!nodes_.other(now, part.depot, part.tried)) continue;
-    if (!allowance_.spend(now, part.depot)) {
+    if (!retry_budget_.spend(now, part.depot)) {
       ++counters_.withheld;
       continue;
     }
@@ -220,7 +221,7 @@
 }
 
 // At the aim: what is out is late, for the node's record and for the strain.
-void Desk::note_late(Time now, Request& request) {
+void Dispatcher::note_late(Time now, Request& request) {
   for (Part& part : request.parts)
     for (CallId call : part.calls)
       if (Out* out = out_.find(call); out && !out->counted) {
@@ -230,4 +231,4 @@
       }
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/desk_answers.cpp
+++ b/src/dispatch/dispatcher_responses.cpp
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
+#include "dispatch/dispatcher.h"
+#include "dispatch/merge.h"
 #include "invariants/invariants.h"
-#include "pederu/desk.h"
-#include "pederu/merge.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 namespace {
 
 // An answer without a part earns the square of the share that is in; one after the aim less than that of a
@@ -21,7 +21,7 @@
 }  // namespace
 
 // Whether a gathered request can be answered, or can no more become an answer.
-void Desk::look(Time now, RequestId id) {
+void Dispatcher::look(Time now, RequestId id) {
   Request* request = requests_.find(id);
   if (!request || request->done || !request->route->gathers()) return;
   std::size_t in = 0, coming = 0, trials = 0;
@@ -45,32 +45,32 @@
 }
 
 // A node's answer, as it stands.
-FinalAnswer Desk::single(const Request& request, const CallEnd& end, int status) const {
-  FinalAnswer answer;
+ClientResponse Dispatcher::single(const Request& request, const CallResult& end, int status) const {
+  ClientResponse answer;
   answer.status = status;
-  answer.type = end.type;
+  answer.content_type = end.content_type;
   answer.headers = fmt::format("Request-Id: {}\r\n", request.id);
-  if (!end.stamp.empty()) answer.headers += fmt::format("Postmark: {}\r\n", end.stamp);
+  if (!end.postmark.empty()) answer.headers += fmt::format("Postmark: {}\r\n", end.postmark);
   answer.headers += end.headers;
   answer.body = end.body;
-  answer.bare = request.asks_head || status == 204 || status == 304;
+  answer.no_body = request.asks_head || status == 204 || status == 304;
   // To a HEAD the length that the node named; the other two have none.
-  if (request.asks_head && status != 204 && status != 304 && end.length)
-    answer.headers += fmt::format("Content-Length: {}\r\n", *end.length);
+  if (request.asks_head && status != 204 && status != 304 && end.content_length)
+    answer.headers += fmt::format("Content-Length: {}\r\n", *end.content_length);
   return answer;
 }
 
-FinalAnswer Desk::gathered(Request& request) {
+ClientResponse Dispatcher::gathered(Request& request) {
   std::vector<std::string_view> bodies;
   std::vector<std::string> names;
-  FinalAnswer answer;
+  ClientResponse answer;
   std::string stamps;
   for (const Part& part : request.parts) {
     if (!part.in) continue;
     bodies.push_back(part.body);
     names.push_back(part.depot);
     if (!stamps.empty()) stamps += ", ";
-    stamps += part.stamp;
+    stamps += part.postmark;
   }
   Merged merged = merge(bodies, static_cast<std::size_t>(request.route->top));
   std::size_t missing = request.parts.size() - bodies.size();
@@ -79,28 +79,28 @@
   if (missing == 0) weights_.learn(names, merged.survived);
   ++(missing == 0 ? counters_.whole : counters_.partial);
   answer.status = 200;
-  answer.type = "application/octet-stream";
+  answer.content_type = "application/octet-stream";
   answer.headers = fmt::format("Request-Id: {}\r\nPart-Postmarks: {}\r\n", request.id, stamps);
   if (missing > 0) answer.headers += fmt::format("Missing-Parts: {}\r\n", missing);
   answer.body = std::move(merged.body);
-  answer.bare = request.asks_head;  // the parts' records did not come
+  answer.no_body = request.asks_head;  // the parts' records did not come
   return answer;
 }
 
 // It has not run and never will: the client may come again, and is told when. A tenth of the aim, so that a
 // second try still has most of it.
-FinalAnswer Desk::refusal(const Request& request, Reason reason) const {
-  FinalAnswer answer;
+ClientResponse Dispatcher::refusal(const Request& request, Reason reason) const {
+  ClientResponse answer;
   answer.reason = reason;
   answer.status = 503;
-  answer.unrun = true;
+  answer.not_executed = true;
   double aim = request.route->target_ms > 0 ? request.route->target_ms : request.route->deadline_ms / 10;
   answer.retry_after_s = std::clamp(aim / 1000 * 0.1, 0.005, 1.0);
   return answer;
 }
 
-FinalAnswer Desk::failure(Time now, const Request& request) const {
-  FinalAnswer answer;
+ClientResponse Dispatcher::failure(Time now, const Request& request) const {
+  ClientResponse answer;
   answer.status = now >= request.end ? 504 : 502;
   answer.reason = answer.status != 504 ? Reason::failed_at_nodes
                   : ending_            ? Reason::ending
@@ -109,4 +109,4 @@
   return answer;
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/failures.cpp
+++ b/src/dispatch/failure_log.cpp
@@ -1,4 +1,4 @@
-#include "pederu/failures.h"
+#include "dispatch/failure_log.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 
 #include "averau/json.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 namespace {
 
 constexpr std::array<std::string_view, reasons> names = {
@@ -47,4 +47,4 @@
   return text + "]}";
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/failures.h
+++ b/src/dispatch/failure_log.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "pederu/types.h"
+#include "dispatch/types.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
 enum class Reason {
   none,
@@ -62,4 +62,4 @@
   std::array<std::uint64_t, reasons> counts_{};
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/node_book.cpp
+++ b/src/dispatch/load_balancer.cpp
@@ -1,8 +1,8 @@
-#include "pederu/node_book.h"
+#include "dispatch/load_balancer.h"
 
 #include <algorithm>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 namespace {
 
 using namespace std::chrono_literals;
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void NodeBook::update(const std::string& id, const averau::Node* node) {
+void LoadBalancer::update(const std::string& id, const averau::Node* node) {
   auto found = nodes_.find(id);
   if (!node) {
     if (found == nodes_.end()) return;
@@ -25,10 +25,10 @@
   }
   if (found != nodes_.end() && found->second->depot != node->depot) return;  // one life, one service
   if (found == nodes_.end()) {
-    found = nodes_.emplace(id, std::make_shared<KnownNode>()).first;
+    found = nodes_.emplace(id, std::make_shared<NodeState>()).first;
     services_[node->depot].nodes.push_back(found->second);
   }
-  KnownNode& known = *found->second;
+  NodeState& known = *found->second;
   known.id = id;
   known.depot = node->depot;
   known.address = node->address;
@@ -39,21 +39,21 @@
   known.listed = true;
 }
 
-void NodeBook::forget(const std::string& id) {
+void LoadBalancer::forget(const std::string& id) {
   auto found = nodes_.find(id);
   auto& nodes = services_[found->second->depot].nodes;
   std::erase(nodes, found->second);
   nodes_.erase(found);
 }
 
-std::size_t NodeBook::open(const std::string& depot) const {
+std::size_t LoadBalancer::open(const std::string& depot) const {
   auto service = services_.find(depot);
   if (service == services_.end()) return 0;
   return static_cast<std::size_t>(std::count_if(service->second.nodes.begin(), service->second.nodes.end(),
                                                 [](const NodePtr& n) { return n->listed && !n->closing; }));
 }
 
-bool NodeBook::other(Time now, const std::string& depot, const std::vector<NodePtr>& tried) const {
+bool LoadBalancer::other(Time now, const std::string& depot, const std::vector<NodePtr>& tried) const {
   auto service = services_.find(depot);
   if (service == services_.end()) return false;
   return std::any_of(service->second.nodes.begin(), service->second.nodes.end(), [&](const NodePtr& node) {
@@ -62,7 +62,7 @@
   });
 }
 
-bool NodeBook::answers(const std::string& depot) const {
+bool LoadBalancer::answers(const std::string& depot) const {
   auto service = services_.find(depot);
   if (service == services_.end()) return false;
   return std::any_of(service->second.nodes.begin(), service->second.nodes.end(), [](const NodePtr& node) {
@@ -70,7 +70,7 @@
   });
 }
 
-bool NodeBook::trial_due(Time now, const std::string& depot) {
+bool LoadBalancer::trial_due(Time now, const std::string& depot) {
   if (open(depot) == 0) return false;
   Service& service = services_[depot];
   if (now < service.trial_due) return false;
@@ -78,8 +78,8 @@
   return true;
 }
 
-NodePtr NodeBook::choose(Time now, const std::string& depot, const std::vector<NodePtr>& tried,
-                         std::uint64_t turn, double away) const {
+NodePtr LoadBalancer::choose(Time now, const std::string& depot, const std::vector<NodePtr>& tried,
+                             std::uint64_t turn, double away) const {
   auto service = services_.find(depot);
   if (service == services_.end()) return nullptr;
   const auto& nodes = service->second.nodes;
@@ -106,7 +106,7 @@
   return best;
 }
 
-void NodeBook::answered(Time, KnownNode& node, Duration took) {
+void LoadBalancer::answered(Time, NodeState& node, Duration took) {
   double ms = took.count() * 1000;
   node.latency_ms = node.heard ? node.latency_ms + smoothing * (ms - node.latency_ms) : ms;
   node.heard = true;
@@ -115,17 +115,17 @@
 }
 
 // It is there, and full: not asked for a moment, since its place is taken by somebody else's calls too.
-void NodeBook::refused(Time now, KnownNode& node) {
+void LoadBalancer::refused(Time now, NodeState& node) {
   node.silent = 0;
   node.blamed_until = now + blame / 4;
 }
 
-void NodeBook::failed(Time now, KnownNode& node) {
+void LoadBalancer::failed(Time now, NodeState& node) {
   node.silent = std::min(node.silent + 1, 10);
   node.blamed_until = now + std::min(most_blame, blame * static_cast<double>(1 << (node.silent - 1)));
 }
 
-void NodeBook::late(Time now, KnownNode& node, Duration waited) {
+void LoadBalancer::late(Time now, NodeState& node, Duration waited) {
   double ms = waited.count() * 1000;
   if (!node.heard || ms > node.latency_ms)
     node.latency_ms = node.heard ? node.latency_ms + smoothing * (ms - node.latency_ms) : ms;
@@ -136,9 +136,9 @@
     node.blamed_until = now + std::min(most_blame, blame * static_cast<double>(1 << (node.silent - 3)));
 }
 
-void NodeBook::ended(KnownNode& node) {
+void LoadBalancer::call_ended(NodeState& node) {
   --node.out;
   if (!node.listed && node.out == 0) forget(std::string(node.id));
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/node_book.h
+++ b/src/dispatch/load_balancer.h
@@ -10,11 +10,11 @@
 #include <vector>
 
 #include "averau/nodes.h"
-#include "pederu/types.h"
+#include "dispatch/types.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-struct KnownNode {
+struct NodeState {
   std::string id;
   std::string depot;
   std::string address;
@@ -31,9 +31,9 @@
   Time blamed_until{};    // not asked before, unless nobody else is there
 };
 
-using NodePtr = std::shared_ptr<KnownNode>;  // kept by calls and requests past the node's own end
+using NodePtr = std::shared_ptr<NodeState>;  // kept by calls and requests past the node's own end
 
-class NodeBook {
+class LoadBalancer {
  public:
   // The list's news of one node; `node` is null where it is not listed any more.
   void update(const std::string& id, const averau::Node* node);
@@ -42,7 +42,7 @@
   // `away`: how many times slower a node of another zone counts.
   NodePtr choose(Time now, const std::string& depot, const std::vector<NodePtr>& tried, std::uint64_t turn,
                  double away = 1) const;
-  void set_home(std::string zone) { home_ = std::move(zone); }
+  void set_home_zone(std::string zone) { home_ = std::move(zone); }
   // Whether there is another that is not in disgrace.
   bool other(Time now, const std::string& depot, const std::vector<NodePtr>& tried) const;
   // Whether anybody of the service answers, as far as can be told: false where every one of its nodes has
@@ -53,17 +53,17 @@
   // Nodes of a service that may be asked.
   std::size_t open(const std::string& depot) const;
 
-  void started(KnownNode& node) { ++node.out; }
+  void started(NodeState& node) { ++node.out; }
   // An answer, or a refusal by the node itself, after so long.
-  void answered(Time now, KnownNode& node, Duration took);
-  void refused(Time now, KnownNode& node);
+  void answered(Time now, NodeState& node, Duration took);
+  void refused(Time now, NodeState& node);
   // The connection failed, broke, or carried no answer.
-  void failed(Time now, KnownNode& node);
+  void failed(Time now, NodeState& node);
   // Given up on while it still works on the call, or is silent.
-  void late(Time now, KnownNode& node, Duration waited);
-  void ended(KnownNode& node);  // the call's place is free again
+  void late(Time now, NodeState& node, Duration waited);
+  void call_ended(NodeState& node);  // the call's place is free again
   // Somebody else stands at its address.
-  void misplaced(KnownNode& node) { node.listed = false; }
+  void misdirected(NodeState& node) { node.listed = false; }
 
  private:
   static constexpr double smoothing = 0.2;
@@ -79,4 +79,4 @@
   std::string home_;  // our zone
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/admission.cpp
+++ b/src/dispatch/load_shedder.cpp
@@ -1,16 +1,16 @@
-#include "pederu/admission.h"
+#include "dispatch/load_shedder.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-double Admission::given_up(const std::string& depot) const {
+double LoadShedder::given_up(const std::string& depot) const {
   auto found = services_.find(depot);
   return found == services_.end() ? 0 : found->second.level;
 }
 
-void Admission::outcome(Time now, const std::string& depot, bool refused_or_late, bool narrowest) {
+void LoadShedder::outcome(Time now, const std::string& depot, bool refused_or_late, bool narrowest) {
   Service& service = services_[depot];
   if (now - service.window_start >= window) close_window(now, service);
   ++service.outcomes;
@@ -18,7 +18,7 @@
   service.narrowest = service.narrowest && narrowest;
 }
 
-void Admission::close_window(Time now, Service& service) {
+void LoadShedder::close_window(Time now, Service& service) {
   bool gave_up = service.level > 0;
   // A window that ended long ago tells nothing of now.
   bool fresh = now - service.window_start < 2 * window;
@@ -41,7 +41,7 @@
 }
 
 // What is worth least for its work goes first, until the level's share of the work is given up.
-void Admission::share_out(Service& service) {
+void LoadShedder::share_out(Service& service) {
   std::vector<Asked*> order;
   double all = 0;
   for (auto& [key, asked] : service.routes) {
@@ -57,8 +57,8 @@
   }
 }
 
-bool Admission::admit(Time now, const averau::Route& route, const std::vector<std::string>& depots,
-                      std::size_t least, double part_ms) {
+bool LoadShedder::admit(Time now, const averau::Route& route, const std::vector<std::string>& depots,
+                        std::size_t least, double part_ms) {
   if (strained_ == 0) return true;
   std::vector<double> refused;
   double work = std::max(part_ms, 0.1);
@@ -87,4 +87,4 @@
   return std::fmod(static_cast<double>(++turn_) * 0.6180339887498949, 1.0) >= refused[place];
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/admission.h
+++ b/src/dispatch/load_shedder.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "averau/config.h"
-#include "pederu/types.h"
+#include "dispatch/types.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-class Admission {
+class LoadShedder {
  public:
   // How a call has ended; `narrowest`: fewer shards than now may not be asked.
   void outcome(Time now, const std::string& depot, bool refused_or_late, bool narrowest);
@@ -54,4 +54,4 @@
   std::uint64_t turn_ = 0;
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/merge.cpp
+++ b/src/dispatch/merge.cpp
@@ -1,9 +1,9 @@
-#include "pederu/merge.h"
+#include "dispatch/merge.h"
 
 #include <algorithm>
 #include <cstring>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
 Merged merge(const std::vector<std::string_view>& parts, std::size_t top) {
   struct Record {
@@ -28,4 +28,4 @@
   return merged;
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/merge.h
+++ b/src/dispatch/merge.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
 inline constexpr std::size_t record_bytes = 16;
 
@@ -18,4 +18,4 @@
 // under 16 bytes is no record.
 Merged merge(const std::vector<std::string_view>& parts, std::size_t top);
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/allowance.cpp
+++ b/src/dispatch/retry_budget.cpp
@@ -1,11 +1,11 @@
-#include "pederu/allowance.h"
+#include "dispatch/retry_budget.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-Allowance::Account& Allowance::account(Time now, const std::string& depot) {
+RetryBudget::Account& RetryBudget::account(Time now, const std::string& depot) {
   Account& account = accounts_[depot];
   auto size = static_cast<std::int64_t>(account.buckets.size());
   auto turn = static_cast<std::int64_t>(
@@ -18,7 +18,7 @@
   return account;
 }
 
-bool Allowance::spend(Time now, const std::string& depot) {
+bool RetryBudget::spend(Time now, const std::string& depot) {
   Account& found = account(now, depot);
   double requests = 0, extra = 0;
   for (const Bucket& bucket : found.buckets) requests += bucket.requests, extra += bucket.extra;
@@ -29,20 +29,20 @@
   return true;
 }
 
-bool Allowance::spend_token(Time now, Account& account) {
+bool RetryBudget::spend_token(Time now, Account& account) {
   std::erase_if(account.tokens, [&](const auto& each) { return each.first <= now || each.second == 0; });
   if (account.tokens.empty()) return false;
   --account.tokens.front().second;
   return true;
 }
 
-void Allowance::want(Account& account, const std::string& depot) {
+void RetryBudget::want(Account& account, const std::string& depot) {
   if (account.wanting || rules_.slack <= 0) return;
   account.wanting = true;
   wanted_.push_back(depot);
 }
 
-std::vector<std::pair<std::string, std::uint32_t>> Allowance::take_wanted(Time now) {
+std::vector<std::pair<std::string, std::uint32_t>> RetryBudget::take_wanted(Time now) {
   std::vector<std::pair<std::string, std::uint32_t>> wanted;
   for (const std::string& depot : std::exchange(wanted_, {})) {
     Account& account = accounts_[depot];
@@ -55,8 +55,8 @@
   return wanted;
 }
 
-void Allowance::granted(Time until, const std::string& depot, std::uint32_t count) {
+void RetryBudget::granted(Time until, const std::string& depot, std::uint32_t count) {
   if (count > 0) accounts_[depot].tokens.emplace_back(until, std::min(count, batch));
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/allowance.h
+++ b/src/dispatch/retry_budget.h
@@ -1,7 +1,7 @@
 // What may be sent a second time: over all edges, a service gets no more arrivals past the first of each
 // request than `ratio` of the requests for it and `slack` besides, in any window. Each edge spends its own
 // part: the ratio of its own requests, and a share of the slack by the number of edges; when that runs low it
-// asks the leader for tokens of the share that all have together (nuvolau).
+// asks the leader for tokens of the share that all have together (retrytokens).
 #pragma once
 
 #include <array>
@@ -10,20 +10,20 @@
 #include <utility>
 #include <vector>
 
-#include "nuvolau/pool.h"
-#include "pederu/types.h"
+#include "dispatch/types.h"
+#include "retrytokens/token_pool.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-struct AllowanceRules {
+struct RetryBudgetRules {
   double ratio = 0;
   double slack = 0;
   Duration window = std::chrono::seconds(10);
 };
 
-class Allowance {
+class RetryBudget {
  public:
-  void set(const AllowanceRules& rules) { rules_ = rules; }
+  void set(const RetryBudgetRules& rules) { rules_ = rules; }
   void set_edges(std::uint32_t edges) { edges_ = edges > 0 ? edges : 1; }
 
   void request(Time now, const std::string& depot) { account(now, depot).buckets[at_].requests += 1; }
@@ -39,7 +39,7 @@
   // Of what the rule allows: an edge that starts anew has forgotten what its last life spent, and the windows
   // of requests and of arrivals are not cut alike.
   static constexpr double of_ratio = 0.7;
-  static constexpr double of_slack = nuvolau::fixed_slack;
+  static constexpr double of_slack = retrytokens::fixed_slack;
   static constexpr double low = 2;           // what is left of the own part when tokens are asked for
   static constexpr std::uint32_t batch = 4;  // tokens asked for at once
 
@@ -57,11 +57,11 @@
   void want(Account& account, const std::string& depot);
   static bool spend_token(Time now, Account& account);
 
-  AllowanceRules rules_;
+  RetryBudgetRules rules_;
   std::uint32_t edges_ = 1;
   std::unordered_map<std::string, Account> accounts_;
   std::vector<std::string> wanted_;
   std::size_t at_ = 0;  // the newest bucket of the account last asked for
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/route_book.cpp
+++ b/src/dispatch/route_statistics.cpp
@@ -1,9 +1,9 @@
-#include "pederu/route_book.h"
+#include "dispatch/route_statistics.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 namespace {
 
 constexpr double away_per_kb = 3;
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-const RouteBook::Known* RouteBook::find(const averau::Route& route) const {
+const RouteStatistics::Known* RouteStatistics::find(const averau::Route& route) const {
   auto found = known_.find(key(route));
   return found == known_.end() ? nullptr : &found->second;
 }
 
-void RouteBook::answered(const averau::Route& route, Duration took, std::size_t bytes) {
+void RouteStatistics::answered(const averau::Route& route, Duration took, std::size_t bytes) {
   if (known_.size() >= most_routes) known_.clear();
   Known& known = known_[key(route)];
   double ms = took.count() * 1000, size = static_cast<double>(bytes);
@@ -36,20 +36,20 @@
   known.mean_ms += smoothing * (ms - known.mean_ms);
 }
 
-double RouteBook::away_factor(const averau::Route& route) const {
+double RouteStatistics::away_factor(const averau::Route& route) const {
   const Known* known = find(route);
   return known ? 1 + std::min(most_away, away_per_kb * known->bytes / 1024) : 1;
 }
 
-Duration RouteBook::second_after(const averau::Route& route) const {
+Duration RouteStatistics::second_after(const averau::Route& route) const {
   const Known* known = find(route);
   if (!known || known->answers < least_answers) return {};
   return from_ms(known->mean_ms + deviations * known->deviation_ms);
 }
 
-Duration RouteBook::typical(const averau::Route& route) const {
+Duration RouteStatistics::typical(const averau::Route& route) const {
   const Known* known = find(route);
   return known ? from_ms(known->mean_ms) : Duration{};
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/route_book.h
+++ b/src/dispatch/route_statistics.h
@@ -7,11 +7,11 @@
 #include <unordered_map>
 
 #include "averau/config.h"
-#include "pederu/types.h"
+#include "dispatch/types.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-class RouteBook {
+class RouteStatistics {
  public:
   // A good answer of a node; `bytes` there and back.
   void answered(const averau::Route& route, Duration took, std::size_t bytes);
@@ -34,4 +34,4 @@
   std::unordered_map<std::string, Known> known_;  // by host and prefix: a route's life over editions
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/routes.cpp
+++ b/src/dispatch/route_table.cpp
@@ -1,8 +1,8 @@
-#include "pederu/routes.h"
+#include "dispatch/route_table.h"
 
 #include <algorithm>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 namespace {
 
 std::string host_key(std::string_view host) {
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-Routes::Routes(averau::ConfigurationPtr configuration) : configuration_(std::move(configuration)) {
+RouteTable::RouteTable(averau::ConfigurationPtr configuration) : configuration_(std::move(configuration)) {
   for (const averau::Route& route : configuration_->routes) by_host_[host_key(route.host)].push_back(&route);
   for (auto& [host, routes] : by_host_)
     std::stable_sort(routes.begin(), routes.end(), [](const averau::Route* a, const averau::Route* b) {
@@ -23,7 +23,7 @@
   for (const averau::Depot& depot : configuration_->depots) depots_[depot.name] = &depot;
 }
 
-const averau::Route* Routes::find(std::string_view host, std::string_view target) const {
+const averau::Route* RouteTable::find(std::string_view host, std::string_view target) const {
   auto found = by_host_.find(host_key(host));
   if (found == by_host_.end()) return nullptr;
   std::string_view path = target.substr(0, target.find('?'));
@@ -32,9 +32,9 @@
   return nullptr;
 }
 
-const averau::Depot* Routes::depot(const std::string& name) const {
+const averau::Depot* RouteTable::depot(const std::string& name) const {
   auto found = depots_.find(name);
   return found == depots_.end() ? nullptr : found->second;
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/routes.h
+++ b/src/dispatch/route_table.h
@@ -8,11 +8,11 @@
 
 #include "averau/config.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-class Routes {
+class RouteTable {
  public:
-  explicit Routes(averau::ConfigurationPtr configuration);
+  explicit RouteTable(averau::ConfigurationPtr configuration);
 
   // `host` as the client wrote it, with or without a port. Nothing where there is no route.
   const averau::Route* find(std::string_view host, std::string_view target) const;
@@ -25,4 +25,4 @@
   std::unordered_map<std::string, const averau::Depot*> depots_;
 };
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/weights.cpp
+++ b/src/dispatch/shard_weights.cpp
@@ -1,12 +1,12 @@
-#include "pederu/weights.h"
+#include "dispatch/shard_weights.h"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-void Weights::learn(const std::vector<std::string>& shards, const std::vector<std::size_t>& survived) {
+void ShardWeights::learn(const std::vector<std::string>& shards, const std::vector<std::size_t>& survived) {
   double all = static_cast<double>(std::accumulate(survived.begin(), survived.end(), std::size_t{0}));
   if (all <= 0) return;
   for (std::size_t i = 0; i < shards.size(); ++i) {
@@ -16,7 +16,7 @@
   }
 }
 
-std::vector<double> Weights::of(const std::vector<std::string>& shards) const {
+std::vector<double> ShardWeights::of(const std::vector<std::string>& shards) const {
   double sum = 0;
   std::size_t seen = 0;
   for (const std::string& shard : shards)
@@ -53,4 +53,4 @@
   return order;
 }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/weights.h
+++ b/src/dispatch/shard_weights.h
@@ -6,9 +6,9 @@
 #include <unordered_map>
 #include <vector>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-class Weights {
+class ShardWeights {
  public:
   // A merge in which every one of these shards had a part: records of each that survived.
   void learn(const std::vector<std::string>& shards, const std::vector<std::size_t>& survived);
@@ -26,4 +26,4 @@
 // So many shards make a success.
 std::size_t least_parts(std::size_t shards, double floor);
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/pederu/types.h
+++ b/src/dispatch/types.h
@@ -7,7 +7,7 @@
 
 #include "net/slots.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
 using Duration = std::chrono::duration<double>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -16,4 +16,4 @@
 
 inline Duration from_ms(double ms) { return Duration(ms / 1000); }
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/src/vandelli/station.cpp
+++ b/src/edgegateway/edge_gateway.cpp
@@ -1,11 +1,11 @@
-#include "vandelli/station.h"
+#include "edgegateway/edge_gateway.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "invariants/invariants.h"
 
-namespace pearspar::vandelli {
+namespace pearspar::edgegateway {
 namespace {
 
 using namespace std::chrono_literals;
@@ -15,73 +15,76 @@
 // A request waits so long for the leader's word, and no longer than a quarter of its aim.
 constexpr Duration wait_most = 150ms;
 constexpr double wait_share = 0.25;
-constexpr std::uint32_t ticket_bit = 1u << 31;  // of an index: ours, not the desk's
+constexpr std::uint32_t ticket_bit = 1u << 31;  // of an index: ours, not the dispatcher's
 
 std::uint64_t key(RequestId id) { return std::uint64_t{id.index} << 32 | id.generation; }
 
 }  // namespace
 
-Station::Station(transport::Wire& wire, vazzoler::FollowerOptions options, pederu::Calls& calls,
-                 const pederu::AllowanceRules& rules)
-    : follower_(wire, options), desk_(calls), purse_(options.life) {
-  desk_.set_allowance(rules);
+EdgeGateway::EdgeGateway(transport::Wire& wire, vazzoler::FollowerOptions options,
+                         dispatch::NodeClient& calls, const dispatch::RetryBudgetRules& rules)
+    : follower_(wire, options), dispatcher_(calls), purse_(options.life) {
+  dispatcher_.set_retry_budget(rules);
 }
 
-void Station::link_frame(Time now, transport::LinkId link, std::string_view frame) {
-  follower_.tell_coverage(static_cast<std::uint32_t>(std::lround(desk_.coverage() * 100)));
+void EdgeGateway::link_frame(Time now, transport::LinkId link, std::string_view frame) {
+  follower_.tell_coverage(static_cast<std::uint32_t>(std::lround(dispatcher_.coverage() * 100)));
   if (follower_.frame(now, link, frame)) take_news();
   for (const auto& [until, tokens] : follower_.take_granted())
-    desk_.allowance().granted(until, tokens.depot, tokens.count);
+    dispatcher_.retry_budget().granted(until, tokens.depot, tokens.count);
   for (const pramperet::Tell& tell : follower_.take_tells()) purse_.on_tell(now, tell);
 }
 
-void Station::take_news() {
+void EdgeGateway::take_news() {
   vazzoler::View& view = follower_.view();
-  for (const std::string& id : view.take_touched()) desk_.nodes().update(id, view.nodes().find(id));
-  desk_.set_edges(view.edges());
+  for (const std::string& id : view.take_touched())
+    dispatcher_.load_balancer().update(id, view.nodes().find(id));
+  dispatcher_.set_edges(view.edges());
   if (!began_ && view.at() != fanes::Position{}) {
     began_ = true;
-    desk_.begin_coverage(view.coverage());
+    dispatcher_.begin_coverage(view.coverage());
   }
-  if (view.edition() == routed_) return;
-  invariants::check(invariants::Promise::version_never_falls, view.edition() > routed_, "configuration");
-  routed_ = view.edition();
-  desk_.set_routes(std::make_shared<const pederu::Routes>(view.configuration()));
+  if (view.edition() == routed_revision_) return;
+  invariants::check(invariants::Promise::version_never_falls, view.edition() > routed_revision_,
+                    "configuration");
+  routed_revision_ = view.edition();
+  dispatcher_.set_routes(std::make_shared<const dispatch::RouteTable>(view.configuration()));
   purse_.configure(view.configuration()->allowances);
 }
 
-void Station::ask_for_tokens(Time now) {
+void EdgeGateway::ask_for_tokens(Time now) {
   if (!follower_.may_want(now)) return;
   std::vector<fanes::Tokens> tokens;
-  for (auto& [depot, count] : desk_.allowance().take_wanted(now)) tokens.push_back({depot, count});
+  for (auto& [depot, count] : dispatcher_.retry_budget().take_wanted(now)) tokens.push_back({depot, count});
   if (!tokens.empty()) follower_.want(now, std::move(tokens));
 }
 
-void Station::advance(Time now) {
+void EdgeGateway::advance(Time now) {
   if (follower_.tick(now)) take_news();
-  desk_.advance(now);
+  dispatcher_.advance(now);
   ask_for_tokens(now);
   if (!purse_.on() && waiting_.empty()) return;
   try_waiting(now);
   if (auto ask = purse_.take_ask(now)) follower_.ask(*ask);
 }
 
-Time Station::due(Time now) const {
-  Time due = std::min({desk_.due(), follower_.due(), purse_.due(now)});
+Time EdgeGateway::due(Time now) const {
+  Time due = std::min({dispatcher_.due(), follower_.due(), purse_.due(now)});
   for (const Waiting& each : waiting_) due = std::min(due, each.until);
   for (const Held& each : held_) due = std::min(due, each.until);
   return due;
 }
 
-RequestId Station::arrive(Time now, const pederu::Arrival& arrival, const Drawer& drawer,
-                          pederu::FinalAnswer& answer) {
-  if (!purse_.on()) return desk_.arrive(now, arrival, answer);
-  const averau::Route* route = desk_.route_of(arrival);
-  if (!route || route->kind.empty()) return desk_.arrive(now, arrival, answer);
-  pramperet::Verdict verdict = purse_.draw(now, drawer.holder, route->kind, drawer.key, false);
+RequestId EdgeGateway::submit(Time now, const dispatch::ClientRequest& arrival,
+                              const QuotaIdentity& quota_identity, dispatch::ClientResponse& answer) {
+  if (!purse_.on()) return dispatcher_.submit(now, arrival, answer);
+  const averau::Route* route = dispatcher_.route_of(arrival);
+  if (!route || route->kind.empty()) return dispatcher_.submit(now, arrival, answer);
+  pramperet::Verdict verdict =
+      purse_.draw(now, quota_identity.holder, route->kind, quota_identity.key, false);
   if (verdict.kind == pramperet::Verdict::Kind::refused || waiting_.size() >= most_waiting ||
       waiting_bytes_ > most_waiting_bytes) {
-    if (verdict.kind == pramperet::Verdict::Kind::wait) purse_.refuse(drawer.holder, route->kind);
+    if (verdict.kind == pramperet::Verdict::Kind::wait) purse_.refuse(quota_identity.holder, route->kind);
     if (verdict.kind == pramperet::Verdict::Kind::drawn) purse_.not_run(verdict.ticket);
     answer.status = 429;
     answer.retry_after_s =
@@ -98,35 +101,36 @@
   waiting.head = arrival.head;
   waiting.body = arrival.body;
   waiting.deadline_ms = arrival.deadline_ms;
-  waiting.began = arrival.began == Time{} ? now : arrival.began;
-  waiting.drawer = drawer;
+  waiting.received_at = arrival.received_at == Time{} ? now : arrival.received_at;
+  waiting.quota_identity = quota_identity;
   waiting.kind = route->kind;
-  Duration aim = pederu::from_ms(route->target_ms > 0 ? route->target_ms : route->deadline_ms);
+  Duration aim = dispatch::from_ms(route->target_ms > 0 ? route->target_ms : route->deadline_ms);
   waiting.until = now + std::min(wait_most, aim * wait_share);
   waiting_bytes_ += waiting.body.size() + waiting.head.size();
   waiting_.push_back(std::move(waiting));
   return waiting_.back().ticket;
 }
 
-RequestId Station::begin(Time now, const pederu::Arrival& arrival, const pramperet::Verdict& verdict,
-                         pederu::FinalAnswer& answer) {
-  RequestId id = desk_.arrive(now, arrival, answer);
+RequestId EdgeGateway::begin(Time now, const dispatch::ClientRequest& arrival,
+                             const pramperet::Verdict& verdict, dispatch::ClientResponse& answer) {
+  RequestId id = dispatcher_.submit(now, arrival, answer);
   if (verdict.kind != pramperet::Verdict::Kind::drawn) return id;
   if (id)
     draws_[key(id)] = verdict.ticket;
-  else if (answer.unrun)
+  else if (answer.not_executed)
     purse_.not_run(verdict.ticket);
   return id;
 }
 
 // Those that came first draw first; who has waited for long enough is refused.
-void Station::try_waiting(Time now) {
+void EdgeGateway::try_waiting(Time now) {
   for (std::size_t left = waiting_.size(); left > 0; --left) {
     Waiting each = std::move(waiting_.front());
     waiting_.pop_front();
     waiting_bytes_ -= each.body.size() + each.head.size();
-    pramperet::Verdict verdict = purse_.draw(now, each.drawer.holder, each.kind, each.drawer.key, true);
-    pederu::FinalAnswer answer;
+    pramperet::Verdict verdict =
+        purse_.draw(now, each.quota_identity.holder, each.kind, each.quota_identity.key, true);
+    dispatch::ClientResponse answer;
     if (verdict.kind == pramperet::Verdict::Kind::wait && now < each.until) {
       waiting_bytes_ += each.body.size() + each.head.size();
       waiting_.push_back(std::move(each));
@@ -134,13 +138,13 @@
     }
     if (verdict.kind == pramperet::Verdict::Kind::wait || verdict.kind == pramperet::Verdict::Kind::refused) {
       bool over = verdict.kind == pramperet::Verdict::Kind::wait;
-      if (over) purse_.refuse(each.drawer.holder, each.kind);
+      if (over) purse_.refuse(each.quota_identity.holder, each.kind);
       answer.status = 429;
       answer.retry_after_s = over ? 0.1 : verdict.retry_after.count();
       answers_.emplace_back(each.ticket, std::move(answer));
       continue;
     }
-    pederu::Arrival arrival;
+    dispatch::ClientRequest arrival;
     arrival.method = each.method;
     arrival.target = each.target;
     arrival.host = each.host;
@@ -148,7 +152,7 @@
     arrival.head = std::move(each.head);
     arrival.body = each.body;
     arrival.deadline_ms = each.deadline_ms;
-    arrival.began = each.began;
+    arrival.received_at = each.received_at;
     RequestId id = begin(now, arrival, verdict, answer);
     if (!id) {
       answers_.emplace_back(each.ticket, std::move(answer));
@@ -160,13 +164,13 @@
 }
 
 // A client that has gone: what it drew stays drawn, since it may have run.
-void Station::left(RequestId request) {
+void EdgeGateway::client_disconnected(RequestId request) {
   if (request.index & ticket_bit) {
     auto known = desk_ids_.find(key(request));
     if (known == desk_ids_.end()) {
       for (auto each = waiting_.begin(); each != waiting_.end(); ++each)
         if (each->ticket == request) {
-          purse_.refuse(each->drawer.holder, each->kind);
+          purse_.refuse(each->quota_identity.holder, each->kind);
           waiting_bytes_ -= each->body.size() + each->head.size();
           waiting_.erase(each);
           return;
@@ -181,10 +185,10 @@
     purse_.unsure(drawn->second);
     draws_.erase(drawn);
   }
-  desk_.left(request);
+  dispatcher_.client_disconnected(request);
 }
 
-void Station::ended(Time now, RequestId request, pederu::FinalAnswer answer) {
+void EdgeGateway::ended(Time now, RequestId request, dispatch::ClientResponse answer) {
   RequestId ours = request;
   if (auto name = names_.find(key(request)); name != names_.end()) {
     ours = name->second;
@@ -195,7 +199,7 @@
   if (drawn == draws_.end()) return static_cast<void>(answers_.emplace_back(ours, std::move(answer)));
   pramperet::Ticket ticket = std::move(drawn->second);
   draws_.erase(drawn);
-  if (answer.unrun) {
+  if (answer.not_executed) {
     purse_.not_run(ticket);
   } else if (answer.status >= 500) {
     purse_.unsure(ticket);
@@ -206,17 +210,17 @@
   answers_.emplace_back(ours, std::move(answer));
 }
 
-void Station::end_open(Time now) {
+void EdgeGateway::finish_open_requests(Time now) {
   for (Waiting& each : waiting_) each.until = std::min(each.until, now);
   for (Held& each : held_) each.until = std::min(each.until, now);
   try_waiting(now);
-  desk_.end_open(now);
+  dispatcher_.finish_open_requests(now);
 }
 
-std::vector<std::pair<RequestId, pederu::FinalAnswer>> Station::take_answers(Time now) {
+std::vector<std::pair<RequestId, dispatch::ClientResponse>> EdgeGateway::take_responses(Time now) {
   if (!purse_.on() && draws_.empty() && held_.empty() && answers_.empty() && names_.empty())
-    return desk_.take_answers();
-  for (auto& [request, answer] : desk_.take_answers()) ended(now, request, std::move(answer));
+    return dispatcher_.take_responses();
+  for (auto& [request, answer] : dispatcher_.take_responses()) ended(now, request, std::move(answer));
   for (auto each = held_.begin(); each != held_.end();) {
     if (!purse_.settled(each->draw) && now < each->until) {
       ++each;
@@ -228,4 +232,4 @@
   return std::exchange(answers_, {});
 }
 
-}  // namespace pearspar::vandelli
+}  // namespace pearspar::edgegateway
--- a/src/vandelli/station.h
+++ b/src/edgegateway/edge_gateway.h
@@ -1,7 +1,7 @@
-// An edge, whole but for its sockets: the desk and who follows the core, joined. What the news say reaches
-// the desk, what the desk learns or lacks reaches the core. Where the configuration names allowances,
-// requests draw on them before they reach the desk, and answers wait (a little) until the draw is on disk.
-// Free of I/O.
+// An edge, whole but for its sockets: the dispatcher and who follows the core, joined. What the news say
+// reaches the dispatcher, what the dispatcher learns or lacks reaches the core. Where the configuration names
+// allowances, requests draw on them before they reach the dispatcher, and answers wait (a little) until the
+// draw is on disk. Free of I/O.
 #pragma once
 
 #include <deque>
@@ -10,26 +10,26 @@
 #include <utility>
 #include <vector>
 
-#include "pederu/desk.h"
+#include "dispatch/dispatcher.h"
 #include "pramperet/purse.h"
 #include "vazzoler/follower.h"
 
-namespace pearspar::vandelli {
+namespace pearspar::edgegateway {
 
-using pederu::Duration;
-using pederu::RequestId;
-using pederu::Time;
+using dispatch::Duration;
+using dispatch::RequestId;
+using dispatch::Time;
 
 // Of a request, where there are allowances.
-struct Drawer {
+struct QuotaIdentity {
   std::string holder;
   std::string key;
 };
 
-class Station {
+class EdgeGateway {
  public:
-  Station(transport::Wire& wire, vazzoler::FollowerOptions options, pederu::Calls& calls,
-          const pederu::AllowanceRules& rules);
+  EdgeGateway(transport::Wire& wire, vazzoler::FollowerOptions options, dispatch::NodeClient& calls,
+              const dispatch::RetryBudgetRules& rules);
 
   void start(Time now) { follower_.start(now); }
   void link_up(transport::LinkId link, const std::string& address) { follower_.link_up(link, address); }
@@ -40,26 +40,26 @@
   Time due(Time now) const;
 
   // Null where there are none: then nothing of them is on a request's way.
-  const averau::Allowances* allowances() const { return purse_.rules(); }
-  // Where it can be told at once, `answer` is set; else it follows in take_answers().
-  RequestId arrive(Time now, const pederu::Arrival& arrival, const Drawer& drawer,
-                   pederu::FinalAnswer& answer);
+  const averau::Allowances* quota_rules() const { return purse_.rules(); }
+  // Where it can be told at once, `answer` is set; else it follows in take_responses().
+  RequestId submit(Time now, const dispatch::ClientRequest& arrival, const QuotaIdentity& quota_identity,
+                   dispatch::ClientResponse& answer);
   // Its client has gone: what it drew stays drawn, since it may have run.
-  void left(RequestId request);
-  std::vector<std::pair<RequestId, pederu::FinalAnswer>> take_answers(Time now);
+  void client_disconnected(RequestId request);
+  std::vector<std::pair<RequestId, dispatch::ClientResponse>> take_responses(Time now);
 
   // A configuration, and a list of nodes that is whole, or has been gathered for long enough.
   bool ready() const { return follower_.knows_enough(); }
   // The edition that requests are routed by.
-  averau::Edition routed() const { return routed_; }
+  averau::Edition routed_revision() const { return routed_revision_; }
 
-  pederu::Desk& desk() { return desk_; }
-  const pederu::Desk& desk() const { return desk_; }
+  dispatch::Dispatcher& dispatcher() { return dispatcher_; }
+  const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }
   vazzoler::Follower& follower() { return follower_; }
   const vazzoler::Follower& follower() const { return follower_; }
   const pramperet::Purse& purse() const { return purse_; }
   // This process ends: every request that is open is answered.
-  void end_open(Time now);
+  void finish_open_requests(Time now);
 
  private:
   static constexpr std::size_t most_waiting = 2048;
@@ -69,15 +69,15 @@
     RequestId ticket;
     std::string method, target, host, id, head, body;
     double deadline_ms = 0;
-    Time began{};
-    Drawer drawer;
+    Time received_at{};
+    QuotaIdentity quota_identity;
     std::string kind;
     Time until{};
   };
   // An answer that waits for its draw.
   struct Held {
     RequestId request;
-    pederu::FinalAnswer answer;
+    dispatch::ClientResponse answer;
     pramperet::Ticket draw;
     Time until{};
   };
@@ -85,23 +85,23 @@
   void take_news();
   void ask_for_tokens(Time now);
   void try_waiting(Time now);
-  void ended(Time now, RequestId request, pederu::FinalAnswer answer);
-  RequestId begin(Time now, const pederu::Arrival& arrival, const pramperet::Verdict& verdict,
-                  pederu::FinalAnswer& answer);
+  void ended(Time now, RequestId request, dispatch::ClientResponse answer);
+  RequestId begin(Time now, const dispatch::ClientRequest& arrival, const pramperet::Verdict& verdict,
+                  dispatch::ClientResponse& answer);
 
   vazzoler::Follower follower_;
-  pederu::Desk desk_;
-  averau::Edition routed_ = 0;
+  dispatch::Dispatcher dispatcher_;
+  averau::Edition routed_revision_ = 0;
   bool began_ = false;  // this life has its first share of coverage
   pramperet::Purse purse_;
   std::deque<Waiting> waiting_;
   std::size_t waiting_bytes_ = 0;
   std::uint32_t next_ticket_ = 0;
-  std::unordered_map<std::uint64_t, pramperet::Ticket> draws_;  // of open requests of the desk
-  std::unordered_map<std::uint64_t, RequestId> names_;          // of those that waited: the desk's id -> ours
-  std::unordered_map<std::uint64_t, RequestId> desk_ids_;       // the other way
+  std::unordered_map<std::uint64_t, pramperet::Ticket> draws_;  // of open requests of the dispatcher
+  std::unordered_map<std::uint64_t, RequestId> names_;  // of those that waited: the dispatcher's id -> ours
+  std::unordered_map<std::uint64_t, RequestId> desk_ids_;  // the other way
   std::deque<Held> held_;
-  std::vector<std::pair<RequestId, pederu::FinalAnswer>> answers_;
+  std::vector<std::pair<RequestId, dispatch::ClientResponse>> answers_;
 };
 
-}  // namespace pearspar::vandelli
+}  // namespace pearspar::edgegateway
--- a/src/fanes/messages.h
+++ b/src/fanes/messages.h
@@ -103,8 +103,8 @@
   Life life = 0;
 };
 
-// Of the slack that a service's second calls may use over all edges (nuvolau): what an edge asks the leader
-// for, and what it gets. Tokens live from the asking on.
+// Of the slack that a service's second calls may use over all edges (retrytokens): what an edge asks the
+// leader for, and what it gets. Tokens live from the asking on.
 struct Tokens {
   std::string depot;
   std::uint32_t count = 0;
--- a/src/measure/allowance_measure.cpp
+++ b/src/measure/allowance_measure.cpp
@@ -118,8 +118,8 @@
   sum.served = cluster.auditor().served();
   std::vector<double> at_edge;
   for (std::size_t edge = 0; edge < cluster.edges(); ++edge)
-    if (const auto* station = cluster.station(edge)) {
-      const auto& counters = station->purse().counters();
+    if (const auto* gateway = cluster.gateway(edge)) {
+      const auto& counters = gateway->purse().counters();
       sum.drawn += counters.drawn, sum.waited += counters.drawn_late, sum.refused += counters.refused;
       sum.asks += counters.asks;
       at_edge.push_back(static_cast<double>(counters.drawn));
--- a/src/measure/capacity.h
+++ b/src/measure/capacity.h
@@ -54,7 +54,7 @@
   int edges = 30;
   int servers = 171;
   int members = 3;
-  int full = 8;           // edges that keep the list and have a desk, each in a process of its own
+  int full = 8;           // edges that keep the list and have a dispatcher, each in a process of its own
   int per_process = 200;  // of the others
   int servers_per_process = 2000;
   int routes = 100;
--- a/src/measure/capacity_edges.cpp
+++ b/src/measure/capacity_edges.cpp
@@ -1,16 +1,16 @@
-// Hollow edges: the real links, codec and following, no traffic. A full one has a desk and keeps every node,
-// as in service; of the others' news what concerns nodes is counted and left out, so that thousands fit on a
-// machine.
+// Hollow edges: the real links, codec and following, no traffic. A full one has a dispatcher and keeps every
+// node, as in service; of the others' news what concerns nodes is counted and left out, so that thousands fit
+// on a machine.
 #include <algorithm>
 #include <memory>
 #include <optional>
 #include <unordered_map>
 
+#include "edgegateway/edge_gateway.h"
 #include "fanes/messages.h"
 #include "measure/capacity.h"
 #include "net/loop.h"
 #include "transport/links.h"
-#include "vandelli/station.h"
 
 namespace pearspar::measure {
 namespace {
@@ -47,10 +47,11 @@
   std::uint64_t digest_ = 0;
 };
 
-class NoCalls : public pederu::Calls {
+class NoCalls : public dispatch::NodeClient {
  public:
-  bool cancel(pederu::CallId, bool) override { return false; }
-  bool start(pederu::CallId, const pederu::KnownNode&, int, pederu::NodeRequest, pederu::Time) override {
+  bool cancel(dispatch::CallId, bool) override { return false; }
+  bool start(dispatch::CallId, const dispatch::NodeState&, int, dispatch::NodeRequest,
+             dispatch::Time) override {
     return false;
   }
 };
@@ -63,8 +64,8 @@
                                       "edge" + std::to_string(number), "zone" + std::to_string(number % 13),
                                       seeds};
     if (full) {
-      station_.emplace(*this, options, calls_, pederu::AllowanceRules{0.2, 56, pederu::Duration(10)});
-      station_->start(loop.now());
+      gateway_.emplace(*this, options, calls_, dispatch::RetryBudgetRules{0.2, 56, dispatch::Duration(10)});
+      gateway_->start(loop.now());
     } else {
       follower_.emplace(*this, options);
       follower_->start(loop.now());
@@ -73,7 +74,7 @@
   }
 
  private:
-  const vazzoler::Follower& follower() const { return station_ ? station_->follower() : *follower_; }
+  const vazzoler::Follower& follower() const { return gateway_ ? gateway_->follower() : *follower_; }
   void count(Flow& flow, std::size_t size) {
     flow.frames.fetch_add(1, std::memory_order_relaxed);
     flow.bytes.fetch_add(size + length_bytes, std::memory_order_relaxed);
@@ -96,11 +97,11 @@
   }
   void link_up(transport::LinkId link, const std::string& address) override {
     ++board_.links, ++board_.dialled;
-    station_ ? station_->link_up(link, address) : follower_->link_up(link, address);
+    gateway_ ? gateway_->link_up(link, address) : follower_->link_up(link, address);
   }
   void link_down(transport::LinkId link) override {
     --board_.links;
-    station_ ? station_->link_down(link) : follower_->link_down(link);
+    gateway_ ? gateway_->link_down(link) : follower_->link_down(link);
   }
   void link_frame(transport::LinkId link, std::string_view frame) override {
     std::size_t kind = kind_of(frame);
@@ -115,9 +116,9 @@
       for (std::size_t i = 0; i < changes->changes.size(); ++i)
         whole = whole ||
                 (changes->after.number + i > 0 && changes->changes[i].kind == fanes::ChangeKind::complete);
-    if (station_) {
-      station_->link_frame(loop_.now(), link, frame);
-      station_->advance(loop_.now());
+    if (gateway_) {
+      gateway_->link_frame(loop_.now(), link, frame);
+      gateway_->advance(loop_.now());
       board_.nodes = follower().view().nodes().all().size();
     } else if (standing) {
       list_.apply(*standing);
@@ -159,11 +160,11 @@
     }
   }
   void arm() {
-    timer_ = loop_.at(std::max(station_ ? station_->due(loop_.now()) : follower_->due(),
+    timer_ = loop_.at(std::max(gateway_ ? gateway_->due(loop_.now()) : follower_->due(),
                                loop_.now() + net::Duration(0.0005)),
                       [this] {
-                        if (station_)
-                          station_->advance(loop_.now());
+                        if (gateway_)
+                          gateway_->advance(loop_.now());
                         else
                           follower_->tick(loop_.now());
                         note(false);
@@ -175,7 +176,7 @@
   EdgeBoard& board_;
   NoCalls calls_;
   transport::Links links_;
-  std::optional<vandelli::Station> station_;
+  std::optional<edgegateway::EdgeGateway> gateway_;
   std::optional<vazzoler::Follower> follower_;
   ListDigest list_;
   net::Timer timer_;
--- a/src/measure/capacity_regions.cpp
+++ b/src/measure/capacity_regions.cpp
@@ -220,7 +220,7 @@
   auto known = [&](std::size_t edge) { return cluster.follower(edge)->view().nodes().all().size(); };
   auto at = [&](std::size_t edge) { return cluster.follower(edge)->view().edition(); };
   values["edges_inside"] = count(true, [](std::size_t) { return true; });
-  values["inside_ready"] = count(true, [&](std::size_t e) { return cluster.station(e)->ready(); });
+  values["inside_ready"] = count(true, [&](std::size_t e) { return cluster.gateway(e)->ready(); });
   values["inside_old_edition"] = count(true, [&](std::size_t e) { return at(e) <= edition; });
   values["nodes"] = static_cast<double>(cluster.nodes());
   values["nodes_inside_know"] = static_cast<double>(known(edges_in(true).front()));
--- a/src/measure/system_bench.cpp
+++ b/src/measure/system_bench.cpp
@@ -1,21 +1,21 @@
-// What the system's decisions cost a processor: a request and a gathered request through the desk, a change
-// pushed to many edges, a delta made and used, tokens.
+// What the system's decisions cost a processor: a request and a gathered request through the dispatcher, a
+// change pushed to many edges, a delta made and used, tokens.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
 #include <deque>
 
+#include "dispatch/dispatcher.h"
+#include "dispatch/merge.h"
 #include "fanes/delta.h"
-#include "nuvolau/pool.h"
-#include "pederu/desk.h"
-#include "pederu/merge.h"
+#include "retrytokens/token_pool.h"
 #include "sennes/followers.h"
 
 namespace pearspar {
 namespace {
 
-using pederu::Duration;
-using pederu::Time;
+using dispatch::Duration;
+using dispatch::Time;
 
 std::string configuration_text(int edition, int shards, int routes) {
   std::string gather, depots, more;
@@ -42,13 +42,13 @@
 }
 
 // Answers every call at once with records.
-struct Hall : pederu::Calls {
-  std::deque<pederu::CallId> out;
-  pederu::Desk desk{*this};
+struct Hall : dispatch::NodeClient {
+  std::deque<dispatch::CallId> out;
+  dispatch::Dispatcher dispatcher{*this};
   std::string body;
   explicit Hall(int shards) {
-    desk.set_routes(std::make_shared<const pederu::Routes>(configuration(1, shards, 0)));
-    desk.set_allowance({0.2, 56, std::chrono::seconds(10)});
+    dispatcher.set_routes(std::make_shared<const dispatch::RouteTable>(configuration(1, shards, 0)));
+    dispatcher.set_retry_budget({0.2, 56, std::chrono::seconds(10)});
     for (int shard = -1; shard < shards; ++shard)
       for (int i = 0; i < 8; ++i) {
         averau::Node node;
@@ -56,38 +56,38 @@
         node.id = fmt::format("{}-{}", node.depot, i);
         node.address = node.id + ":1";
         node.zone = i % 3 == 0 ? "a" : "b";
-        desk.nodes().update(node.id, &node);
+        dispatcher.load_balancer().update(node.id, &node);
       }
-    desk.nodes().set_home("a");
+    dispatcher.load_balancer().set_home_zone("a");
     for (int i = 0; i < 3200; ++i) body += static_cast<char>(i * 37 + i / 256);
   }
-  bool cancel(pederu::CallId, bool) override { return false; }
-  bool start(pederu::CallId call, const pederu::KnownNode&, int, pederu::NodeRequest, Time) override {
+  bool cancel(dispatch::CallId, bool) override { return false; }
+  bool start(dispatch::CallId call, const dispatch::NodeState&, int, dispatch::NodeRequest, Time) override {
     out.push_back(call);
     return true;
   }
   void ask(Time now, std::string_view target) {
-    pederu::Arrival arrival;
+    dispatch::ClientRequest arrival;
     arrival.method = "GET";
     arrival.target = target;
     arrival.host = "h";
     arrival.id = "9c41d07be2a35f68";
     arrival.deadline_ms = 1500;
     arrival.head = "GET /g/x HTTP/1.1\r\nHost: h\r\nRequest-Id: 9c41d07be2a35f68\r\n";
-    pederu::FinalAnswer answer;
-    desk.arrive(now, arrival, answer);
+    dispatch::ClientResponse answer;
+    dispatcher.submit(now, arrival, answer);
     while (!out.empty()) {
-      pederu::CallId call = out.front();
+      dispatch::CallId call = out.front();
       out.pop_front();
-      pederu::CallEnd end;
-      end.ending = pederu::Ending::answered;
+      dispatch::CallResult end;
+      end.outcome = dispatch::CallOutcome::answered;
       end.status = 200;
-      end.stamp = "3e1b.07.5a2.600.0.c9f2a4d1";
+      end.postmark = "3e1b.07.5a2.600.0.c9f2a4d1";
       end.body = body;
-      desk.ended(now + Duration(0.02), call, end);
+      dispatcher.call_ended(now + Duration(0.02), call, end);
     }
-    desk.advance(now + Duration(0.02));
-    benchmark::DoNotOptimize(desk.take_answers());
+    dispatcher.advance(now + Duration(0.02));
+    benchmark::DoNotOptimize(dispatcher.take_responses());
   }
 };
 
@@ -178,7 +178,7 @@
 BENCHMARK(configuration_read)->Arg(10)->Arg(300)->Arg(3000);
 
 void tokens_granted(benchmark::State& state) {
-  nuvolau::Pool pool;
+  retrytokens::TokenPool pool;
   pool.set({218, std::chrono::seconds(10)});
   Time now{Duration(100)};
   for (auto _ : state) benchmark::DoNotOptimize(pool.grant(now += Duration(0.05), "d", 4));
--- a/src/nuvolau/pool.cpp
+++ b/src/retrytokens/token_pool.cpp
@@ -1,10 +1,10 @@
-#include "nuvolau/pool.h"
+#include "retrytokens/token_pool.h"
 
 #include <algorithm>
 
-namespace pearspar::nuvolau {
+namespace pearspar::retrytokens {
 
-std::uint32_t Pool::grant(Time now, const std::string& depot, std::uint32_t wanted) {
+std::uint32_t TokenPool::grant(Time now, const std::string& depot, std::uint32_t wanted) {
   auto refuse = [&] {
     refused_ += wanted;
     return std::uint32_t{0};
@@ -25,11 +25,11 @@
   std::uint32_t left = capacity > account.sum ? capacity - account.sum : 0;
   std::uint32_t given = std::min(wanted, (left + 1) / 2);
   if (given == 0) return refuse();
-  account.out.emplace_back(now + token_life + rules_.window, given);
+  account.out.emplace_back(now + token_lifetime + rules_.window, given);
   account.sum += given;
   granted_ += given;
   refused_ += wanted - given;
   return given;
 }
 
-}  // namespace pearspar::nuvolau
+}  // namespace pearspar::retrytokens
--- a/src/nuvolau/pool.h
+++ b/src/retrytokens/token_pool.h
@@ -12,29 +12,29 @@
 #include <string>
 #include <unordered_map>
 
-namespace pearspar::nuvolau {
+namespace pearspar::retrytokens {
 
 using Duration = std::chrono::duration<double>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-inline constexpr Duration token_life = std::chrono::seconds(2);  // at the edge, from its asking
+inline constexpr Duration token_lifetime = std::chrono::seconds(2);  // at the edge, from its asking
 // Of the rule's slack: what the leader hands out, and what edges have without asking, by their number. What
 // is left covers edges that start anew and have forgotten what they spent.
 inline constexpr double shared_slack = 0.35;
 inline constexpr double fixed_slack = 0.25;
 
-struct PoolRules {
+struct TokenPoolRules {
   double slack = 0;  // of the rule, for each service
   Duration window = std::chrono::seconds(10);
 };
 
-class Pool {
+class TokenPool {
  public:
-  void set(const PoolRules& rules) { rules_ = rules; }
+  void set(const TokenPoolRules& rules) { rules_ = rules; }
   // From here on this member leads.
   void open(Time now) {
     accounts_.clear();
-    quiet_until_ = now + token_life + rules_.window;
+    quiet_until_ = now + token_lifetime + rules_.window;
   }
   // So many of those wanted; half of what is left at most, so that whoever asks next finds some.
   std::uint32_t grant(Time now, const std::string& depot, std::uint32_t wanted);
@@ -48,11 +48,11 @@
     std::deque<std::pair<Time, std::uint32_t>> out;  // until when, how many
     std::uint32_t sum = 0;
   };
-  PoolRules rules_;
+  TokenPoolRules rules_;
   Time quiet_until_{};
   std::unordered_map<std::string, Account> accounts_;
   std::uint64_t granted_ = 0;
   std::uint64_t refused_ = 0;
 };
 
-}  // namespace pearspar::nuvolau
+}  // namespace pearspar::retrytokens
--- a/src/sennes/office.h
+++ b/src/sennes/office.h
@@ -15,8 +15,8 @@
 #include <string_view>
 #include <vector>
 
-#include "nuvolau/pool.h"
 #include "pramperet/bursar.h"
+#include "retrytokens/token_pool.h"
 #include "sennes/calls.h"
 #include "sennes/followers.h"
 #include "sennes/state.h"
@@ -37,7 +37,7 @@
   std::string name;
   std::string zone;
   Duration beat = std::chrono::milliseconds(1200);
-  nuvolau::PoolRules pool;                          // of the budget that all edges share
+  retrytokens::TokenPoolRules pool;                 // of the budget that all edges share
   State::Reader read = averau::read_configuration;  // the program's checks
 };
 
@@ -84,7 +84,7 @@
 
   const vazzoler::View& view() const { return view_; }
   const Followers& followers() const { return followers_; }
-  const nuvolau::Pool& pool() const { return pool_; }
+  const retrytokens::TokenPool& pool() const { return pool_; }
   const pramperet::Bursar& bursar() const { return bursar_; }
   bool in_office() const { return followers_.is_open(); }
   const Room& room() const { return room_; }
@@ -142,7 +142,7 @@
   State& state_;
   vazzoler::View view_;
   Followers followers_;
-  nuvolau::Pool pool_;
+  retrytokens::TokenPool pool_;
   pramperet::Bursar bursar_;
   Room room_{most_calls, most_call_bytes};  // of all that wait below
   std::deque<Request> waiting_;             // for a leader, for the proposal before, for what it builds on
--- a/src/upstream/node_links.cpp
+++ b/src/upstream/node_links.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using pederu::CallEnd;
-using pederu::Ending;
+using dispatch::CallOutcome;
+using dispatch::CallResult;
 
 constexpr std::size_t read_step = 16 * 1024;
 constexpr int reads_at_once = 8;
@@ -51,8 +51,8 @@
 
 }  // namespace
 
-bool NodeLinks::start(pederu::CallId call, const pederu::KnownNode& node, int most,
-                      pederu::NodeRequest request, pederu::Time end) {
+bool NodeLinks::start(dispatch::CallId call, const dispatch::NodeState& node, int most,
+                      dispatch::NodeRequest request, dispatch::Time end) {
   // Looked up anew each time: with its last connection a pool is gone.
   while (!pools_[node.address].idle.empty()) {
     auto& idle = pools_[node.address].idle;
@@ -64,7 +64,7 @@
     bool old = connection->idle_until <= loop_.now();
     if (old || net::readable(connection->fd)) {
       counters_.forgotten += !old;
-      close(id, Ending::no_way);
+      close(id, CallOutcome::no_connection);
       continue;
     }
     ++counters_.reused;
@@ -92,7 +92,7 @@
   return true;
 }
 
-void NodeLinks::begin(net::SlotId id, pederu::CallId call, pederu::NodeRequest request, net::Time end) {
+void NodeLinks::begin(net::SlotId id, dispatch::CallId call, dispatch::NodeRequest request, net::Time end) {
   Connection& connection = *connections_.find(id);
   connection.busy = true;
   connection.call = call;
@@ -117,7 +117,7 @@
   write(id);
 }
 
-bool NodeLinks::cancel(pederu::CallId call, bool even_if_sent) {
+bool NodeLinks::cancel(dispatch::CallId call, bool even_if_sent) {
   const auto found = calls_.find(key(call));
   if (found == calls_.end()) return false;
   const net::SlotId id = found->second;
@@ -125,7 +125,7 @@
   if (connection.written > 0 && !even_if_sent) return false;
   calls_.erase(found);
   connection.busy = false;
-  close(id, Ending::no_way);
+  close(id, CallOutcome::no_connection);
   return true;
 }
 
@@ -133,7 +133,7 @@
   Connection* connection = connections_.find(id);
   if (!connection) return;
   if (connection->up) ++counters_.overdue;
-  close(id, connection->up ? Ending::broken : Ending::no_way);
+  close(id, connection->up ? CallOutcome::broken : CallOutcome::no_connection);
 }
 
 void NodeLinks::on_ready(net::SlotId id, short events) {
@@ -141,10 +141,10 @@
   Connection* connection = connections_.find(id);
   if (!connection) return;
   if (!connection->up) {
-    if (net::connect_error(connection->fd) != 0) return close(id, Ending::no_way);
+    if (net::connect_error(connection->fd) != 0) return close(id, CallOutcome::no_connection);
     connection->up = true;
     // A process that stood still meanwhile: what nobody waits for any more is not sent.
-    if (loop_.now() >= connection->end) return close(id, Ending::no_way);
+    if (loop_.now() >= connection->end) return close(id, CallOutcome::no_connection);
     connection->timer = loop_.at(connection->end + grace, [this, id] { due(id); });
     return send_request(id);
   }
@@ -178,7 +178,7 @@
 // The node takes no more of it; what it has said before may be a whole answer.
 void NodeLinks::unwritten(net::SlotId id) {
   if (connections_.find(id)) read(id);
-  close(id, Ending::broken);
+  close(id, CallOutcome::broken);
 }
 
 void NodeLinks::read(net::SlotId id) {
@@ -189,26 +189,26 @@
     if (result != net::IoResult::some) {
       // What has come before the end may be a whole answer.
       if (connection.busy && ended(connection, result) == http::Progress::done) answered(id);
-      return close(id, Ending::broken);
+      return close(id, CallOutcome::broken);
     }
     account(connection);
     if (held_bytes_ > memory_bound_) {
       ++counters_.without_memory;
-      return close(id, Ending::broken);
+      return close(id, CallOutcome::broken);
     }
     if (connection.in.size() < read_step) break;
   }
   Connection& connection = *connections_.find(id);
   if (!connection.busy) {
     ++counters_.surplus;
-    return close(id, Ending::broken);
+    return close(id, CallOutcome::broken);
   }
   switch (advance(connection)) {
     case http::Progress::more:
       return;
     case http::Progress::failed:
       ++counters_.spoilt;
-      return close(id, Ending::broken);
+      return close(id, CallOutcome::broken);
     case http::Progress::done:
       return answered(id);
   }
@@ -252,23 +252,23 @@
   }
   if (!ours || message.header("Content-Encoding")) {
     ++counters_.spoilt;
-    return close(id, Ending::broken);
+    return close(id, CallOutcome::broken);
   }
-  CallEnd end;
+  CallResult end;
   end.status = message.status;
-  end.stamp = message.header("Postmark").value_or(std::string_view());
-  end.type = message.header("Content-Type").value_or(std::string_view());
+  end.postmark = message.header("Postmark").value_or(std::string_view());
+  end.content_type = message.header("Content-Type").value_or(std::string_view());
   end.body = message.body;
-  end.length = message.length;
+  end.content_length = message.length;
   if (message.status == 421)
-    end.ending = Ending::misplaced;
+    end.outcome = CallOutcome::misdirected;
   else if (message.header("Not-Run"))
-    end.ending = Ending::not_run;
+    end.outcome = CallOutcome::not_run;
   else
-    end.ending = Ending::answered;
+    end.outcome = CallOutcome::answered;
   bool keep = echoed && message.keep_alive && connection.all_written;
   connection.idle_until = loop_.now() + kept_for(message) - idle_margin;
-  pederu::CallId call = connection.call;
+  dispatch::CallId call = connection.call;
   connection.busy = false;
   calls_.erase(key(call));
   connection.timer.reset();
@@ -278,7 +278,7 @@
   connection.reader.next(connection.in);
   account(connection);
   if (connection.in.size() > 0) ++counters_.surplus;
-  if (!keep || connection.in.size() > 0) return close(id, Ending::no_way);
+  if (!keep || connection.in.size() > 0) return close(id, CallOutcome::no_connection);
   rest(id);
 }
 
@@ -296,20 +296,20 @@
   connections_.each([&](net::SlotId id, Connection& connection) {
     if (connection.up && !connection.busy && connection.idle_until <= loop_.now()) old.push_back(id);
   });
-  for (net::SlotId id : old) close(id, Ending::no_way);
+  for (net::SlotId id : old) close(id, CallOutcome::no_connection);
 }
 
-void NodeLinks::close(net::SlotId id, Ending ending) {
+void NodeLinks::close(net::SlotId id, CallOutcome ending) {
   Connection* connection = connections_.find(id);
   if (!connection) return;
   bool busy = connection->busy;
   held_bytes_ -= connection->held;
   // None of it has left: it has not run.
-  if (busy && ending == Ending::broken && connection->written == 0) {
+  if (busy && ending == CallOutcome::broken && connection->written == 0) {
     ++counters_.unwritten;
-    ending = Ending::no_way;
+    ending = CallOutcome::no_connection;
   }
-  pederu::CallId call = connection->call;
+  dispatch::CallId call = connection->call;
   auto pool = pools_.find(connection->address);
   if (pool != pools_.end()) {
     std::erase(pool->second.idle, id);
@@ -318,8 +318,8 @@
   connections_.release(id);
   if (!busy) return;
   calls_.erase(key(call));
-  CallEnd end;
-  end.ending = ending;
+  CallResult end;
+  end.outcome = ending;
   on_end_(call, end);
 }
 
--- a/src/upstream/node_links.h
+++ b/src/upstream/node_links.h
@@ -10,11 +10,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "dispatch/dispatcher.h"
 #include "http/message.h"
 #include "net/loop.h"
 #include "net/slots.h"
 #include "net/socket.h"
-#include "pederu/desk.h"
 
 namespace pearspar::upstream {
 
@@ -30,14 +30,14 @@
   std::uint64_t without_memory = 0;  // answers broken off, their bytes together being at their bound
 };
 
-class NodeLinks : public pederu::Calls {
+class NodeLinks : public dispatch::NodeClient {
  public:
-  using OnEnd = std::function<void(pederu::CallId, const pederu::CallEnd&)>;
+  using OnEnd = std::function<void(dispatch::CallId, const dispatch::CallResult&)>;
   NodeLinks(net::Loop& loop, OnEnd on_end) : loop_(loop), on_end_(std::move(on_end)) {}
 
-  bool start(pederu::CallId call, const pederu::KnownNode& node, int most_connections,
-             pederu::NodeRequest request, pederu::Time end) override;
-  bool cancel(pederu::CallId call, bool even_if_sent) override;
+  bool start(dispatch::CallId call, const dispatch::NodeState& node, int most_connections,
+             dispatch::NodeRequest request, dispatch::Time end) override;
+  bool cancel(dispatch::CallId call, bool even_if_sent) override;
   // Bytes of answers that are coming, over all connections, at the most: beyond it the one that grows ends.
   void set_memory_bound(std::size_t bytes) { memory_bound_ = bytes; }
   std::size_t held_bytes() const { return held_bytes_; }
@@ -61,10 +61,10 @@
     bool up = false;
     bool busy = false;
     bool used = false;  // has carried a request before this one
-    pederu::CallId call;
+    dispatch::CallId call;
     std::string id;  // of the request that is out
     net::Time end{};
-    pederu::NodeRequest request;  // until the connection is up
+    dispatch::NodeRequest request;  // until the connection is up
     std::string out;
     std::size_t written = 0;
     bool all_written = false;  // `out` is given back then
@@ -78,7 +78,7 @@
     int connections = 0;
   };
 
-  void begin(net::SlotId id, pederu::CallId call, pederu::NodeRequest request, net::Time end);
+  void begin(net::SlotId id, dispatch::CallId call, dispatch::NodeRequest request, net::Time end);
   void send_request(net::SlotId id);
   void on_ready(net::SlotId id, short events);
   void write(net::SlotId id);
@@ -91,7 +91,7 @@
   void rest(net::SlotId id);
   void due(net::SlotId id);
   // Ends the connection, and with it what is out on it.
-  void close(net::SlotId id, pederu::Ending ending);
+  void close(net::SlotId id, dispatch::CallOutcome ending);
 
   net::Loop& loop_;
   OnEnd on_end_;
--- a/src/vazzoler/follower.cpp
+++ b/src/vazzoler/follower.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "nuvolau/pool.h"
+#include "retrytokens/token_pool.h"
 
 namespace pearspar::vazzoler {
 namespace {
@@ -115,7 +115,7 @@
     if (grant->number != asked_) return false;
     want_due_ = asked_at_ + want_every;
     for (const fanes::Tokens& each : grant->tokens)
-      granted_.emplace_back(asked_at_ + nuvolau::token_life, each);
+      granted_.emplace_back(asked_at_ + retrytokens::token_lifetime, each);
     return false;
   }
   if (const auto* tell = std::get_if<pramperet::Tell>(&*message)) {
--- a/tests/system/allowance_test.cpp
+++ b/tests/system/allowance_test.cpp
@@ -403,8 +403,8 @@
     cluster.run(5);
     CPPUNIT_ASSERT(cluster.auditor().served() > 100);
     for (std::size_t edge = 0; edge < cluster.edges(); ++edge) {
-      CPPUNIT_ASSERT(!cluster.station(edge)->allowances());
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, cluster.station(edge)->purse().counters().asks);
+      CPPUNIT_ASSERT(!cluster.gateway(edge)->quota_rules());
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, cluster.gateway(edge)->purse().counters().asks);
     }
     int leader = cluster.leader();
     CPPUNIT_ASSERT_EQUAL(
--- a/tests/system/desk_test.cpp
+++ b/tests/system/dispatcher_test.cpp
@@ -1,13 +1,13 @@
 // The data plane's decisions: events in, calls and answers out, time handed in.
-#include "pederu/desk.h"
+#include "dispatch/dispatcher.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <deque>
 
-#include "pederu/merge.h"
+#include "dispatch/merge.h"
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
 namespace {
 
@@ -42,93 +42,93 @@
 
 }  // namespace
 
-class DeskTest : public CppUnit::TestFixture, public Calls {
-  CPPUNIT_TEST_SUITE(DeskTest);
-  CPPUNIT_TEST(theLongestPrefixOfTheHostDecides);
-  CPPUNIT_TEST(anUnknownRouteIs404OnlyWithAConfiguration);
-  CPPUNIT_TEST(everyShardIsAskedAndTheGreatestRecordsCome);
-  CPPUNIT_TEST(theHeaviestAreSentUnderStrainAndNeverLessThanTheFloor);
-  CPPUNIT_TEST(coverageFallsByATenthAWindowAndComesBack);
-  CPPUNIT_TEST(aClassWithoutPartsGetsEveryShardUnderStrain);
-  CPPUNIT_TEST(weightsFollowWhatSurvives);
-  CPPUNIT_TEST(aLatePartIsLeftOutAtTheAim);
-  CPPUNIT_TEST(tooFewPartsWaitForTheDeadline);
-  CPPUNIT_TEST(aShardThatIsGoneIsRefusedAtOnceWhereTheFloorNeedsIt);
-  CPPUNIT_TEST(aDarkShardIsTriedAndNotAwaited);
-  CPPUNIT_TEST(aSecondCallGoesWhereTheFirstIsSlow);
-  CPPUNIT_TEST(aNodeOfAnotherZoneCountsAsSlower);
-  CPPUNIT_TEST(aRefusalGoesToAnotherNode);
-  CPPUNIT_TEST(refusedByAllIsRefusedAtOnceWithATime);
-  CPPUNIT_TEST(aFailureCanBeExplainedAfterwards);
-  CPPUNIT_TEST(whatMayHaveRunIsNeverCalledUnrun);
-  CPPUNIT_TEST(aNodesOwnRefusalIsNotCalledUnrun);
-  CPPUNIT_TEST(whatMayNotRepeatIsNotRepeated);
-  CPPUNIT_TEST(aMisplacedNodeIsAskedNoMore);
-  CPPUNIT_TEST(theAllowanceBoundsSecondCalls);
-  CPPUNIT_TEST(aRequestKeepsTheConfigurationItBeganWith);
-  CPPUNIT_TEST(theNodeWithTheLeastLatencyTimesCallsIsAsked);
-  CPPUNIT_TEST(aClosingNodeIsNotAsked);
-  CPPUNIT_TEST(sharesAreKept);
-  CPPUNIT_TEST(aClientThatLeftCostsNothingMore);
-  CPPUNIT_TEST(aRestIsNoRecordAndEqualOnesAllCount);
+class DispatcherTest : public CppUnit::TestFixture, public NodeClient {
+  CPPUNIT_TEST_SUITE(DispatcherTest);
+  CPPUNIT_TEST(longestMatchingPrefixWins);
+  CPPUNIT_TEST(unknownRouteIs404OnlyOnceConfigured);
+  CPPUNIT_TEST(gatheredResponseMergesAllShards);
+  CPPUNIT_TEST(heaviestShardsAreSelectedDownToTheMinimum);
+  CPPUNIT_TEST(coverageFallsUnderOverloadAndRecovers);
+  CPPUNIT_TEST(routeWithoutPartialResponsesKeepsFullCoverage);
+  CPPUNIT_TEST(shardWeightsFollowSurvivingRecords);
+  CPPUNIT_TEST(latePartIsOmittedAtTheLatencyTarget);
+  CPPUNIT_TEST(tooFewPartsAreAwaitedUntilTheDeadline);
+  CPPUNIT_TEST(missingRequiredShardIsRefusedAtOnce);
+  CPPUNIT_TEST(unresponsiveShardIsProbedButNotAwaited);
+  CPPUNIT_TEST(slowCallIsHedged);
+  CPPUNIT_TEST(nodesOfOtherZonesArePenalized);
+  CPPUNIT_TEST(refusedCallIsRetriedOnAnotherNode);
+  CPPUNIT_TEST(refusalByAllNodesCarriesRetryAfter);
+  CPPUNIT_TEST(failureLogRecordsEachCall);
+  CPPUNIT_TEST(possiblyExecutedRequestIsNotReportedAsNotRun);
+  CPPUNIT_TEST(nodeErrorIsNotReportedAsNotRun);
+  CPPUNIT_TEST(nonIdempotentRequestIsNotRepeated);
+  CPPUNIT_TEST(misdirectedNodeIsNotChosenAgain);
+  CPPUNIT_TEST(retryBudgetBoundsExtraCalls);
+  CPPUNIT_TEST(requestKeepsItsInitialConfiguration);
+  CPPUNIT_TEST(leastLoadedNodeIsChosen);
+  CPPUNIT_TEST(drainingNodeIsNotChosen);
+  CPPUNIT_TEST(trafficSplitFollowsWeights);
+  CPPUNIT_TEST(disconnectCancelsIdempotentCalls);
+  CPPUNIT_TEST(mergeIgnoresPartialRecordsAndKeepsDuplicates);
   CPPUNIT_TEST_SUITE_END();
 
   Time now{Duration(100)};
   std::deque<Sent> sent;
-  Desk* desk = nullptr;
+  Dispatcher* dispatcher = nullptr;
   bool full = false;
   std::vector<std::pair<CallId, bool>> cancels;
-  std::unique_ptr<Desk> held;
+  std::unique_ptr<Dispatcher> held;
   std::uint64_t stamps = 0;
 
   bool cancel(CallId call, bool even_if_sent) override {
     cancels.emplace_back(call, even_if_sent);
     return even_if_sent;
   }
-  bool start(CallId call, const KnownNode& node, int, NodeRequest request, Time end) override {
+  bool start(CallId call, const NodeState& node, int, NodeRequest request, Time end) override {
     if (full) return false;
     sent.push_back({call, node.id, request.text(end - now)});
     return true;
   }
   void node(const std::string& id, const std::string& depot, bool closing = false) {
     averau::Node node{id, depot, id + ":1", "z", "v", 3, closing, 1, {}};
-    desk->nodes().update(id, &node);
+    dispatcher->load_balancer().update(id, &node);
   }
-  RequestId ask(const std::string& target, FinalAnswer& answer) {
-    Arrival arrival;
+  RequestId ask(const std::string& target, ClientResponse& answer) {
+    ClientRequest arrival;
     arrival.method = "GET";
     arrival.target = target;
     arrival.host = "h";
     arrival.id = "id";
     arrival.head = "GET " + target + " HTTP/1.1\r\nRequest-Id: id\r\n";
-    return desk->arrive(now, arrival, answer);
+    return dispatcher->submit(now, arrival, answer);
   }
   RequestId ask(const std::string& target) {
-    FinalAnswer answer;
+    ClientResponse answer;
     RequestId id = ask(target, answer);
     CPPUNIT_ASSERT(id);
     return id;
   }
   Sent& last() { return sent.back(); }
-  void end(Sent& call, Ending ending, int status = 200, const std::string& body = "") {
+  void end(Sent& call, CallOutcome ending, int status = 200, const std::string& body = "") {
     CPPUNIT_ASSERT(call.open);
     call.open = false;
-    std::string stamp = ending == Ending::answered ? "st" + std::to_string(++stamps) : "";
-    CallEnd done;
-    done.ending = ending;
+    std::string stamp = ending == CallOutcome::answered ? "st" + std::to_string(++stamps) : "";
+    CallResult done;
+    done.outcome = ending;
     done.status = status;
-    done.stamp = stamp;
+    done.postmark = stamp;
     done.body = body;
-    desk->ended(now, call.call, done);
+    dispatcher->call_ended(now, call.call, done);
   }
-  FinalAnswer answer() {
-    auto answers = desk->take_answers();
+  ClientResponse answer() {
+    auto answers = dispatcher->take_responses();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answers.size());
     return answers[0].second;
   }
   void wait(double ms) {
     now += from_ms(ms);
-    desk->advance(now);
+    dispatcher->advance(now);
   }
 
  public:
@@ -136,49 +136,49 @@
     sent.clear();
     full = false;
     stamps = 0;
-    held = std::make_unique<Desk>(*this);
-    desk = held.get();
-    desk->set_allowance({0.2, 50, std::chrono::seconds(10)});
-    desk->set_routes(std::make_shared<const Routes>(configuration()));
+    held = std::make_unique<Dispatcher>(*this);
+    dispatcher = held.get();
+    dispatcher->set_retry_budget({0.2, 50, std::chrono::seconds(10)});
+    dispatcher->set_routes(std::make_shared<const RouteTable>(configuration()));
     for (const char* depot : {"a", "b", "c", "d", "p", "q"})
       for (int i = 0; i < 2; ++i) node(depot + std::to_string(i), depot);
   }
 
-  void theLongestPrefixOfTheHostDecides() {
-    Routes routes(configuration());
+  void longestMatchingPrefixWins() {
+    RouteTable routes(configuration());
     CPPUNIT_ASSERT_EQUAL(std::string("u"), routes.find("H:80", "/s/u/x?y=/g/")->name);
     CPPUNIT_ASSERT_EQUAL(std::string("s"), routes.find("h", "/s/v")->name);
     CPPUNIT_ASSERT(!routes.find("h", "/x?/s/"));
     CPPUNIT_ASSERT(!routes.find("other", "/s/"));
   }
 
-  void anUnknownRouteIs404OnlyWithAConfiguration() {
-    FinalAnswer answer;
+  void unknownRouteIs404OnlyOnceConfigured() {
+    ClientResponse answer;
     CPPUNIT_ASSERT(!ask("/x/", answer));
     CPPUNIT_ASSERT_EQUAL(404, answer.status);
-    Desk fresh(*this);
-    desk = &fresh;
+    Dispatcher fresh(*this);
+    dispatcher = &fresh;
     CPPUNIT_ASSERT(!ask("/x/", answer));
     CPPUNIT_ASSERT_EQUAL(503, answer.status);
     CPPUNIT_ASSERT(answer.retry_after_s > 0);
   }
 
-  void everyShardIsAskedAndTheGreatestRecordsCome() {
+  void gatheredResponseMergesAllShards() {
     ask("/g/x");
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, sent.size());
     CPPUNIT_ASSERT(sent[0].text.find("Addressee: " + sent[0].node) != std::string::npos);
     CPPUNIT_ASSERT(sent[0].text.find("Deadline-Ms: 1000\r\n") != std::string::npos);
     const char* bodies[] = {"b", "z", "c", "y"};
     for (int i = 0; i < 4; ++i)
-      end(sent[static_cast<std::size_t>(i)], Ending::answered, 200, record(*bodies[i]));
-    FinalAnswer got = answer();
+      end(sent[static_cast<std::size_t>(i)], CallOutcome::answered, 200, record(*bodies[i]));
+    ClientResponse got = answer();
     CPPUNIT_ASSERT_EQUAL(200, got.status);
     CPPUNIT_ASSERT_EQUAL(record('z') + record('y'), got.body);
     CPPUNIT_ASSERT(got.headers.find("Part-Postmarks: st1, st2, st3, st4\r\n") != std::string::npos);
     CPPUNIT_ASSERT(got.headers.find("Missing-Parts") == std::string::npos);
   }
 
-  void theHeaviestAreSentUnderStrainAndNeverLessThanTheFloor() {
+  void heaviestShardsAreSelectedDownToTheMinimum() {
     std::vector<double> weights = {0.1, 0.4, 0.3, 0.2};
     using Order = std::vector<std::size_t>;
     CPPUNIT_ASSERT((heaviest_first(weights, 1, 0.5) == Order{1, 2, 3, 0}));
@@ -190,8 +190,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, least_parts(4, 0));
   }
 
-  void coverageFallsByATenthAWindowAndComesBack() {
-    Coverage coverage;
+  void coverageFallsUnderOverloadAndRecovers() {
+    CoverageControl coverage;
     auto window = [&](int outcomes, int bad) {
       for (int i = 0; i < outcomes; ++i) coverage.outcome(now, i < bad);
       now += Duration(2.1);
@@ -213,28 +213,28 @@
     for (int i = 0; i < 60; ++i) {
       ask("/g/x");
       for (std::size_t s = sent.size() - 4; s < sent.size(); ++s)
-        if (sent[s].open) end(sent[s], Ending::not_run, 503);
+        if (sent[s].open) end(sent[s], CallOutcome::not_run, 503);
       for (Sent& call : sent)
-        if (call.open) end(call, Ending::not_run, 503);
-      desk->take_answers();
+        if (call.open) end(call, CallOutcome::not_run, 503);
+      dispatcher->take_responses();
       wait(300);
     }
   }
 
-  void aClassWithoutPartsGetsEveryShardUnderStrain() {
+  void routeWithoutPartialResponsesKeepsFullCoverage() {
     strain();
-    CPPUNIT_ASSERT(desk->coverage() < 0.5);
+    CPPUNIT_ASSERT(dispatcher->coverage() < 0.5);
     sent.clear();
     ask("/g/x");
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
-    desk->set_routes(std::make_shared<const Routes>(configuration("1")));
+    dispatcher->set_routes(std::make_shared<const RouteTable>(configuration("1")));
     sent.clear();
     ask("/g/x");
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, sent.size());
   }
 
-  void weightsFollowWhatSurvives() {
-    Weights weights;
+  void shardWeightsFollowSurvivingRecords() {
+    ShardWeights weights;
     std::vector<std::string> shards = {"a", "b", "c"};
     for (int i = 0; i < 300; ++i) weights.learn(shards, {6, 3, 0});
     auto of = weights.of(shards);
@@ -244,35 +244,35 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, fresh[0], 1e-9);
   }
 
-  void aLatePartIsLeftOutAtTheAim() {
+  void latePartIsOmittedAtTheLatencyTarget() {
     ask("/g/x");
-    for (std::size_t i = 0; i < 3; ++i) end(sent[i], Ending::answered, 200, record('a'));
-    CPPUNIT_ASSERT(desk->take_answers().empty());
+    for (std::size_t i = 0; i < 3; ++i) end(sent[i], CallOutcome::answered, 200, record('a'));
+    CPPUNIT_ASSERT(dispatcher->take_responses().empty());
     wait(95);
-    FinalAnswer got = answer();
+    ClientResponse got = answer();
     CPPUNIT_ASSERT_EQUAL(200, got.status);
     CPPUNIT_ASSERT(got.headers.find("Missing-Parts: 1\r\n") != std::string::npos);
     // The call that is still out ends in peace.
-    end(sent[3], Ending::answered, 200, record('b'));
-    CPPUNIT_ASSERT(desk->take_answers().empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, desk->open());
+    end(sent[3], CallOutcome::answered, 200, record('b'));
+    CPPUNIT_ASSERT(dispatcher->take_responses().empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, dispatcher->open_requests());
   }
 
-  void tooFewPartsWaitForTheDeadline() {
+  void tooFewPartsAreAwaitedUntilTheDeadline() {
     ask("/g/x");
-    end(sent[0], Ending::answered, 200, record('a'));
+    end(sent[0], CallOutcome::answered, 200, record('a'));
     wait(500);
-    CPPUNIT_ASSERT(desk->take_answers().empty());
+    CPPUNIT_ASSERT(dispatcher->take_responses().empty());
     wait(600);
     CPPUNIT_ASSERT_EQUAL(504, answer().status);
   }
 
-  void aShardThatIsGoneIsRefusedAtOnceWhereTheFloorNeedsIt() {
-    for (const char* id : {"a0", "a1", "b0", "b1"}) desk->nodes().update(id, nullptr);
+  void missingRequiredShardIsRefusedAtOnce() {
+    for (const char* id : {"a0", "a1", "b0", "b1"}) dispatcher->load_balancer().update(id, nullptr);
     ask("/g/x");  // two of four are the floor
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
-    for (const char* id : {"c0", "c1"}) desk->nodes().update(id, nullptr);
-    FinalAnswer got;
+    for (const char* id : {"c0", "c1"}) dispatcher->load_balancer().update(id, nullptr);
+    ClientResponse got;
     CPPUNIT_ASSERT(!ask("/g/x", got));
     CPPUNIT_ASSERT_EQUAL(503, got.status);
     CPPUNIT_ASSERT(got.retry_after_s > 0);
@@ -280,12 +280,12 @@
 
   // Both nodes of a shard leave calls unanswered. From then on it is left out at once, tried ten times a
   // second, and back as soon as a trial is answered.
-  void aDarkShardIsTriedAndNotAwaited() {
+  void unresponsiveShardIsProbedButNotAwaited() {
     auto serve = [&](bool dark) {
       std::size_t before = sent.size();
       ask("/g/x");
       for (std::size_t i = before; i < sent.size(); ++i)
-        if (sent[i].node[0] != 'b' || !dark) end(sent[i], Ending::answered, 200, record('a'));
+        if (sent[i].node[0] != 'b' || !dark) end(sent[i], CallOutcome::answered, 200, record('a'));
       return sent.size() - before;
     };
     for (int i = 0; i < 4; ++i) {
@@ -296,12 +296,12 @@
     int trials = 0;
     for (int i = 0; i < 100; ++i) {
       if (serve(true) == 4) ++trials;
-      FinalAnswer got = answer();  // at once
+      ClientResponse got = answer();  // at once
       CPPUNIT_ASSERT(got.headers.find("Missing-Parts: 1\r\n") != std::string::npos);
       wait(10);
     }
     CPPUNIT_ASSERT(trials >= 8 && trials <= 11);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, desk->coverage(), 0.11);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, dispatcher->coverage(), 0.11);
     wait(100);
     serve(false);
     answer();
@@ -309,11 +309,11 @@
     CPPUNIT_ASSERT(answer().headers.find("Missing-Parts") == std::string::npos);
   }
 
-  void aSecondCallGoesWhereTheFirstIsSlow() {
+  void slowCallIsHedged() {
     for (int i = 0; i < 60; ++i) {
       ask("/s/x");
       wait(20);
-      end(last(), Ending::answered, 200, "b");
+      end(last(), CallOutcome::answered, 200, "b");
       answer();
     }
     ask("/s/x");
@@ -323,19 +323,19 @@
     wait(25);
     CPPUNIT_ASSERT_EQUAL(first + 2, sent.size());
     CPPUNIT_ASSERT(sent[first].node != last().node);
-    end(last(), Ending::answered, 200, "second");
+    end(last(), CallOutcome::answered, 200, "second");
     CPPUNIT_ASSERT_EQUAL(std::string("second"), answer().body);
-    end(sent[first], Ending::answered, 200, "first");
-    CPPUNIT_ASSERT(desk->take_answers().empty());
+    end(sent[first], CallOutcome::answered, 200, "first");
+    CPPUNIT_ASSERT(dispatcher->take_responses().empty());
     // What may not run twice is left alone.
     ask("/s/u/x");
     wait(200);
     CPPUNIT_ASSERT_EQUAL(first + 3, sent.size());
   }
 
-  void aNodeOfAnotherZoneCountsAsSlower() {
-    NodeBook book;
-    book.set_home("z");
+  void nodesOfOtherZonesArePenalized() {
+    LoadBalancer book;
+    book.set_home_zone("z");
     averau::Node here{"here", "p", "a:1", "z", "v", 3, false, 1, {}}, there = here;
     there.id = "there";
     there.address = "b:1";
@@ -349,29 +349,29 @@
     CPPUNIT_ASSERT_EQUAL(std::string("there"), book.choose(now, "p", {}, 0, 2)->id);
   }
 
-  void aRefusalGoesToAnotherNode() {
+  void refusedCallIsRetriedOnAnotherNode() {
     ask("/s/x");
     std::string first = last().node;
-    end(last(), Ending::not_run, 503);
+    end(last(), CallOutcome::not_run, 503);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
     CPPUNIT_ASSERT(last().node != first);
-    end(last(), Ending::answered, 200, "body");
-    FinalAnswer got = answer();
+    end(last(), CallOutcome::answered, 200, "body");
+    ClientResponse got = answer();
     CPPUNIT_ASSERT_EQUAL(200, got.status);
     CPPUNIT_ASSERT_EQUAL(std::string("body"), got.body);
     CPPUNIT_ASSERT(got.headers.find("Postmark: st1\r\n") != std::string::npos);
   }
 
-  void aFailureCanBeExplainedAfterwards() {
+  void failureLogRecordsEachCall() {
     ask("/s/x");
     const std::string first = last().node;
-    end(last(), Ending::broken);
+    end(last(), CallOutcome::broken);
     wait(3);
     const std::string second = last().node;
-    end(last(), Ending::answered, 500);
-    FinalAnswer got = answer();
+    end(last(), CallOutcome::answered, 500);
+    ClientResponse got = answer();
     CPPUNIT_ASSERT_EQUAL(500, got.status);
-    const Failure& failure = desk->failures().newest().back();
+    const Failure& failure = dispatcher->failure_log().newest().back();
     CPPUNIT_ASSERT_EQUAL(std::string("id"), failure.id);
     CPPUNIT_ASSERT_EQUAL(std::string("s"), failure.route);
     CPPUNIT_ASSERT(failure.reason == Reason::failed_at_nodes);
@@ -381,21 +381,22 @@
     CPPUNIT_ASSERT_EQUAL(std::string("answered 500"), failure.calls[1].how);
     full = true;
     CPPUNIT_ASSERT(!ask("/s/x", got));
-    CPPUNIT_ASSERT(desk->failures().newest().back().reason == Reason::no_node);
+    CPPUNIT_ASSERT(dispatcher->failure_log().newest().back().reason == Reason::no_node);
     full = false;
     // Bounded, however many fail.
     for (std::size_t i = 0; i < 2 * FailureLog::most; ++i) ask("/none", got);
-    CPPUNIT_ASSERT_EQUAL(FailureLog::most, desk->failures().newest().size());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2 * FailureLog::most}, desk->failures().count(Reason::no_route));
-    CPPUNIT_ASSERT(desk->failures().as_json(now).starts_with(
+    CPPUNIT_ASSERT_EQUAL(FailureLog::most, dispatcher->failure_log().newest().size());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2 * FailureLog::most},
+                         dispatcher->failure_log().count(Reason::no_route));
+    CPPUNIT_ASSERT(dispatcher->failure_log().as_json(now).starts_with(
         R"({"failures":[{"agoMs":0,"id":"id","route":"/none","status":404,"reason":"no_route")"));
   }
 
-  void refusedByAllIsRefusedAtOnceWithATime() {
+  void refusalByAllNodesCarriesRetryAfter() {
     ask("/s/x");
-    end(last(), Ending::not_run, 503);
-    end(last(), Ending::not_run, 503);
-    FinalAnswer got = answer();
+    end(last(), CallOutcome::not_run, 503);
+    end(last(), CallOutcome::not_run, 503);
+    ClientResponse got = answer();
     CPPUNIT_ASSERT_EQUAL(503, got.status);
     CPPUNIT_ASSERT(got.retry_after_s > 0);
     full = true;
@@ -403,70 +404,70 @@
     CPPUNIT_ASSERT_EQUAL(503, got.status);
   }
 
-  void whatMayHaveRunIsNeverCalledUnrun() {
+  void possiblyExecutedRequestIsNotReportedAsNotRun() {
     ask("/s/x");
-    end(last(), Ending::broken);
-    end(last(), Ending::not_run, 503);
+    end(last(), CallOutcome::broken);
+    end(last(), CallOutcome::not_run, 503);
     CPPUNIT_ASSERT_EQUAL(502, answer().status);
     ask("/s/x");
-    end(last(), Ending::answered, 500, "oops");
-    end(last(), Ending::answered, 500, "oops");
-    FinalAnswer got = answer();
+    end(last(), CallOutcome::answered, 500, "oops");
+    end(last(), CallOutcome::answered, 500, "oops");
+    ClientResponse got = answer();
     CPPUNIT_ASSERT_EQUAL(500, got.status);
     CPPUNIT_ASSERT_EQUAL(std::string("oops"), got.body);
   }
 
-  void whatMayNotRepeatIsNotRepeated() {
+  void nonIdempotentRequestIsNotRepeated() {
     node("p2", "p");  // one is left that has not been tried
     ask("/s/u/x");
-    end(last(), Ending::not_run, 503);  // it has not run: another may
+    end(last(), CallOutcome::not_run, 503);  // it has not run: another may
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
-    end(last(), Ending::broken);
+    end(last(), CallOutcome::broken);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
     CPPUNIT_ASSERT_EQUAL(502, answer().status);
   }
 
-  void aMisplacedNodeIsAskedNoMore() {
+  void misdirectedNodeIsNotChosenAgain() {
     ask("/s/x");
     std::string first = last().node;
-    end(last(), Ending::misplaced, 421);
-    end(last(), Ending::answered, 200, "b");
+    end(last(), CallOutcome::misdirected, 421);
+    end(last(), CallOutcome::answered, 200, "b");
     for (int i = 0; i < 5; ++i) {
       ask("/s/x");
       CPPUNIT_ASSERT(last().node != first);
-      end(last(), Ending::answered, 200, "b");
+      end(last(), CallOutcome::answered, 200, "b");
     }
   }
 
   // What a draw on an allowance goes by: a node that answers 404 has run the request.
-  void aNodesOwnRefusalIsNotCalledUnrun() {
+  void nodeErrorIsNotReportedAsNotRun() {
     ask("/s/x");
-    while (last().open) end(last(), Ending::answered, 404);
-    FinalAnswer ran = answer();
+    while (last().open) end(last(), CallOutcome::answered, 404);
+    ClientResponse ran = answer();
     CPPUNIT_ASSERT_EQUAL(404, ran.status);
-    CPPUNIT_ASSERT(!ran.unrun);
-    FinalAnswer none;
+    CPPUNIT_ASSERT(!ran.not_executed);
+    ClientResponse none;
     CPPUNIT_ASSERT(!ask("/nowhere/", none));
     CPPUNIT_ASSERT_EQUAL(404, none.status);
-    CPPUNIT_ASSERT(none.unrun);
+    CPPUNIT_ASSERT(none.not_executed);
   }
 
-  void theAllowanceBoundsSecondCalls() {
-    desk->set_allowance({0.2, 0, std::chrono::seconds(10)});
+  void retryBudgetBoundsExtraCalls() {
+    dispatcher->set_retry_budget({0.2, 0, std::chrono::seconds(10)});
     int second = 0;
     for (int i = 0; i < 200; ++i) {
       ask("/s/x");
       std::size_t before = sent.size();
-      end(last(), Ending::broken);
+      end(last(), CallOutcome::broken);
       if (sent.size() > before) {
         ++second;
-        end(last(), Ending::broken);
+        end(last(), CallOutcome::broken);
       }
       wait(10);
     }
     CPPUNIT_ASSERT(second > 10 && second <= 40);
     // With the same rule and four edges the slack is a quarter.
-    Allowance alone, among;
+    RetryBudget alone, among;
     alone.set({0, 40, std::chrono::seconds(10)});
     among.set({0, 40, std::chrono::seconds(10)});
     among.set_edges(4);
@@ -486,7 +487,7 @@
     CPPUNIT_ASSERT(among.spend(now + Duration(11), "p"));
   }
 
-  void aRequestKeepsTheConfigurationItBeganWith() {
+  void requestKeepsItsInitialConfiguration() {
     ask("/g/x");
     averau::Fault fault;
     auto next = averau::read_configuration(
@@ -494,20 +495,20 @@
         R"("lineKind":"safe","deadlineMs":1000,)"
         R"("gatherFrom":["p","q"],"topN":2}],"depots":[{"name":"p"},{"name":"q"}]})",
         fault);
-    desk->set_routes(std::make_shared<const Routes>(next));
+    dispatcher->set_routes(std::make_shared<const RouteTable>(next));
     // The second try of a part goes to the old cut, and the answer counts its shards.
-    end(sent[0], Ending::not_run, 503);
+    end(sent[0], CallOutcome::not_run, 503);
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, sent.size());
     CPPUNIT_ASSERT_EQUAL(sent[0].node[0], last().node[0]);
-    for (std::size_t i = 1; i < 5; ++i) end(sent[i], Ending::answered, 200, record('a'));
+    for (std::size_t i = 1; i < 5; ++i) end(sent[i], CallOutcome::answered, 200, record('a'));
     CPPUNIT_ASSERT(answer().headers.find("Missing-Parts") == std::string::npos);
     sent.clear();
     ask("/g/x");
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
   }
 
-  void theNodeWithTheLeastLatencyTimesCallsIsAsked() {
-    NodeBook book;
+  void leastLoadedNodeIsChosen() {
+    LoadBalancer book;
     averau::Node a{"a", "p", "a:1", "z", "v", 3, false, 1, {}}, b = a;
     b.id = "b";
     b.address = "b:1";
@@ -516,7 +517,7 @@
     NodePtr first = book.choose(now, "p", {}, 0);
     book.started(*first);
     book.answered(now, *first, from_ms(10));
-    book.ended(*first);
+    book.call_ended(*first);
     // The other was not heard: it counts as the average, and ties go round.
     NodePtr second = book.choose(now, "p", {}, first->id == "a" ? 1 : 0);
     CPPUNIT_ASSERT(second != first);
@@ -530,7 +531,7 @@
     CPPUNIT_ASSERT(!book.choose(now, "p", {first, second}, 0));
   }
 
-  void aClosingNodeIsNotAsked() {
+  void drainingNodeIsNotChosen() {
     node("p0", "p", true);
     for (int i = 0; i < 6; ++i) {
       ask("/s/x");
@@ -538,32 +539,32 @@
     }
   }
 
-  void sharesAreKept() {
+  void trafficSplitFollowsWeights() {
     int p = 0;
     for (int i = 0; i < 400; ++i) {
       ask("/w/x");
       p += last().node[0] == 'p';
-      end(last(), Ending::answered, 200, "b");
+      end(last(), CallOutcome::answered, 200, "b");
     }
     CPPUNIT_ASSERT(p >= 290 && p <= 310);
   }
 
-  void aClientThatLeftCostsNothingMore() {
-    desk->left(ask("/s/x"));
+  void disconnectCancelsIdempotentCalls() {
+    dispatcher->client_disconnected(ask("/s/x"));
     CPPUNIT_ASSERT((cancels == std::vector<std::pair<CallId, bool>>{{last().call, true}}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, desk->open());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, desk->counters().cancelled);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, dispatcher->open_requests());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, dispatcher->counters().cancelled);
     // What may not be repeated runs on, if any of it has been sent.
-    desk->left(ask("/s/u/x"));
+    dispatcher->client_disconnected(ask("/s/u/x"));
     CPPUNIT_ASSERT((cancels.back() == std::pair<CallId, bool>{last().call, false}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, desk->open());
-    end(last(), Ending::broken);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, dispatcher->open_requests());
+    end(last(), CallOutcome::broken);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent.size());
-    CPPUNIT_ASSERT(desk->take_answers().empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, desk->open());
+    CPPUNIT_ASSERT(dispatcher->take_responses().empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, dispatcher->open_requests());
   }
 
-  void aRestIsNoRecordAndEqualOnesAllCount() {
+  void mergeIgnoresPartialRecordsAndKeepsDuplicates() {
     std::string one = record('m') + record('k') + "a rest", other = record('m') + record('a');
     Merged merged = merge({one, other}, 3);
     CPPUNIT_ASSERT_EQUAL(record('m') + record('m') + record('k'), merged.body);
@@ -575,6 +576,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(DeskTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DispatcherTest);
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/tests/system/links_test.cpp
+++ b/tests/system/links_test.cpp
@@ -140,7 +140,7 @@
   CPPUNIT_TEST_SUITE_END();
 
   struct Ended {
-    pederu::Ending ending;
+    dispatch::CallOutcome ending;
     int status;
     std::string body;
     std::optional<std::size_t> length = {};
@@ -158,7 +158,7 @@
   }
   bool start(const std::string& address, int most = 4, double end_s = 3, const std::string& method = "GET") {
     ++next;
-    pederu::KnownNode node;
+    dispatch::NodeState node;
     node.address = address;
     return links->start({next, 1}, node, most,
                         {fmt::format("{} /x HTTP/1.1\r\nRequest-Id: id{}\r\n", method, next), "n", ""},
@@ -176,10 +176,10 @@
     loop.turn(net::Duration(0));  // its clock stood still while other suites ran
     ended.clear();
     next = 0;
-    links =
-        std::make_unique<upstream::NodeLinks>(loop, [this](pederu::CallId call, const pederu::CallEnd& end) {
+    links = std::make_unique<upstream::NodeLinks>(
+        loop, [this](dispatch::CallId call, const dispatch::CallResult& end) {
           CPPUNIT_ASSERT(!ended.count(call.index));
-          ended[call.index] = {end.ending, end.status, std::string(end.body), end.length};
+          ended[call.index] = {end.outcome, end.status, std::string(end.body), end.content_length};
         });
   }
   void tearDown() override { links.reset(); }
@@ -209,9 +209,9 @@
     ScriptedNode node(loop, [this](const std::string&, int n) {
       return reply(n == 2 ? "id1" : "id" + std::to_string(next), "b");
     });
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::answered);
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::broken);
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::answered);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::answered);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::broken);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::answered);
     CPPUNIT_ASSERT_EQUAL(2, node.accepted);
   }
 
@@ -220,9 +220,9 @@
       std::string whole = reply("id" + std::to_string(next), "a whole body");
       return whole.substr(0, whole.size() - 3) + "<end>";
     });
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::broken);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::broken);
     ScriptedNode noise(loop, [](const std::string&, int) { return std::string("\x01\x02 what\r\n\r\n"); });
-    CPPUNIT_ASSERT(get(noise.address()).ending == pederu::Ending::broken);
+    CPPUNIT_ASSERT(get(noise.address()).ending == dispatch::CallOutcome::broken);
   }
 
   void theAnswerBehindAnInterimOneIsReadAtOnce() {
@@ -248,22 +248,22 @@
     int status = 503;
     ScriptedNode node(
         loop, [&](const std::string&, int) { return reply("id" + std::to_string(next), "", more, status); });
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::not_run);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::not_run);
     status = 421;
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::misplaced);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::misdirected);
     status = 503;
     more = "";
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::answered);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::answered);
     more = "Content-Encoding: gzip\r\n";
     status = 200;
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::broken);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::broken);
   }
 
   void silenceEndsWithTheRequest() {
     ScriptedNode node(loop, [](const std::string&, int) { return std::string(); });
     CPPUNIT_ASSERT(start(node.address(), 4, 0.05));
     until([&] { return ended.count(1) > 0; });
-    CPPUNIT_ASSERT(ended[1].ending == pederu::Ending::broken);
+    CPPUNIT_ASSERT(ended[1].ending == dispatch::CallOutcome::broken);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, links->connections());
   }
 
@@ -273,7 +273,7 @@
       ScriptedNode node(loop, [](const std::string&, int) { return std::string(); });
       address = node.address();
     }
-    CPPUNIT_ASSERT(get(address).ending == pederu::Ending::no_way);
+    CPPUNIT_ASSERT(get(address).ending == dispatch::CallOutcome::no_connection);
   }
 
   void connectionsAreBounded() {
@@ -300,14 +300,14 @@
     });
     for (int i = 0; i < 2; ++i) {
       Ended head = get(node.address(), "HEAD");
-      CPPUNIT_ASSERT(head.ending == pederu::Ending::answered);
+      CPPUNIT_ASSERT(head.ending == dispatch::CallOutcome::answered);
       CPPUNIT_ASSERT(head.body.empty() && head.length == std::size_t{6});
       CPPUNIT_ASSERT_EQUAL(std::string("a body"), get(node.address()).body);
     }
     CPPUNIT_ASSERT_EQUAL(1, node.accepted);
     // A body that came with it belongs to nobody.
     careless = true;
-    CPPUNIT_ASSERT(get(node.address(), "HEAD").ending == pederu::Ending::answered);
+    CPPUNIT_ASSERT(get(node.address(), "HEAD").ending == dispatch::CallOutcome::answered);
     CPPUNIT_ASSERT_EQUAL(std::string("a body"), get(node.address()).body);
     CPPUNIT_ASSERT_EQUAL(2, node.accepted);
   }
@@ -316,7 +316,7 @@
     ScriptedNode node(loop, [this](const std::string&, int) {
       return reply("id" + std::to_string(next), "b", "Request-Id: other\r\n");
     });
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::broken);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::broken);
     // Lines behind the last chunk are none of its head.
     ScriptedNode late(loop, [this](const std::string&, int) {
       return fmt::format(
@@ -343,7 +343,7 @@
       return fmt::format("HTTP/1.1 200 X\r\nRequest-Id: id{}\r\nContent-Length: 5000000\r\n\r\n", next);
     });
     net::Time before = loop.now();
-    CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::broken);
+    CPPUNIT_ASSERT(get(node.address()).ending == dispatch::CallOutcome::broken);
     CPPUNIT_ASSERT(loop.now() - before < net::Duration(1));
   }
 
@@ -360,13 +360,13 @@
     BreakingKernel kernel;
     net::StandIn in(kernel);
     net::Loop turns;
-    std::vector<pederu::Ending> told;
+    std::vector<dispatch::CallOutcome> told;
     upstream::NodeLinks breaking(
-        turns, [&](pederu::CallId, const pederu::CallEnd& end) { told.push_back(end.ending); });
+        turns, [&](dispatch::CallId, const dispatch::CallResult& end) { told.push_back(end.outcome); });
     auto ends = [&](std::size_t takes, const std::string& answer) {
       kernel.takes = takes;
       kernel.answer = answer;
-      pederu::KnownNode node;
+      dispatch::NodeState node;
       node.address = "10.0.0.1:1";
       CPPUNIT_ASSERT(breaking.start({++next, 1}, node, 4, {"GET /x HTTP/1.1\r\nRequest-Id: id\r\n", "n", ""},
                                     kernel.at + net::Duration(3)));
@@ -375,10 +375,10 @@
       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
       return told[0];
     };
-    CPPUNIT_ASSERT(ends(0, "") == pederu::Ending::no_way);
-    CPPUNIT_ASSERT(ends(10, "") == pederu::Ending::broken);
+    CPPUNIT_ASSERT(ends(0, "") == dispatch::CallOutcome::no_connection);
+    CPPUNIT_ASSERT(ends(10, "") == dispatch::CallOutcome::broken);
     // The node's word came before the rest was written.
-    CPPUNIT_ASSERT(ends(10, reply("id", "", "Not-Run: 1\r\n", 503)) == pederu::Ending::not_run);
+    CPPUNIT_ASSERT(ends(10, reply("id", "", "Not-Run: 1\r\n", 503)) == dispatch::CallOutcome::not_run);
   }
 
   // What is left of it would stand before the answer.
@@ -588,19 +588,19 @@
     BreakingKernel kernel;
     net::StandIn stands_in(kernel);
     net::Loop turns;
-    std::vector<pederu::Ending> told;
-    upstream::NodeLinks late(turns,
-                             [&](pederu::CallId, const pederu::CallEnd& end) { told.push_back(end.ending); });
+    std::vector<dispatch::CallOutcome> told;
+    upstream::NodeLinks late(
+        turns, [&](dispatch::CallId, const dispatch::CallResult& end) { told.push_back(end.outcome); });
     constexpr std::size_t room = 1000;
     kernel.takes = room;
     kernel.lives = true;
-    pederu::KnownNode node;
+    dispatch::NodeState node;
     node.address = "10.0.0.1:1";
     CPPUNIT_ASSERT(late.start({++next, 1}, node, 4, {"GET /x HTTP/1.1\r\nRequest-Id: id\r\n", "n", ""},
                               kernel.at + net::Duration(3)));
     kernel.at += net::Duration(10);
     for (int i = 0; i < 5 && told.empty(); ++i) turns.turn(net::Duration(0));
-    CPPUNIT_ASSERT((told == std::vector{pederu::Ending::no_way}));
+    CPPUNIT_ASSERT((told == std::vector{dispatch::CallOutcome::no_connection}));
     CPPUNIT_ASSERT_EQUAL(room, kernel.takes);
   }
 };
--- a/tests/system/admission_test.cpp
+++ b/tests/system/load_shedder_test.cpp
@@ -1,19 +1,19 @@
 // Who is served in an overload: a service that can do so much work a second, two kinds of request that want
 // more.
-#include "pederu/admission.h"
+#include "dispatch/load_shedder.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <random>
 
-namespace pearspar::pederu {
+namespace pearspar::dispatch {
 
-class AdmissionTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(AdmissionTest);
-  CPPUNIT_TEST(whatIsWorthMostForItsWorkIsServed);
-  CPPUNIT_TEST(nothingIsGivenUpWhileThereIsRoomOrNarrowingHelps);
-  CPPUNIT_TEST(oneStrainedShardGivesUpNothingThatCanDoWithoutIt);
-  CPPUNIT_TEST(whatIsOverIsFoundOut);
+class LoadShedderTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LoadShedderTest);
+  CPPUNIT_TEST(highestValuePerWorkIsServed);
+  CPPUNIT_TEST(nothingIsShedWhileCapacityOrNarrowingSuffices);
+  CPPUNIT_TEST(overloadOfAnOptionalShardShedsNothing);
+  CPPUNIT_TEST(sheddingStopsAfterRecovery);
   CPPUNIT_TEST_SUITE_END();
 
   static averau::Route route(const std::string& prefix, int precedence) {
@@ -31,7 +31,7 @@
   };
   // Light ones take 5 ms and are worth 1, heavy ones 20 ms and worth 1: 100 of each a second, and the service
   // can do `capacity` seconds of work a second. It turns away what comes while 30 ms of work wait.
-  static Played play(Admission* admission, double capacity, double from = 20, double to = 40) {
+  static Played play(LoadShedder* load_shedder, double capacity, double from = 20, double to = 40) {
     std::mt19937 random(5);
     averau::Route light = route("/l/", 1), heavy = route("/h/", 1);
     double served[2] = {0, 0}, asked[2] = {0, 0}, backlog = 0;
@@ -43,10 +43,10 @@
         Time now{Duration(100 + at)};
         double ms = kind == 0 ? 5 : 20;
         if (at >= from) asked[kind] += 1;
-        if (admission && !admission->admit(now, kind == 0 ? light : heavy, {"d"}, 1, ms)) continue;
+        if (load_shedder && !load_shedder->admit(now, kind == 0 ? light : heavy, {"d"}, 1, ms)) continue;
         bool fits = backlog < 0.03;
         if (fits) backlog += ms / 1000;
-        if (admission) admission->outcome(now, "d", !fits, true);
+        if (load_shedder) load_shedder->outcome(now, "d", !fits, true);
         if (fits && at >= from) served[kind] += 1;
       }
     }
@@ -54,73 +54,73 @@
   }
 
  public:
-  void whatIsWorthMostForItsWorkIsServed() {
-    Admission admission;
-    Played with = play(&admission, 1.2), without = play(nullptr, 1.2);
+  void highestValuePerWorkIsServed() {
+    LoadShedder load_shedder;
+    Played with = play(&load_shedder, 1.2), without = play(nullptr, 1.2);
     CPPUNIT_ASSERT(without.light < 0.6);
     CPPUNIT_ASSERT(with.light > 0.7);
     CPPUNIT_ASSERT(with.light > with.heavy);
     CPPUNIT_ASSERT(with.worth > without.worth * 1.25);
-    CPPUNIT_ASSERT(admission.given_up("d") > 0.2 && admission.given_up("d") < 0.9);
+    CPPUNIT_ASSERT(load_shedder.given_up("d") > 0.2 && load_shedder.given_up("d") < 0.9);
   }
 
-  void nothingIsGivenUpWhileThereIsRoomOrNarrowingHelps() {
-    Admission roomy;
+  void nothingIsShedWhileCapacityOrNarrowingSuffices() {
+    LoadShedder roomy;
     Played calm = play(&roomy, 40);
     CPPUNIT_ASSERT_EQUAL(0.0, roomy.given_up("d"));
     CPPUNIT_ASSERT(calm.light > 0.999 && calm.heavy > 0.999);
-    Admission narrowing;
+    LoadShedder narrowing;
     for (int i = 0; i < 1000; ++i) narrowing.outcome(Time{Duration(100 + i * 0.01)}, "d", true, false);
     CPPUNIT_ASSERT_EQUAL(0.0, narrowing.given_up("d"));
     // Too few outcomes tell nothing.
-    Admission few;
+    LoadShedder few;
     for (int i = 0; i < 60; ++i) few.outcome(Time{Duration(100 + i * 0.2)}, "d", true, true);
     CPPUNIT_ASSERT_EQUAL(0.0, few.given_up("d"));
   }
 
-  void oneStrainedShardGivesUpNothingThatCanDoWithoutIt() {
-    Admission admission;
+  void overloadOfAnOptionalShardShedsNothing() {
+    LoadShedder load_shedder;
     Time now{Duration(100)};
     for (int i = 0; i < 1000; ++i)
       for (const char* depot : {"a", "b", "c", "d"}) {
         now += Duration(0.003);
-        admission.outcome(now, depot, depot[0] == 'a', true);
+        load_shedder.outcome(now, depot, depot[0] == 'a', true);
       }
-    CPPUNIT_ASSERT(admission.given_up("a") > 0.3);
+    CPPUNIT_ASSERT(load_shedder.given_up("a") > 0.3);
     averau::Route gathers = route("/g/", 0);
     std::vector<std::string> shards{"a", "b", "c", "d"};
     int three = 0, four = 0;
     for (int i = 0; i < 100; ++i) {
-      three += admission.admit(now, gathers, shards, 3, 10);
-      four += admission.admit(now, gathers, shards, 4, 10);
+      three += load_shedder.admit(now, gathers, shards, 3, 10);
+      four += load_shedder.admit(now, gathers, shards, 4, 10);
     }
     CPPUNIT_ASSERT_EQUAL(100, three);
     CPPUNIT_ASSERT(four < 80);
   }
 
-  void whatIsOverIsFoundOut() {
-    Admission admission;
-    play(&admission, 0.5);
-    double level = admission.given_up("d");
+  void sheddingStopsAfterRecovery() {
+    LoadShedder load_shedder;
+    play(&load_shedder, 0.5);
+    double level = load_shedder.given_up("d");
     CPPUNIT_ASSERT(level > 0.4);
     averau::Route heavy = route("/h/", 1);
     Time now{Duration(140)};
     int served = 0;
     for (int i = 0; i < 3000; ++i) {
       now += Duration(0.01);
-      if (!admission.admit(now, heavy, {"d"}, 1, 20)) continue;
-      admission.outcome(now, "d", false, true);
+      if (!load_shedder.admit(now, heavy, {"d"}, 1, 20)) continue;
+      load_shedder.outcome(now, "d", false, true);
       ++served;
     }
-    CPPUNIT_ASSERT_EQUAL(0.0, admission.given_up("d"));
+    CPPUNIT_ASSERT_EQUAL(0.0, load_shedder.given_up("d"));
     CPPUNIT_ASSERT(served > 1500);
     // And without any outcome: after two windows the next one is served.
-    Admission silent;
+    LoadShedder silent;
     play(&silent, 0.5);
     CPPUNIT_ASSERT(silent.admit(Time{Duration(200)}, heavy, {"d"}, 1, 20));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AdmissionTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LoadShedderTest);
 
-}  // namespace pearspar::pederu
+}  // namespace pearspar::dispatch
--- a/tests/system/news_test.cpp
+++ b/tests/system/news_test.cpp
@@ -7,7 +7,7 @@
 
 #include "biella/cluster.h"
 #include "fanes/delta.h"
-#include "nuvolau/pool.h"
+#include "retrytokens/token_pool.h"
 #include "sennes/followers.h"
 
 namespace pearspar {
@@ -400,14 +400,14 @@
   // Edges ask, get and spend at moments of their own, with what is on its way between; in no window of the
   // rule is more spent than the leader may hand out.
   void tokensOfAnyWindowStayUnderTheShare() {
-    using nuvolau::Duration;
-    using nuvolau::Time;
+    using retrytokens::Duration;
+    using retrytokens::Time;
     for (unsigned seed = 1; seed <= 20; ++seed) {
       std::mt19937 random(seed);
       auto uniform = [&](double least, double most) {
         return std::uniform_real_distribution<double>(least, most)(random);
       };
-      nuvolau::Pool pool;
+      retrytokens::TokenPool pool;
       pool.set({56, std::chrono::seconds(10)});
       Time start{Duration(100)};
       pool.open(start);
@@ -416,7 +416,7 @@
         double arrives = at + uniform(0, 0.3);
         std::uint32_t count = pool.grant(start + Duration(arrives), "d", 1 + random() % 4);
         for (std::uint32_t i = 0; i < count; ++i)
-          spent.push_back(uniform(arrives, at + nuvolau::token_life.count()));
+          spent.push_back(uniform(arrives, at + retrytokens::token_lifetime.count()));
       }
       std::sort(spent.begin(), spent.end());
       std::size_t most = 0;
@@ -424,21 +424,22 @@
         while (spent[last] - spent[first] > 10) ++first;
         most = std::max(most, last - first + 1);
       }
-      CPPUNIT_ASSERT(most <= 56 * nuvolau::shared_slack);
-      CPPUNIT_ASSERT(spent.size() > 8 * 56 * nuvolau::shared_slack);  // and nearly all of it, over and over
+      CPPUNIT_ASSERT(most <= 56 * retrytokens::shared_slack);
+      CPPUNIT_ASSERT(spent.size() >
+                     8 * 56 * retrytokens::shared_slack);  // and nearly all of it, over and over
     }
   }
 
   void aNewLeaderHandsOutNothingUntilTheOldTokensAreOver() {
-    nuvolau::Pool pool;
+    retrytokens::TokenPool pool;
     pool.set({56, std::chrono::seconds(10)});
-    nuvolau::Time now{nuvolau::Duration(100)};
+    retrytokens::Time now{retrytokens::Duration(100)};
     pool.open(now);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, pool.grant(now + nuvolau::Duration(11.9), "d", 4));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + nuvolau::Duration(12), "d", 4));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, pool.grant(now + retrytokens::Duration(11.9), "d", 4));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + retrytokens::Duration(12), "d", 4));
     // Who asks for all gets half of what is left.
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{8}, pool.grant(now + nuvolau::Duration(12), "d", 100));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + nuvolau::Duration(12), "d", 100));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{8}, pool.grant(now + retrytokens::Duration(12), "d", 100));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + retrytokens::Duration(12), "d", 100));
   }
 
   // Most requests come to one edge, and nodes crash: with the shared part it may send more again, and the
@@ -465,8 +466,8 @@
         cluster.run(0.25);
       }
       for (const std::string& fault : cluster.checker().faults()) CPPUNIT_FAIL(fault);
-      withheld[shared] += cluster.desk(0)->counters().withheld;
-      second[shared] += cluster.desk(0)->counters().second_calls;
+      withheld[shared] += cluster.dispatcher(0)->counters().withheld;
+      second[shared] += cluster.dispatcher(0)->counters().second_calls;
     }
     CPPUNIT_ASSERT(withheld[false] > 0);
     CPPUNIT_ASSERT(withheld[true] * 3 < withheld[false] * 2);
@@ -486,11 +487,11 @@
     cluster.change(0);
     cluster.run(16);
     double neighbours = 0;
-    for (std::size_t edge = 1; edge < 4; ++edge) neighbours += cluster.desk(edge)->coverage() / 3;
+    for (std::size_t edge = 1; edge < 4; ++edge) neighbours += cluster.dispatcher(edge)->coverage() / 3;
     CPPUNIT_ASSERT(neighbours < 0.85);
     cluster.kill_edge(0, 0.3);
-    while (!cluster.desk(0) || cluster.desk(0)->counters().requests == 0) cluster.run(0.05);
-    CPPUNIT_ASSERT(cluster.desk(0)->coverage() < neighbours + 0.15);
+    while (!cluster.dispatcher(0) || cluster.dispatcher(0)->counters().requests == 0) cluster.run(0.05);
+    CPPUNIT_ASSERT(cluster.dispatcher(0)->coverage() < neighbours + 0.15);
     for (const std::string& fault : cluster.checker().faults()) CPPUNIT_FAIL(fault);
   }
 };
--- a/tests/system/promises_test.cpp
+++ b/tests/system/promises_test.cpp
@@ -161,8 +161,8 @@
     node.address = server->address();
     node.slots = 10;
     standing.nodes.push_back({node, 0});
-    door->station().link_up(1, "127.0.0.1:1");
-    door->station().link_frame(loop.now(), 1, fanes::pack(standing));
+    door->gateway().link_up(1, "127.0.0.1:1");
+    door->gateway().link_frame(loop.now(), 1, fanes::pack(standing));
     CPPUNIT_ASSERT(door->take_configuration());
   }
   void tearDown() override {
@@ -189,7 +189,7 @@
     leaves.reset();
     CPPUNIT_ASSERT_MESSAGE("the server hears of it",
                            until(known_within, [&] { return !server->is_open(0); }));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->station().desk().open());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->gateway().dispatcher().open_requests());
   }
 
   void workThatMayNotBeRepeatedRunsOnWithoutItsClient() {
@@ -199,7 +199,7 @@
     leaves.reset();
     CPPUNIT_ASSERT_MESSAGE("it is not broken off", !until(known_within, [&] { return !server->is_open(0); }));
     server->say(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
-    CPPUNIT_ASSERT(until(1s, [&] { return door->station().desk().open() == 0; }));
+    CPPUNIT_ASSERT(until(1s, [&] { return door->gateway().dispatcher().open_requests() == 0; }));
     CPPUNIT_ASSERT_MESSAGE("its connection serves the next", server->is_open(0));
   }
 
@@ -263,13 +263,14 @@
     auto asks = client();
     asks->send(request("/u/x", "a", 3000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    door->end_open();
+    door->finish_open_requests();
     CPPUNIT_ASSERT(until(200ms, [&] { return !asks->seen().empty(); }));
     CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 504"), asks->seen().substr(0, 12));
     CPPUNIT_ASSERT(asks->seen().find("Request-Id: a\r\n") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->front().busy());
-    CPPUNIT_ASSERT(door->station().desk().failures().as_json(loop.now()).find("\"reason\":\"ending\"") !=
-                   std::string::npos);
+    CPPUNIT_ASSERT(
+        door->gateway().dispatcher().failure_log().as_json(loop.now()).find("\"reason\":\"ending\"") !=
+        std::string::npos);
   }
 
   void anAnswerWithoutALengthEndsWithItsConnection() {
