--- a/src/dispatch/dispatcher_calls.cpp
+++ b/src/dispatch/dispatcher_calls.cpp
@@ -12,7 +12,7 @@
 
 using invariants::Promise;
 
-// Of a node's connection limit; the rest allows for edges that are not known yet.
+// The share of a node's connection limit that the edges use together.
 constexpr double usable_connection_share = 0.9;
 constexpr int default_max_connections = 64;  // to a node without a limit
 constexpr int max_connection_attempts = 4;   // nodes asked for a connection for one call
