--- a/src/altavia/member.cpp
+++ b/src/altavia/member.cpp
@@ -125,21 +125,22 @@
   auto n = [](auto value) { return static_cast<double>(value); };
   return {
       {"altavia_leads", "whether this member leads, its lease holding",
-       core.may_speak(loop_.read_clock()) ? 1.0 : 0.0},
+       core.holds_lease(loop_.read_clock()) ? 1.0 : 0.0},
       {"altavia_voter", "whether it counts", core.log().membership().has(core.self()) ? 1.0 : 0.0},
       {"altavia_term", "term", n(core.term())},
       {"altavia_commit", "entries that a majority has on disk", n(core.commit())},
       {"altavia_log_entries", "entries behind the snapshot",
        n(core.log().last() - core.log().snapshot().index)},
-      {"altavia_disk_refuses", "whether the last write failed", core.ill() ? 1.0 : 0.0},
+      {"altavia_disk_refuses", "whether the last write failed", core.store_failed() ? 1.0 : 0.0},
       {"altavia_disk_refusals_total", "writes that the store refused", n(core.counters().refused_writes)},
       {"altavia_log_bytes", "of the entries behind the snapshot", n(core.log().bytes())},
-      {"altavia_log_kept_bytes", "of folded entries that a member still lacks", n(core.log().kept_bytes())},
+      {"altavia_log_kept_bytes", "of folded entries that a member still lacks",
+       n(core.log().retained_bytes())},
       {"altavia_snapshots_sent_total", "begun, to members that lack what the log begins with",
-       n(core.counters().transfers)},
+       n(core.counters().snapshot_transfers)},
       {"altavia_snapshots_restarted_total", "whose entries outgrew their bound before they had arrived",
-       n(core.counters().transfers_restarted)},
-      {"altavia_snapshots_taken_total", "of a leader", n(core.counters().installed)},
+       n(core.counters().snapshot_transfers_restarted)},
+      {"altavia_snapshots_taken_total", "of a leader", n(core.counters().snapshots_installed)},
       {"altavia_snapshots_refused_total", "too large, or not what was announced",
        n(core.counters().refused_snapshots)},
       {"altavia_agreement_refused_total", "words that break the agreement's rules",
@@ -199,8 +200,8 @@
 // Once as it begins, once as it is over.
 void Member::tell_disk() {
   const raft::Core& core = member_.core();
-  if (core.ill() == ill_) return;
-  ill_ = core.ill();
+  if (core.store_failed() == ill_) return;
+  ill_ = core.store_failed();
   log(ill_ ? Level::error : Level::info, ill_ ? "store_refuses" : "store_takes_again",
       {{"folder", settings_.data_dir}, {"refused", core.counters().refused_writes}});
 }
@@ -227,7 +228,7 @@
   stopping_ = true;
   stop_at_ = loop_.now() + stop_within;
   grace_over_ = std::max(stop_at_, loop_.now() + net::Duration(settings_.grace_s * most_of_grace));
-  member_.hand_over(loop_.read_clock());
+  member_.transfer_leadership(loop_.read_clock());
   log(Level::info, "member_stops", {{"term", member_.core().term()}});
 }
 
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -32,7 +32,7 @@
   std::size_t client_bytes() const { return front_.held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
   bool stopped() const {
-    return stopping_ && loop_.now() >= stop_at_ && (member_.may_end() || loop_.now() >= grace_over_);
+    return stopping_ && loop_.now() >= stop_at_ && (member_.may_shut_down() || loop_.now() >= grace_over_);
   }
 
  private:
--- a/src/biella/cluster_ballast.cpp
+++ b/src/biella/cluster_ballast.cpp
@@ -27,7 +27,7 @@
   ask.settled.push_back(std::move(settled));
   entry.data = sennes::State::allowance(fanes::pack_steps({fanes::Turn{1}, ask}));
   state.apply(entry);
-  return state.fold();
+  return state.take_snapshot();
 }
 
 }  // namespace
@@ -51,12 +51,12 @@
   checker_.change_sent(0, 1, text);
   checker_.change_answered(seconds(), 0, 1, text, 200);
   for (auto& who : operators_) who->seen = 1;
-  raft::Stored past;
+  raft::PersistentState past;
   past.vote.term = 1;
   past.commit = past.snapshot.index = 2;
   past.snapshot.term = 1;
   past.snapshot.state = folded(text, options_.ballast);
-  past.snapshot.membership.wanted = static_cast<std::uint32_t>(options_.cores);
+  past.snapshot.membership.target_size = static_cast<std::uint32_t>(options_.cores);
   for (std::size_t i = 0; i < cores_.size(); ++i)
     past.snapshot.membership.voters.push_back({2 * i + 1, cores_[i]->address});
   for (std::size_t i = 0; i < cores_.size(); ++i) {
--- a/src/biella/cluster_core.cpp
+++ b/src/biella/cluster_core.cpp
@@ -11,9 +11,9 @@
 
 // Whether the others can do without it, where members know that of themselves.
 template <typename Member>
-bool may_end(const Member& member) {
-  if constexpr (requires { member.may_end(); })
-    return member.may_end();
+bool may_shut_down(const Member& member) {
+  if constexpr (requires { member.may_shut_down(); })
+    return member.may_shut_down();
   else
     return true;
 }
@@ -84,10 +84,10 @@
       });
       process.askers.erase(asker);
     }
-    if (process.member->started() && process.member->core().may_speak(process.own(ready())))
+    if (process.member->started() && process.member->core().holds_lease(process.own(ready())))
       for (const auto& other : cores_)
         if (other.get() != &core && other->process && ready() == world_.now() &&
-            other->process->member->core().may_speak(other->process->now()))
+            other->process->member->core().holds_lease(other->process->now()))
           checker_.broken("LEASE", core.address + " and " + other->address + " lead at once");
     Time due = world_.now() + Duration(0.3);
     if (process.member->started()) due = process.worlds(process.member->due());
@@ -103,7 +103,7 @@
 
 int Cluster::leader() const {
   for (std::size_t i = 0; i < cores_.size(); ++i)
-    if (const auto* m = member(i); m && m->core().may_speak(cores_[i]->process->now()))
+    if (const auto* m = member(i); m && m->core().holds_lease(cores_[i]->process->now()))
       return static_cast<int>(i);
   return -1;
 }
@@ -140,7 +140,7 @@
   disturbed(seconds());
   core.process->stopping = true;
   Core::Process& process = *core.process;
-  process.life.run([&process] { process.member->hand_over(process.now()); });
+  process.life.run([&process] { process.member->transfer_leadership(process.now()); });
   finish_stop(core, seconds(), back_s, process.life.alive);
 }
 
@@ -150,7 +150,8 @@
     if (!*alive) return;  // killed meanwhile, and back by that
     double held = seconds() - asked;
     bool awake = core.process->life.frozen_until <= world_.now();
-    bool ends = awake && held >= stop_within && (may_end(*core.process->member) || held >= stop_at_last);
+    bool ends =
+        awake && held >= stop_within && (may_shut_down(*core.process->member) || held >= stop_at_last);
     if (!ends && held < killed_at) return finish_stop(core, asked, back_s, alive);
     end_core(core, false);
     if (back_s < 0) {
--- a/src/biella/disk.cpp
+++ b/src/biella/disk.cpp
@@ -24,8 +24,8 @@
   return {};
 }
 
-Stored SimDisk::kept() const {
-  Stored stored;
+PersistentState SimDisk::kept() const {
+  PersistentState stored;
   stored.self = held_.self;
   stored.vote = held_.vote;
   if (held_.snapshot) stored.snapshot = *held_.snapshot;
@@ -35,7 +35,7 @@
   return stored;
 }
 
-std::error_code SimDisk::load(Stored& stored) {
+std::error_code SimDisk::load(PersistentState& stored) {
   stored = kept();
   return {};
 }
@@ -80,7 +80,7 @@
   busy_ = stalled_ = Time{};
 }
 
-void SimDisk::put_back(Stored kept) {
+void SimDisk::put_back(PersistentState kept) {
   wipe();
   held_.self = kept.self;
   held_.vote = kept.vote;
--- a/src/biella/disk.h
+++ b/src/biella/disk.h
@@ -16,7 +16,7 @@
  public:
   explicit SimDisk(World& world) : world_(world) {}
 
-  std::error_code load(raft::Stored& stored) override;
+  std::error_code load(raft::PersistentState& stored) override;
   std::error_code save_self(raft::MemberId self) override;
   std::error_code save_vote(const raft::Vote& vote) override;
   std::error_code replace_tail(raft::Index from, const std::vector<raft::Entry>& entries) override;
@@ -34,14 +34,14 @@
   void wipe();
   // What is on it now; and it holds again what it once held: a copy of yesterday, a disk that was mounted
   // late.
-  raft::Stored kept() const;
-  void put_back(raft::Stored kept);
+  raft::PersistentState kept() const;
+  void put_back(raft::PersistentState kept);
   // The process that uses it waits until then.
   Time busy_until() const { return busy_; }
   std::uint64_t writes() const { return writes_; }
 
  private:
-  // As raft::Stored; a copy of it costs little, however large the state is.
+  // As raft::PersistentState; a copy of it costs little, however large the state is.
   struct Held {
     raft::MemberId self = 0;
     raft::Vote vote;
--- a/src/biella/explore.cpp
+++ b/src/biella/explore.cpp
@@ -176,11 +176,11 @@
 raft::Timing search_timing() {
   raft::Timing timing;
   timing.heartbeat = raft::Duration(1);
-  timing.least_silence = raft::Duration(1);
-  timing.most_silence = raft::Duration(1.5);
+  timing.min_election_timeout = raft::Duration(1);
+  timing.max_election_timeout = raft::Duration(1.5);
   timing.lease = raft::Duration(0.75);
-  timing.join_every = raft::Duration(1);
-  timing.gone_after = raft::Duration(2);
+  timing.join_interval = raft::Duration(1);
+  timing.silent_voter_timeout = raft::Duration(2);
   return timing;
 }
 
--- a/src/biella/explore.h
+++ b/src/biella/explore.h
@@ -69,7 +69,7 @@
   bool settled = false;       // begins with a leader that has committed its first entry
   bool notes = false;         // what is known to be committed is on disk after each step
   std::size_t in_flight = 4;  // messages on their way; those sent beyond it are lost
-  std::size_t fold_entries = 64;
+  std::size_t snapshot_after_entries = 64;
   std::size_t append_bytes = 1 << 20;
   std::size_t piece_bytes = 256 << 10;
   // Of whom these may be, a bit each; 0 = of all.
--- a/src/biella/explore_body.cpp
+++ b/src/biella/explore_body.cpp
@@ -21,24 +21,26 @@
   };
   static thread_local Seat seat;
 
-  std::error_code load(Stored& stored) override { return stored = seat.body->disk, std::error_code(); }
+  std::error_code load(PersistentState& stored) override {
+    return stored = seat.body->disk, std::error_code();
+  }
   std::error_code save_self(MemberId self) override {
-    return write([&](Stored& disk) { disk.self = self; });
+    return write([&](PersistentState& disk) { disk.self = self; });
   }
   std::error_code save_vote(const Vote& vote) override {
-    return write([&](Stored& disk) {
+    return write([&](PersistentState& disk) {
       if (seat.mutant != Mutant::votes_unsaved) disk.vote = vote;
     });
   }
   std::error_code replace_tail(Index from, const std::vector<Entry>& entries) override {
-    return write([&](Stored& disk) {
+    return write([&](PersistentState& disk) {
       if (seat.mutant == Mutant::entries_unsaved) return;
       std::erase_if(disk.entries, [&](const Entry& entry) { return entry.index >= from; });
       disk.entries.insert(disk.entries.end(), entries.begin(), entries.end());
     });
   }
   std::error_code save_snapshot(const Snapshot& snapshot, bool drop_rest) override {
-    return write([&](Stored& disk) {
+    return write([&](PersistentState& disk) {
       Membership before = disk.snapshot.membership;
       disk.snapshot = snapshot;
       if (seat.mutant == Mutant::lost_membership && !before.voters.empty()) disk.snapshot.membership = before;
@@ -47,12 +49,14 @@
     });
   }
   std::error_code save_note(Index commit, const std::string&) override {
-    return write([&](Stored& disk) { disk.commit = commit; });
+    return write([&](PersistentState& disk) { disk.commit = commit; });
   }
 
   void apply(const Entry& change) override { seat.body->machine += change.data; }
   // Last change first: no state begins like another, so pieces of two make neither.
-  std::string fold() const override { return {seat.body->machine.rbegin(), seat.body->machine.rend()}; }
+  std::string take_snapshot() const override {
+    return {seat.body->machine.rbegin(), seat.body->machine.rend()};
+  }
   void restore(const std::string& state) override { seat.body->machine.assign(state.rbegin(), state.rend()); }
 
  private:
@@ -87,9 +91,9 @@
   made.fresh_id =
       options.mutant == Mutant::forgetful ? founder_id(made.address) : 1000 * (body.index + 1u) + body.lives;
   made.seed = options.seed * 64 + body.index + 1;
-  made.fold_entries = options.fold_entries;
-  made.append_bytes = options.append_bytes;
-  made.piece_bytes = options.piece_bytes;
+  made.snapshot_after_entries = options.snapshot_after_entries;
+  made.max_append_bytes = options.append_bytes;
+  made.snapshot_chunk_bytes = options.piece_bytes;
   made.timing = options.timing;
   body.machine = nothing_applied;
   body.core = std::make_unique<Core>(desk(), desk(), std::move(made));
@@ -99,7 +103,7 @@
 
 // What a guard keeps off, let in.
 bool mangle(Mutant mutant, Core& core, Message& message) {
-  bool piece = message.kind == MessageKind::piece && message.term >= core.term();
+  bool piece = message.kind == MessageKind::snapshot_chunk && message.term >= core.term();
   if (mutant == Mutant::early_install && piece && !message.snapshot.state.empty()) {
     message.offset = 0;
     message.total = message.snapshot.state.size();
@@ -110,20 +114,21 @@
     Probe::keep_of_another(core, message, mutant == Mutant::mixed_unchecked);
     return true;
   }
-  if (mutant == Mutant::outsider_votes && message.yes) {
+  if (mutant == Mutant::outsider_votes && message.flag) {
     Probe::count_outsider(core, message);
     return true;
   }
-  bool asks = message.kind == MessageKind::ask_pre_vote || message.kind == MessageKind::ask_vote;
+  bool asks = message.kind == MessageKind::pre_vote_request || message.kind == MessageKind::vote_request;
   if (mutant == Mutant::blind_votes && asks) {
     message.index = message.log_term = 1'000'000;
     return true;
   }
-  if (mutant == Mutant::old_terms && message.kind == MessageKind::append && message.term < core.term()) {
+  if (mutant == Mutant::old_terms && message.kind == MessageKind::append_entries &&
+      message.term < core.term()) {
     message.term = core.term();
     return true;
   }
-  if (mutant == Mutant::late_lease && message.kind == MessageKind::appended) {
+  if (mutant == Mutant::late_lease && message.kind == MessageKind::append_response) {
     message.round = Probe::round(core);
     return true;
   }
@@ -162,8 +167,8 @@
     case Act::propose:
       body.core->propose(body.now, action.change);
       return;
-    case Act::hand_over:
-      return body.core->hand_over(body.now);
+    case Act::transfer_leadership:
+      return body.core->transfer_leadership(body.now);
     case Act::leave:
       return body.core->leave(body.now);
     case Act::appear:
@@ -179,7 +184,7 @@
   }
 }
 
-bool take(const ExploreOptions& options, Body& body, const Action& action, std::vector<Outgoing>& out,
+bool take(const ExploreOptions& options, Body& body, const Action& action, std::vector<OutgoingMessage>& out,
           bool settles) {
   Desk::seat = {&body, action.trouble, options.mutant, false};
   Membership before;
@@ -195,20 +200,20 @@
     if (options.mutant == Mutant::older_commits) Probe::commit_older(core, body.now);
     if (options.mutant == Mutant::two_changes) Probe::change_again(core, body.now, false);
     if (options.mutant == Mutant::early_membership) Probe::change_again(core, body.now, true);
-    std::vector<Outgoing> sent = core.take_out();
+    std::vector<OutgoingMessage> sent = core.take_out();
     if (options.mutant == Mutant::one_entry && Probe::replace_at_once(core, body.now, before)) {
       sent.clear();
-      for (Outgoing& each : core.take_out()) sent.push_back(std::move(each));
+      for (OutgoingMessage& each : core.take_out()) sent.push_back(std::move(each));
     }
     if (Desk::seat.lost) {
       Desk::seat.lost = false;
       Desk::seat.trouble = {};
       start(options, body, false);
     } else {
-      for (Outgoing& each : sent) out.push_back(std::move(each));
+      for (OutgoingMessage& each : sent) out.push_back(std::move(each));
     }
     Desk::seat.trouble = {};
-    if (options.notes && body.disk.commit != body.core->commit()) body.core->keep_note("");
+    if (options.notes && body.disk.commit != body.core->commit()) body.core->save_note("");
     if (settles) Probe::settle(*body.core, body.now, Duration(options.grain), body.index + 1u, due);
   }
   Desk::seat.body = nullptr;
@@ -243,7 +248,7 @@
   // The disk holds what the core holds, but for a faulty one; by the log's terms that tells.
   put(out, disk.self);
   put(out, disk.vote.term);
-  put(out, disk.vote.given_to);
+  put(out, disk.vote.voted_for);
   put(out, disk.commit);
   put(out, disk.snapshot.index);
   put(out, disk.snapshot.term);
@@ -252,12 +257,13 @@
   return out;
 }
 
-bool take_step(const ExploreOptions& options, Body& body, const Action& action, std::vector<Outgoing>& out) {
+bool take_step(const ExploreOptions& options, Body& body, const Action& action,
+               std::vector<OutgoingMessage>& out) {
   return take(options, body, action, out, true);
 }
 
 bool take_free_step(const ExploreOptions& options, Body& body, const Action& action,
-                    std::vector<Outgoing>& out) {
+                    std::vector<OutgoingMessage>& out) {
   return take(options, body, action, out, false);
 }
 
--- a/src/biella/explore_body.h
+++ b/src/biella/explore_body.h
@@ -23,7 +23,7 @@
   Body& operator=(Body&&) = default;
 
   std::unique_ptr<Core> core;  // none: not there yet, or ended
-  raft::Stored disk;
+  raft::PersistentState disk;
   std::string machine;  // the changes that it applied, as it knows them
   Time now{Duration(1000)};
   std::uint8_t index = 0;
@@ -42,7 +42,7 @@
   crash,    // it ends and starts again on what its disk has
   wipe,     // the same with an empty disk
   propose,
-  hand_over,
+  transfer_leadership,
   appear,    // a newcomer starts
   put_back,  // it ends; the disk that was lost is in its place again
   leave,     // it is asked to end
@@ -67,12 +67,12 @@
 // What it sends, appended to `out`. Deterministic: each draw of the core is settled.
 // False where power was to be lost at a write that it does not come to.
 bool take_step(const ExploreOptions& options, Body& body, const Action& action,
-               std::vector<raft::Outgoing>& out);
+               std::vector<raft::OutgoingMessage>& out);
 // A member at its first start; one of the founders, or a newcomer that has not come yet.
 Body first_body(const ExploreOptions& options, std::size_t index);
 // Without settling, for runs in which draws are to be drawn.
 bool take_free_step(const ExploreOptions& options, Body& body, const Action& action,
-                    std::vector<raft::Outgoing>& out);
+                    std::vector<raft::OutgoingMessage>& out);
 // The id a founder has. One that lost its disk has another.
 raft::MemberId id_of(const Body& body);
 
--- a/src/biella/explore_heal.cpp
+++ b/src/biella/explore_heal.cpp
@@ -27,7 +27,7 @@
         if (entry.kind == EntryKind::membership) newest = entry.membership;
       return body.disk.self == 0 || bears(newest);
     }
-    return body.core->log().membership_since() < past.membership_since() ||
+    return body.core->log().membership_index() < past.membership_index() ||
            bears(body.core->log().membership());
   });
 }
@@ -37,15 +37,15 @@
   if (!has_majority(bodies, past)) return healed;
   healed.tried = true;
   ExploreOptions free = options;
-  const Duration span(options.timing.least_silence / 16);
+  const Duration span(options.timing.min_election_timeout / 16);
   const std::size_t most = 16 * 60;
   free.rates.assign(1, span.count());
   std::deque<std::pair<std::size_t, Message>> flying;
   auto take = [&](std::size_t index, const Action& action) {
     Glance before(bodies[index]);
-    std::vector<Outgoing> out;
+    std::vector<OutgoingMessage> out;
     take_free_step(free, bodies[index], action, out);
-    for (Outgoing& each : out)
+    for (OutgoingMessage& each : out)
       for (std::size_t to = 0; to < bodies.size(); ++to)
         if (address_of(to) == each.address && bodies[to].core)
           flying.emplace_back(to, std::move(each.message));
@@ -67,7 +67,7 @@
     if (!healed.fault.empty()) return healed;
     healed.seconds += span.count();
     for (const Body& body : bodies)
-      if (body.core && body.core->may_speak(body.now)) return healed;
+      if (body.core && body.core->holds_lease(body.now)) return healed;
   }
   healed.fault = "a majority is there, and no leader in " + std::to_string(healed.seconds) + " s";
   return healed;
--- a/src/biella/explore_judge.cpp
+++ b/src/biella/explore_judge.cpp
@@ -102,7 +102,7 @@
 std::string Past::judge_speakers(const std::vector<const Body*>& bodies) {
   const Body* speaks = nullptr;
   for (const Body* body : bodies) {
-    if (!body->core || !body->core->may_speak(body->now)) continue;
+    if (!body->core || !body->core->holds_lease(body->now)) continue;
     if (speaks)
       return "two may speak at once: " + address_of(speaks->index) + " of term " +
              std::to_string(speaks->core->term()) + " and " + address_of(body->index) + " of term " +
@@ -125,7 +125,7 @@
     put(kept.entry.term);
     put(static_cast<std::uint64_t>(kept.entry.kind));
     out += kept.entry.data;
-    put(kept.entry.membership.wanted);
+    put(kept.entry.membership.target_size);
     for (const Member& voter : kept.entry.membership.voters) put(voter.id);
   }
   out += '|';
--- a/src/biella/explore_judge.h
+++ b/src/biella/explore_judge.h
@@ -37,7 +37,7 @@
   std::size_t changes() const { return changes_; }
   std::size_t memberships() const { return memberships_; }
   // Of the entry that was committed last of those that say who counts; 0 = only the founding list.
-  raft::Index membership_since() const { return membership_since_; }
+  raft::Index membership_index() const { return membership_since_; }
   const raft::Membership& membership() const { return membership_; }
   std::string describe() const;
   // Keeps what may still be asked about: entries behind `index`.
--- a/src/biella/explore_parts.cpp
+++ b/src/biella/explore_parts.cpp
@@ -44,8 +44,10 @@
     {"notes", &ExploreOptions::notes},
 };
 constexpr std::pair<const char*, std::size_t ExploreOptions::*> sizes[] = {
-    {"in_flight", &ExploreOptions::in_flight},       {"fold_entries", &ExploreOptions::fold_entries},
-    {"append_bytes", &ExploreOptions::append_bytes}, {"piece_bytes", &ExploreOptions::piece_bytes},
+    {"in_flight", &ExploreOptions::in_flight},
+    {"fold_entries", &ExploreOptions::snapshot_after_entries},
+    {"append_bytes", &ExploreOptions::append_bytes},
+    {"piece_bytes", &ExploreOptions::piece_bytes},
     {"heal_every", &ExploreOptions::heal_every},
 };
 constexpr std::pair<const char*, Mutant> mutants[] = {
@@ -98,10 +100,10 @@
   const double step = 1.25;
   options.timed = options.lease = options.settled = true;
   options.timing.heartbeat = Duration(2 * step);
-  options.timing.least_silence = options.timing.most_silence = Duration(4 * step);
+  options.timing.min_election_timeout = options.timing.max_election_timeout = Duration(4 * step);
   options.timing.lease = Duration(3 * step);
-  options.timing.join_every = Duration(4 * step);
-  options.timing.gone_after = Duration(6 * step);
+  options.timing.join_interval = Duration(4 * step);
+  options.timing.silent_voter_timeout = Duration(6 * step);
   options.grain = step;
   options.rates = {step * 0.95, step * 1.05, step * 1.05};
   return options;
@@ -235,7 +237,7 @@
                                      [&](const auto& each) { return each.second == mutant; });
     options.mutant = mutant;
     if (mutant == Mutant::long_lease) {
-      options.timing.lease = options.timing.least_silence;
+      options.timing.lease = options.timing.min_election_timeout;
       options.timing.drift = -1;  // a member that looks at this would not start
     }
     parts.push_back({named->first, std::move(about), std::move(options), true});
--- a/src/biella/explore_probe.h
+++ b/src/biella/explore_probe.h
@@ -12,7 +12,9 @@
 class Probe {
  public:
   static Time due(const Core& core) { return core.due_; }
-  static Time lapses(const Core& core) { return core.heard_leader_ + core.options_.timing.least_silence; }
+  static Time lapses(const Core& core) {
+    return core.last_leader_contact_ + core.options_.timing.min_election_timeout;
+  }
   // What was drawn counts from now in whole steps, at least what was drawn; the next draw is always the same.
   // So two members that are alike stay so. What was due `before` stays: moved on with every step it would
   // never come on a slow clock.
@@ -22,16 +24,16 @@
       core.due_ = now + std::ceil((core.due_ - now) / step - 1e-9) * step;
   }
   static void write_term(Core& core, Term term) { core.save_term(term, 0); }
-  static void forget_promise(Core& core, Time now) { core.heard_leader_ = now - Duration(1000); }
+  static void forget_promise(Core& core, Time now) { core.last_leader_contact_ = now - Duration(1000); }
   static std::size_t votes(const Core& core) { return core.votes_.size(); }
-  static void lead(Core& core, Time now) { core.lead(now); }
+  static void lead(Core& core, Time now) { core.become_leader(now); }
   static bool leaving(const Core& core) { return core.leaving_; }
   static std::uint64_t round(const Core& core) { return core.round_; }
   static bool waits_for_start(const Core& core) { return core.commit_ < core.term_start_; }
   // What has come of another transfer is kept as if it were of this piece's; unchecked, the digest fits too.
   static void keep_of_another(Core& core, Message& piece, bool unchecked) {
     if (!core.incoming_ || piece.snapshot.index <= core.commit_) return;
-    Incoming& incoming = *core.incoming_;
+    IncomingSnapshot& incoming = *core.incoming_;
     std::string held = std::move(incoming.snapshot.state);
     if (unchecked)
       piece.digest = state_digest(piece.offset == held.size() ? held + piece.snapshot.state : held);
@@ -42,7 +44,7 @@
   }
   // A vote of somebody outside is one of a voter who has not answered.
   static void count_outsider(Core& core, Message& vote) {
-    if (vote.kind != MessageKind::vote && vote.kind != MessageKind::pre_vote) return;
+    if (vote.kind != MessageKind::vote_response && vote.kind != MessageKind::pre_vote_response) return;
     if (core.log_.membership().has(vote.from)) return;
     for (const Member& voter : core.log_.membership().voters)
       if (!core.votes_.contains(voter.id)) vote.from = voter.id;
@@ -55,9 +57,9 @@
     core.leader_ = 0;
     core.leader_address_.clear();
     core.votes_ = {{core.self_, true}};
-    core.draw_patience(now);
+    core.reset_candidate_timer(now);
     Message ask;
-    ask.kind = MessageKind::ask_pre_vote;
+    ask.kind = MessageKind::pre_vote_request;
     ask.term = core.vote_.term + 1;
     ask.index = core.log_.last();
     ask.log_term = core.log_.last_term();
@@ -86,17 +88,17 @@
   // own term is.
   static void change_again(Core& core, Time now, bool early) {
     if (core.role_ != Core::Role::leader) return;
-    bool first = core.commit_<core.term_start_, second = core.log_.membership_since()> core.commit_;
+    bool first = core.commit_<core.term_start_, second = core.log_.membership_index()> core.commit_;
     if (early ? !first || second : first || !second) return;
-    std::optional<Membership> next = core.without_leaver(now);
-    if (!next) next = core.make_room(now);
-    if (!next) next = core.take_in(now);
-    if (!next) next = core.drop_silent(now);
+    std::optional<Membership> next = core.membership_without_leaver(now);
+    if (!next) next = core.membership_without_replaced(now);
+    if (!next) next = core.membership_with_newcomer(now);
+    if (!next) next = core.membership_without_silent(now);
     if (!next) return;
     Entry entry;
     entry.kind = EntryKind::membership;
     entry.membership = std::move(*next);
-    if (!core.append_own(std::move(entry))) return;
+    if (!core.append_local(std::move(entry))) return;
     core.sync_peers(now);
     for (auto& [id, peer] : core.peers_) core.send_to(now, id, peer, false);
     core.advance_commit(now);
@@ -104,7 +106,7 @@
   // As once was done: who has taken the old id out to let in a newcomer at its address puts the newcomer in
   // its place by that same entry. False where nothing of the kind was just appended.
   static bool replace_at_once(Core& core, Time now, const Membership& before) {
-    if (core.role_ != Core::Role::leader || core.log_.membership_since() != core.log_.last()) return false;
+    if (core.role_ != Core::Role::leader || core.log_.membership_index() != core.log_.last()) return false;
     Entry entry = core.log_.at(core.log_.last());
     for (const Member& old : before.voters) {
       if (entry.membership.has(old.id)) continue;
--- a/src/biella/explore_space.cpp
+++ b/src/biella/explore_space.cpp
@@ -46,7 +46,7 @@
       return State::put_back;
     case Kind::propose:
       return State::changes;
-    case Kind::hand_over:
+    case Kind::transfer_leadership:
       return State::hand_overs;
     case Kind::leave:
       return State::leaves;
@@ -74,7 +74,7 @@
   Member member;
   if (body.core) {
     member.leads = body.core->role() == Core::Role::leader;
-    member.speaks = body.core->may_speak(body.now);
+    member.speaks = body.core->holds_lease(body.now);
     member.leaving = Probe::leaving(*body.core);
     member.lives = body.now < Probe::lapses(*body.core);
   }
@@ -103,7 +103,7 @@
 }
 
 // Voters' own wish to be taken in comes to nothing; unless it is asked for, it is lost.
-bool Space::goes(const Body& from, const Outgoing& out) const {
+bool Space::goes(const Body& from, const OutgoingMessage& out) const {
   if (out.message.kind != MessageKind::join || options_.all_joins) return true;
   return !from.core || out.message.from != from.core->self() ||
          !from.core->log().membership().has(from.core->self());
@@ -185,10 +185,11 @@
       events.push_back({Kind::propose, i});
       if (left(State::refusals, options_.refusals)) events.push_back({Kind::propose_full, i});
     }
-    if (member.leads && left(State::hand_overs, options_.hand_overs)) events.push_back({Kind::hand_over, i});
+    if (member.leads && left(State::hand_overs, options_.hand_overs))
+      events.push_back({Kind::transfer_leadership, i});
     if (!member.leaving && left(State::leaves, options_.leaves) && of(options_.leaves_of, i))
       events.push_back({Kind::leave, i});
-    if (member.leaving && member.body.core->may_end()) events.push_back({Kind::end_asked, i});
+    if (member.leaving && member.body.core->may_shut_down()) events.push_back({Kind::end_asked, i});
     if (left(State::ends, options_.ends) && of(options_.ends_of, i)) events.push_back({Kind::end, i});
   }
 }
@@ -245,8 +246,8 @@
       call.argument = state.used[State::changes];
       call.action.change = std::string(1, static_cast<char>('a' + call.argument));
       break;
-    case Kind::hand_over:
-      call.action.act = Act::hand_over;
+    case Kind::transfer_leadership:
+      call.action.act = Act::transfer_leadership;
       break;
     case Kind::leave:
       call.action.act = Act::leave;
@@ -270,12 +271,12 @@
   std::uint32_t found = 0;
   if (steps_.find(key, found)) return found;
   Body body = members_[number_before].body;
-  std::vector<Outgoing> out;
+  std::vector<OutgoingMessage> out;
   Result result;
   result.before = number_before;
   result.comes = take_step(options_, body, call.action, out);
   if (result.comes) {
-    for (Outgoing& each : out)
+    for (OutgoingMessage& each : out)
       if (auto to = place_of(each.address); to && goes(body, each))
         result.sent.push_back(number(*to, std::move(each.message)));
     result.body = number(std::move(body));
@@ -413,7 +414,7 @@
   auto kind = static_cast<std::size_t>(message.kind);
   out += std::string(" ") + (kind < std::size(words) ? words[kind] : "message " + std::to_string(kind)) +
          " of term " + std::to_string(message.term) + " from " + message.from_address + " to " +
-         address_of(letter.to) + (message.yes ? ", yes" : "") + ", index " + std::to_string(message.index);
+         address_of(letter.to) + (message.flag ? ", yes" : "") + ", index " + std::to_string(message.index);
   for (const Entry& entry : message.entries) {
     out += ", entry " + std::to_string(entry.index) + "/" + std::to_string(entry.term);
     if (entry.kind == EntryKind::change) out += " " + entry.data;
@@ -452,10 +453,10 @@
         bool all = event.kind == Kind::pass;
         std::size_t index = about_message(event.kind) ? letters_[event.at].to : event.at;
         if (all ? !real[i].core : i != index) continue;
-        std::vector<Outgoing> out;
+        std::vector<OutgoingMessage> out;
         take_step(options_, real[i], call.action, out);
         std::vector<std::uint32_t> sent;
-        for (Outgoing& each : out)
+        for (OutgoingMessage& each : out)
           if (auto to = place_of(each.address); to && goes(real[i], each))
             sent.push_back(number(*to, std::move(each.message)));
         if (sent != results_[step_of(state.body[i], call)].sent)
--- a/src/biella/explore_space.h
+++ b/src/biella/explore_space.h
@@ -31,7 +31,7 @@
   appear,
   propose,
   propose_full,
-  hand_over,
+  transfer_leadership,
   leave,
   end,       // for good
   end_asked  // as it was asked to, and may
@@ -124,7 +124,7 @@
   std::uint32_t number(Past&& past);
   std::uint32_t number(std::size_t to, raft::Message&& message);
   std::optional<std::size_t> place_of(const std::string& address) const;
-  bool goes(const Body& from, const raft::Outgoing& out) const;
+  bool goes(const Body& from, const raft::OutgoingMessage& out) const;
   Call call_of(const State& state, const Event& event) const;
   std::uint32_t step_of(std::uint32_t body, const Call& call);
   std::uint32_t verdict_of(std::uint32_t result, std::uint32_t past);
--- a/src/biella/explore_walk.cpp
+++ b/src/biella/explore_walk.cpp
@@ -49,7 +49,7 @@
     explore_.members = options.members;
     explore_.newcomers = options.newcomers;
     explore_.timing = Timing();
-    explore_.fold_entries = 4 + draws_.below(12);
+    explore_.snapshot_after_entries = 4 + draws_.below(12);
     explore_.notes = draws_.one_in(2);
     explore_.seed = seed;
     explore_.mutant = options.mutant;
@@ -116,7 +116,8 @@
         if (draws_.one_in(3)) put_back(index);
         return;
       case 3:
-        if (bodies_[index].core) take(Walked::handed_over, index, {Act::hand_over, nullptr, nullptr, {}, {}});
+        if (bodies_[index].core)
+          take(Walked::handed_over, index, {Act::transfer_leadership, nullptr, nullptr, {}, {}});
         return;
       case 4:
         if (index >= static_cast<std::size_t>(options_.members) && !bodies_[index].core && !stopped_[index])
@@ -182,10 +183,10 @@
       if (action.message)
         more = " <- kind " + std::to_string(static_cast<int>(action.message->kind)) + " term " +
                std::to_string(action.message->term) + " from " + action.message->from_address + " yes " +
-               std::to_string(action.message->yes) + " index " + std::to_string(action.message->index);
+               std::to_string(action.message->flag) + " index " + std::to_string(action.message->index);
       note(kind, index, more);
     }
-    for (Outgoing& each : out_)
+    for (OutgoingMessage& each : out_)
       for (std::size_t to = 0; to < bodies_.size(); ++to) {
         if (address_of(to) != each.address) continue;
         if (cut_[index * bodies_.size() + to] || flying_.size() >= most_on_their_way) break;
@@ -209,7 +210,7 @@
       if (body.core && body.core->role() == Core::Role::leader) speakers_.push_back(&body);
     if (speakers_.empty()) return;
     if (fault_.empty()) fault_ = past_.judge_speakers(speakers_);
-    if (speakers_.size() == 1 && speakers_[0]->core->may_speak(speakers_[0]->now)) ++walks_.spoke;
+    if (speakers_.size() == 1 && speakers_[0]->core->holds_lease(speakers_[0]->now)) ++walks_.spoke;
   }
 
   std::size_t pick() {
@@ -310,7 +311,7 @@
   std::vector<double> rates_;
   std::vector<bool> stopped_, frozen_, cut_;
   std::vector<std::unique_ptr<Flying>> flying_;
-  std::vector<Outgoing> out_;
+  std::vector<OutgoingMessage> out_;
   std::vector<const Body*> speakers_;
   Body shelf_;
   Past past_;
--- a/src/biella/schedule_core.cpp
+++ b/src/biella/schedule_core.cpp
@@ -79,7 +79,7 @@
 
 // A disk comes back as it was a while ago: from a copy; or another was in its place meanwhile.
 void Player::old_disk(const std::string& kind, std::size_t member, double span) {
-  raft::Stored kept = cluster_.disk(member).kept();
+  raft::PersistentState kept = cluster_.disk(member).kept();
   constexpr double swap = 0.3;
   if (kind == "core_late_disk") cluster_.wipe_core(member, swap);
   in(span, [this, member, kept = std::move(kept)] {
--- a/src/fanes/agreement.cpp
+++ b/src/fanes/agreement.cpp
@@ -10,7 +10,7 @@
 
 void put(Packer& packer, const Membership& membership) {
   packer.array(2);
-  packer.number(membership.wanted);
+  packer.number(membership.target_size);
   packer.array(membership.voters.size());
   for (const Member& voter : membership.voters) {
     packer.array(2);
@@ -22,7 +22,7 @@
 Membership get_membership(Unpacker& unpacker) {
   Membership membership;
   unpacker.enter(16);
-  membership.wanted = static_cast<std::uint32_t>(unpacker.number());
+  membership.target_size = static_cast<std::uint32_t>(unpacker.number());
   std::size_t count = unpacker.enter(most_members);
   for (std::size_t i = 0; i < count && unpacker.good(); ++i) {
     unpacker.enter(16);
@@ -101,15 +101,17 @@
   packer.number(message.log_term);
   packer.number(message.commit);
   packer.number(message.round);
-  packer.flag(message.yes);
+  packer.flag(message.flag);
   packer.array(message.entries.size());
   for (const Entry& entry : message.entries) put(packer, entry);
-  bool of_pieces = message.kind == MessageKind::piece || message.kind == MessageKind::piece_held;
-  bool has_snapshot = message.kind == MessageKind::install || message.kind == MessageKind::piece;
+  bool of_pieces =
+      message.kind == MessageKind::snapshot_chunk || message.kind == MessageKind::snapshot_chunk_response;
+  bool has_snapshot =
+      message.kind == MessageKind::install_snapshot || message.kind == MessageKind::snapshot_chunk;
   packer.array(has_snapshot ? 1 : 0);
   if (has_snapshot) put(packer, message.snapshot);
   // What the first program did not send; it passes over it.
-  packer.number(message.can);
+  packer.number(message.capabilities);
   packer.array(of_pieces ? 3 : 0);
   if (of_pieces) {
     packer.number(message.offset);
@@ -132,13 +134,13 @@
   message.log_term = unpacker.number();
   message.commit = unpacker.number();
   message.round = unpacker.number();
-  message.yes = unpacker.flag();
+  message.flag = unpacker.flag();
   std::size_t count = unpacker.enter(most_entries);
   for (std::size_t i = 0; i < count && unpacker.good(); ++i) message.entries.push_back(get_entry(unpacker));
   unpacker.leave();
   if (unpacker.enter(1) == 1) message.snapshot = get_snapshot(unpacker);
   unpacker.leave();
-  if (unpacker.more()) message.can = unpacker.number();
+  if (unpacker.more()) message.capabilities = unpacker.number();
   if (unpacker.more()) {
     if (unpacker.enter(16) >= 3) {
       message.offset = unpacker.number();
@@ -171,7 +173,7 @@
   Packer packer;
   packer.array(2);
   packer.number(vote.term);
-  packer.number(vote.given_to);
+  packer.number(vote.voted_for);
   return std::string(packer.view());
 }
 
@@ -179,7 +181,7 @@
   Unpacker unpacker(bytes);
   Vote vote;
   vote.term = unpacker.number();
-  vote.given_to = unpacker.number();
+  vote.voted_for = unpacker.number();
   return unpacker.whole() ? std::optional(vote) : std::nullopt;
 }
 
--- a/src/measure/log_measure.cpp
+++ b/src/measure/log_measure.cpp
@@ -60,7 +60,7 @@
     sennes::State state;
     Core core(store, state, founder());
     if (auto error = core.start(now)) return std::fprintf(stderr, "%s\n", error.message().c_str()), 1;
-    while (!core.may_speak(now)) core.tick(now += Duration(0.1));
+    while (!core.holds_lease(now)) core.tick(now += Duration(0.1));
     auto start = Clock::now();
     double file = 0;
     for (int i = 1; i <= count; ++i) {
@@ -87,7 +87,7 @@
   Core core(store, state, founder());
   auto error = core.start(now);
   double read_ms = ms_since(start);
-  while (!error && !core.may_speak(now)) core.tick(now += Duration(0.1));
+  while (!error && !core.holds_lease(now)) core.tick(now += Duration(0.1));
   std::printf("a restart: %.1f ms to read, %.1f ms until all is applied; %.1f MB of memory; edition %llu\n",
               read_ms, ms_since(start), heap_mb() - heap, static_cast<unsigned long long>(state.edition()));
   return error || state.edition() != static_cast<averau::Edition>(count) ? 1 : 0;
@@ -126,7 +126,7 @@
 
 class Nowhere : public Store {
  public:
-  std::error_code load(Stored&) override { return {}; }
+  std::error_code load(PersistentState&) override { return {}; }
   std::error_code save_self(MemberId) override { return {}; }
   std::error_code save_vote(const Vote&) override { return {}; }
   std::error_code replace_tail(Index, const std::vector<Entry>&) override { return {}; }
--- a/src/raft/core.cpp
+++ b/src/raft/core.cpp
@@ -22,12 +22,12 @@
     : store_(store), machine_(machine), options_(std::move(options)), random_(options_.seed), log_(store) {}
 
 std::error_code Core::start(Time now, std::string* note) {
-  if (!options_.timing.lease_ends_in_time()) return std::make_error_code(std::errc::invalid_argument);
-  Stored stored;
+  if (!options_.timing.lease_is_safe()) return std::make_error_code(std::errc::invalid_argument);
+  PersistentState stored;
   if (auto error = store_.load(stored)) return error;
-  heard_leader_ = now;
+  last_leader_contact_ = now;
   join_due_ = now;
-  draw_silence(now);
+  reset_election_timer(now);
   if (stored.self == 0) {
     const auto& founders = options_.founders;
     bool founds = options_.first_start &&
@@ -40,8 +40,8 @@
       founding.term = 1;
       for (const std::string& address : founders)
         founding.membership.voters.push_back({founder_id(address), address});
-      founding.membership.wanted = static_cast<std::uint32_t>(founders.size());
-      founding.state = machine_.fold();
+      founding.membership.target_size = static_cast<std::uint32_t>(founders.size());
+      founding.state = machine_.take_snapshot();
       if (auto error = log_.install(founding)) return error;
       if (!save_term(1, 0)) return std::make_error_code(std::errc::io_error);
     }
@@ -73,7 +73,7 @@
   Vote wanted{term, vote};
   if (wanted == vote_) return true;
   auto error = store_.save_vote(wanted);
-  fail(error);
+  record_store_result(error);
   if (error) return false;
   vote_ = wanted;
   return true;
@@ -81,10 +81,10 @@
 
 // Whoever has forgotten what it promised is somebody else: it asks to be taken in, and its old id leaves the
 // count for it. The log stays: what it holds was true of the old id, and is as good for a newcomer.
-void Core::become_another(Time now) {
+void Core::adopt_new_id(Time now) {
   MemberId fresh = options_.fresh_id;
   auto error = store_.save_self(fresh);
-  fail(error);
+  record_store_result(error);
   if (error) return;
   self_ = fresh;
   options_.fresh_id = following(fresh);
@@ -92,27 +92,29 @@
   join_due_ = now;
 }
 
-void Core::draw_silence(Time now) {
-  std::uniform_real_distribution<double> draw(options_.timing.least_silence.count(),
-                                              options_.timing.most_silence.count());
+void Core::reset_election_timer(Time now) {
+  std::uniform_real_distribution<double> draw(options_.timing.min_election_timeout.count(),
+                                              options_.timing.max_election_timeout.count());
   due_ = now + Duration(draw(random_));
 }
 
 // Between two tries of a candidate: shorter, since nobody leads.
-void Core::draw_patience(Time now) {
+void Core::reset_candidate_timer(Time now) {
   std::uniform_real_distribution<double> draw(0.4, 1.0);
-  due_ = now + options_.timing.least_silence * draw(random_);
+  due_ = now + options_.timing.min_election_timeout * draw(random_);
 }
 
-bool Core::leader_lives(Time now) const { return now - heard_leader_ < options_.timing.least_silence; }
+bool Core::leader_is_alive(Time now) const {
+  return now - last_leader_contact_ < options_.timing.min_election_timeout;
+}
 
-void Core::follow(Time now, Term term, MemberId leader, const std::string& address) {
+void Core::become_follower(Time now, Term term, MemberId leader, const std::string& address) {
   if (role_ == Role::leader || term > vote_.term) peers_.clear();
   role_ = Role::follower;
   leader_ = leader;
   leader_address_ = address;
-  if (leader != 0) heard_leader_ = now;
-  draw_silence(now);
+  if (leader != 0) last_leader_contact_ = now;
+  reset_election_timer(now);
 }
 
 void Core::step_down(Time now) {
@@ -123,14 +125,14 @@
   role_ = Role::follower;
   leader_ = 0;
   leader_address_.clear();
-  draw_silence(now);
+  reset_election_timer(now);
 }
 
 Time Core::due() const {
   Time due = due_;
   bool asks = leader_ == 0 || !log_.membership().has(self_);
   if (role_ != Role::leader && asks && !leaving_) due = std::min(due, join_due_);
-  if (role_ != Role::leader && leaving_ && !may_end()) due = std::min(due, leave_due_);
+  if (role_ != Role::leader && leaving_ && !may_shut_down()) due = std::min(due, leave_due_);
   return due;
 }
 
@@ -145,45 +147,46 @@
 }
 
 void Core::tick(Time now) {
-  act(now);
+  handle_tick(now);
   check_invariants();
 }
 
-void Core::act(Time now) {
+void Core::handle_tick(Time now) {
   if (role_ == Role::leader) {
     if (now < due_) return;
-    if (now - majority_heard(now, false) > options_.timing.most_silence) return step_down(now);
+    if (now - majority_contact_time(now, false) > options_.timing.max_election_timeout) return step_down(now);
     broadcast(now);
     change_membership(now);
     // Elected for want of another: until somebody else holds all that is held here.
     for (const auto& [id, peer] : peers_)
-      if (leaving_ && peer.voter && lives(now, peer) && peer.match == log_.last()) return hand_over(now);
+      if (leaving_ && peer.voter && is_alive(now, peer) && peer.match == log_.last())
+        return transfer_leadership(now);
     return;
   }
-  if (leader_ != 0 && !leader_lives(now)) {
+  if (leader_ != 0 && !leader_is_alive(now)) {
     leader_ = 0;
     leader_address_.clear();
     join_due_ = now;
   }
-  if (leaving_ && now >= leave_due_ && !may_end()) say_leave(now);
+  if (leaving_ && now >= leave_due_ && !may_shut_down()) send_leave(now);
   if ((leader_ == 0 || !log_.membership().has(self_)) && now >= join_due_ && !leaving_) {
-    ask_to_join();
-    join_due_ = now + options_.timing.join_every;
+    send_join();
+    join_due_ = now + options_.timing.join_interval;
   }
   if (now < due_) return;
-  stand(now, false);
+  start_pre_vote(now, false);
 }
 
 // Whoever has no leader, or is not counted, asks to be taken in: newcomers, members that were removed while
 // they were away. Those who know better take no notice.
-void Core::ask_to_join() {
+void Core::send_join() {
   Message join;
   join.kind = MessageKind::join;
   join.from = self_;
   join.from_address = options_.address;
   join.term = vote_.term;
   join.index = log_.last();
-  join.yes = options_.first_start;
+  join.flag = options_.first_start;
   std::vector<std::string> asked = addresses();
   for (const std::string& seed : options_.seeds)
     if (std::find(asked.begin(), asked.end(), seed) == asked.end()) asked.push_back(seed);
@@ -192,7 +195,7 @@
 }
 
 // Until it is out of the count, as far as it knows.
-void Core::say_leave(Time now) {
+void Core::send_leave(Time now) {
   leave_due_ = now + options_.timing.heartbeat;
   Message message;
   message.kind = MessageKind::leave;
@@ -205,7 +208,7 @@
 
 void Core::send(const std::string& address, Message message) {
   message.from = self_;
-  message.can = can_take_pieces;
+  message.capabilities = supports_snapshot_chunks;
   if (message.from_address.empty()) message.from_address = options_.address;
   out_.push_back({address, std::move(message)});
 }
@@ -213,35 +216,35 @@
 // A pre-vote first: nobody's term rises while most still hear a leader.
 
 void Core::step(Time now, const Message& message) {
-  take(now, message);
+  dispatch(now, message);
   check_invariants();
 }
 
-void Core::take(Time now, const Message& message) {
+void Core::dispatch(Time now, const Message& message) {
   if (message.to != 0 && message.to != self_) return;  // meant for who was here before the disk was lost
   switch (message.kind) {
-    case MessageKind::ask_pre_vote:
-    case MessageKind::ask_vote:
-      return on_ask(now, message);
-    case MessageKind::pre_vote:
-    case MessageKind::vote:
-      return on_vote(now, message);
-    case MessageKind::append:
-      return on_append(now, message);
-    case MessageKind::install:
-      return on_install(now, message);
-    case MessageKind::piece:
-      return on_piece(now, message);
-    case MessageKind::piece_held:
-      return on_piece_held(now, message);
-    case MessageKind::appended:
-      return on_appended(now, message);
+    case MessageKind::pre_vote_request:
+    case MessageKind::vote_request:
+      return on_vote_request(now, message);
+    case MessageKind::pre_vote_response:
+    case MessageKind::vote_response:
+      return on_vote_response(now, message);
+    case MessageKind::append_entries:
+      return on_append_entries(now, message);
+    case MessageKind::install_snapshot:
+      return on_install_snapshot(now, message);
+    case MessageKind::snapshot_chunk:
+      return on_snapshot_chunk(now, message);
+    case MessageKind::snapshot_chunk_response:
+      return on_snapshot_chunk_response(now, message);
+    case MessageKind::append_response:
+      return on_append_response(now, message);
     case MessageKind::join:
       return on_join(now, message);
     case MessageKind::leave:
       return on_leave(now, message);
-    case MessageKind::take_over:
-      if (message.term == vote_.term && role_ == Role::follower) stand(now, true);
+    case MessageKind::timeout_now:
+      if (message.term == vote_.term && role_ == Role::follower) start_pre_vote(now, true);
       return;
   }
 }
--- a/src/raft/describe.cpp
+++ b/src/raft/describe.cpp
@@ -34,7 +34,7 @@
     number(moment <= now_ ? 0 : static_cast<std::uint64_t>((moment - now_).count() * 1e6 + 0.5));
   }
   void membership(const Membership& membership) {
-    number(membership.wanted);
+    number(membership.target_size);
     number(membership.voters.size());
     for (const Member& voter : membership.voters) {
       number(voter.id);
@@ -58,18 +58,18 @@
   out.number(options_.first_start);
   out.number(static_cast<std::uint64_t>(role_));
   out.number(vote_.term);
-  out.number(vote_.given_to);
+  out.number(vote_.voted_for);
   out.number(leader_);
   out.text(leader_address_);
   out.number(commit_);
   out.number(applied_);
-  out.age(heard_leader_, timing.least_silence);
+  out.age(last_leader_contact_, timing.min_election_timeout);
   out.wait(due_);
   out.wait(join_due_);
   out.number(leaving_);
   out.wait(leaving_ ? leave_due_ : now);
   out.number(told_to_stay_);
-  out.age(stay_told_, 2 * timing.join_every);
+  out.age(stay_told_, 2 * timing.join_interval);
   out.number(round_);
 
   const Snapshot& snapshot = log_.snapshot();
@@ -88,7 +88,7 @@
     if (entry.kind == EntryKind::membership) out.membership(entry.membership);
   }
 
-  out.number(std::max(fold_after_, applied_) - applied_);
+  out.number(std::max(compact_after_, applied_) - applied_);
   out.number(sending_ ? sending_->index : 0);
   out.number(incoming_.has_value());
   if (incoming_) {
@@ -118,11 +118,11 @@
     out.text(peer.address);
     out.number(peer.voter);
     out.number(peer.first_start);
-    out.age(peer.asked_to_leave, timing.gone_after);
+    out.age(peer.asked_to_leave, timing.silent_voter_timeout);
     out.number(peer.asked_to_leave != Time{});
     out.number(peer.next);
     out.number(peer.match);
-    out.number(peer.can);
+    out.number(peer.capabilities);
     out.number(peer.flight.waiting);
     out.number(peer.flight.round);
     out.number(peer.flight.through);
@@ -131,7 +131,7 @@
     out.number(peer.transfer ? peer.transfer->snapshot->index : 0);
     out.number(peer.transfer ? peer.transfer->held : 0);
     // A newcomer is forgotten after the longest silence that anything asks about.
-    out.age(peer.heard, 4 * timing.gone_after + timing.most_silence);
+    out.age(peer.last_contact, 4 * timing.silent_voter_timeout + timing.max_election_timeout);
     out.age(peer.round_sent, timing.lease);
   }
   return out.take();
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -5,20 +5,20 @@
 namespace pearspar::raft {
 namespace {
 
-constexpr std::size_t most_at_once = 1024;  // entries; a reader takes 4096
+constexpr std::size_t max_entries = 1024;  // entries; a reader takes 4096
 
 }  // namespace
 
-void Log::load(const Stored& stored) {
+void Log::load(const PersistentState& stored) {
   snapshot_ = std::make_shared<const Snapshot>(stored.snapshot);
   base_ = snapshot_->index;
   base_term_ = snapshot_->term;
   entries_.assign(stored.entries.begin(), stored.entries.end());
   memberships_.assign(1, {snapshot_->index, snapshot_->membership});
-  bytes_ = kept_bytes_ = 0;
+  bytes_ = retained_bytes_ = 0;
   for (const Entry& entry : entries_) {
     if (entry.kind == EntryKind::membership) memberships_.emplace_back(entry.index, entry.membership);
-    bytes_ += bytes_of(entry);
+    bytes_ += entry_size(entry);
   }
 }
 
@@ -28,12 +28,12 @@
   return at(index).term;
 }
 
-std::vector<Entry> Log::from(Index from, std::size_t bytes) const {
+std::vector<Entry> Log::entries_from(Index from, std::size_t bytes) const {
   std::vector<Entry> found;
   std::size_t size = 0;
-  for (Index i = from; i <= last() && found.size() < most_at_once && (found.empty() || size < bytes); ++i) {
+  for (Index i = from; i <= last() && found.size() < max_entries && (found.empty() || size < bytes); ++i) {
     found.push_back(at(i));
-    size += bytes_of(found.back());
+    size += entry_size(found.back());
   }
   return found;
 }
@@ -48,62 +48,62 @@
   if (from <= snapshot_->index || from > last() + 1) return std::make_error_code(std::errc::invalid_argument);
   if (auto error = store_.replace_tail(from, entries)) return error;
   while (last() >= from) {
-    bytes_ -= bytes_of(entries_.back());
+    bytes_ -= entry_size(entries_.back());
     entries_.pop_back();
   }
   while (memberships_.size() > 1 && memberships_.back().first >= from) memberships_.pop_back();
   for (Entry& entry : entries) {
     if (entry.kind == EntryKind::membership) memberships_.emplace_back(entry.index, entry.membership);
-    bytes_ += bytes_of(entry);
+    bytes_ += entry_size(entry);
     entries_.push_back(std::move(entry));
   }
   return {};
 }
 
 // After the snapshot has moved on from `before`: counts anew what it holds now, and no more than that.
-void Log::count_folded(Index before) {
+void Log::count_compacted(Index before) {
   for (Index i = std::max(before + 1, first()); i <= std::min(snapshot_->index, last()); ++i) {
-    bytes_ -= bytes_of(at(i));
-    kept_bytes_ += bytes_of(at(i));
+    bytes_ -= entry_size(at(i));
+    retained_bytes_ += entry_size(at(i));
   }
   std::erase_if(memberships_, [&](const auto& each) { return each.first <= snapshot_->index; });
   memberships_.insert(memberships_.begin(), {snapshot_->index, snapshot_->membership});
 }
 
-std::error_code Log::fold(Snapshot snapshot) {
+std::error_code Log::compact(Snapshot snapshot) {
   if (auto error = store_.save_snapshot(snapshot, false)) return error;
   Index before = snapshot_->index;
   snapshot_ = std::make_shared<const Snapshot>(std::move(snapshot));
-  count_folded(before);
+  count_compacted(before);
   return {};
 }
 
 void Log::drop_first() {
   base_ = entries_.front().index;
   base_term_ = entries_.front().term;
-  kept_bytes_ -= bytes_of(entries_.front());
+  retained_bytes_ -= entry_size(entries_.front());
   entries_.pop_front();
 }
 
-void Log::keep(Index floor, std::size_t most) {
-  while (base_ < snapshot_->index && (base_ < floor || kept_bytes_ > most)) drop_first();
+void Log::trim(Index floor, std::size_t most) {
+  while (base_ < snapshot_->index && (base_ < floor || retained_bytes_ > most)) drop_first();
 }
 
 std::error_code Log::install(const Snapshot& snapshot) {
-  bool goes_on = snapshot.index >= first() && term_at(snapshot.index) == snapshot.term;
-  if (auto error = store_.save_snapshot(snapshot, !goes_on)) return error;
+  bool continues_log = snapshot.index >= first() && term_at(snapshot.index) == snapshot.term;
+  if (auto error = store_.save_snapshot(snapshot, !continues_log)) return error;
   Index before = snapshot_->index;
   snapshot_ = std::make_shared<const Snapshot>(snapshot);
-  if (goes_on) {
-    count_folded(before);
-    keep(snapshot.index, 0);
+  if (continues_log) {
+    count_compacted(before);
+    trim(snapshot.index, 0);
     return {};
   }
   entries_.clear();
   base_ = snapshot.index;
   base_term_ = snapshot.term;
   memberships_.assign(1, {snapshot.index, snapshot.membership});
-  bytes_ = kept_bytes_ = 0;
+  bytes_ = retained_bytes_ = 0;
   return {};
 }
 
--- a/src/raft/log.h
+++ b/src/raft/log.h
@@ -16,13 +16,13 @@
 namespace pearspar::raft {
 
 // What an entry counts for where bytes are bounded: its data and about what lies around it.
-inline std::size_t bytes_of(const Entry& entry) { return entry.data.size() + 64; }
+inline std::size_t entry_size(const Entry& entry) { return entry.data.size() + 64; }
 
 class Log {
  public:
   explicit Log(Store& store) : store_(store) {}
 
-  void load(const Stored& stored);
+  void load(const PersistentState& stored);
 
   Index first() const { return base_ + 1; }
   Index last() const { return base_ + entries_.size(); }
@@ -31,34 +31,34 @@
   Term term_at(Index index) const;
   const Entry& at(Index index) const { return entries_[index - first()]; }
   // Those from `from` on, until they hold about so many bytes (one at least, so many at the most).
-  std::vector<Entry> from(Index from, std::size_t bytes) const;
+  std::vector<Entry> entries_from(Index from, std::size_t bytes) const;
   const Snapshot& snapshot() const { return *snapshot_; }
   std::shared_ptr<const Snapshot> shared_snapshot() const { return snapshot_; }
   bool empty() const { return last() == 0; }
 
   // The newest membership in the log, committed or not; `since` is its entry (or the snapshot's index).
   const Membership& membership() const { return memberships_.back().second; }
-  Index membership_since() const { return memberships_.back().first; }
+  Index membership_index() const { return memberships_.back().first; }
   // As of an index that is not before the snapshot's.
   const Membership& membership_at(Index index) const;
 
   // `from` is behind the snapshot, and not behind last() + 1. After a failure the entries are the caller's
   // still.
   std::error_code replace_tail(Index from, std::vector<Entry>&& entries);
-  // Ours, of what is applied. The entries that it holds stay in memory until keep() lets them go.
-  std::error_code fold(Snapshot snapshot);
+  // Ours, of what is applied. The entries that it holds stay in memory until trim() lets them go.
+  std::error_code compact(Snapshot snapshot);
   // Of the entries that the snapshot holds, those behind `floor` stay, as long as they are `most` bytes.
-  void keep(Index floor, std::size_t most);
+  void trim(Index floor, std::size_t most);
   // The leader's. What we hold behind it stays where it continues it: we may have acknowledged that.
   std::error_code install(const Snapshot& snapshot);
 
   // Of the entries behind the snapshot: what a start has to read beside it.
   std::size_t bytes() const { return bytes_; }
-  std::size_t kept_bytes() const { return kept_bytes_; }
+  std::size_t retained_bytes() const { return retained_bytes_; }
 
  private:
   void drop_first();
-  void count_folded(Index before);
+  void count_compacted(Index before);
 
   Store& store_;
   std::shared_ptr<const Snapshot> snapshot_ = std::make_shared<Snapshot>();
@@ -67,7 +67,7 @@
   std::deque<Entry> entries_;
   std::vector<std::pair<Index, Membership>> memberships_{{0, {}}};  // the snapshot's, then each entry's
   std::size_t bytes_ = 0;
-  std::size_t kept_bytes_ = 0;  // of the entries that the snapshot holds
+  std::size_t retained_bytes_ = 0;  // of the entries that the snapshot holds
 };
 
 }  // namespace pearspar::raft
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -6,17 +6,17 @@
 namespace pearspar::raft {
 namespace {
 
-// A log is folded from Options::fold_entries on, a large state only when it is worth it: when the entries
-// have half its bytes. At the latest at so many entries, or bytes.
+// A log is folded from Options::snapshot_after_entries on, a large state only when it is worth it: when the
+// entries have half its bytes. At the latest at so many entries, or bytes.
 constexpr std::size_t most_entries = 4096;
 constexpr std::size_t most_bytes = 4 << 20;
 // Of entries that are folded already, kept for members that still lack them.
-constexpr std::size_t keep_bytes = 32 << 20;
-constexpr std::size_t rounds_kept = 64;
+constexpr std::size_t max_retained_bytes = 32 << 20;
+constexpr std::size_t max_remembered_rounds = 64;
 
 }  // namespace
 
-bool Core::append_own(Entry entry) {
+bool Core::append_local(Entry entry) {
   entry.index = log_.last() + 1;
   entry.term = vote_.term;
   std::vector<Entry> entries;
@@ -27,13 +27,13 @@
 // A store that is full gets room by what is applied being folded, if by anything.
 std::error_code Core::write_entries(Index from, std::vector<Entry>&& entries) {
   auto error = log_.replace_tail(from, std::move(entries));
-  fail(error);
-  if (!error || applied_ == log_.snapshot().index || applied_ < fold_after_) return error;
-  fold_log();
-  if (ill_) return error;
+  record_store_result(error);
+  if (!error || applied_ == log_.snapshot().index || applied_ < compact_after_) return error;
+  compact_log();
+  if (store_failed_) return error;
   // What was refused is still here.
   error = log_.replace_tail(from, std::move(entries));  // NOLINT(bugprone-use-after-move)
-  fail(error);
+  record_store_result(error);
   return error;
 }
 
@@ -42,8 +42,8 @@
   Entry entry;
   entry.kind = EntryKind::change;
   entry.data = std::move(data);
-  if (!append_own(std::move(entry))) {
-    hand_over(now);
+  if (!append_local(std::move(entry))) {
+    transfer_leadership(now);
     return std::nullopt;
   }
   Index index = log_.last();
@@ -54,10 +54,10 @@
 
 void Core::broadcast(Time now) {
   ++round_;
-  let_go(now);
+  trim_log(now);
   rounds_[round_] = now;
-  note_whether_to_stay(now, must_stay(now, self_));
-  while (rounds_.size() > rounds_kept) rounds_.erase(rounds_.begin());
+  update_told_to_stay(now, must_stay(now, self_));
+  while (rounds_.size() > max_remembered_rounds) rounds_.erase(rounds_.begin());
   for (auto& [id, peer] : peers_) send_to(now, id, peer, true);
   due_ = now + options_.timing.heartbeat;
 }
@@ -67,24 +67,24 @@
   bool news = peer.next <= log_.last();
   if (!heartbeat && news && !peer.flight.free(round_)) return;
   Message message;
-  message.kind = MessageKind::append;
+  message.kind = MessageKind::append_entries;
   message.to = id;
   message.term = vote_.term;
   message.commit = commit_;
   message.round = round_;
   message.acknowledged = peer.match;
-  message.yes = must_stay(now, id);
+  message.flag = must_stay(now, id);
   message.index = peer.next - 1;
   message.log_term = log_.term_at(peer.next - 1);
   if (news && peer.flight.free(round_)) {
     // To one that has not answered twice, a single entry: its disk may be full, or its link too narrow.
-    message.entries = log_.from(peer.next, peer.flight.losses > 1 ? 0 : options_.append_bytes);
+    message.entries = log_.entries_from(peer.next, peer.flight.losses > 1 ? 0 : options_.max_append_bytes);
     peer.flight.send(round_, message.entries.back().index);
   }
   send(peer.address, std::move(message));
 }
 
-bool Core::heed(Time now, const Message& word, Message& answer) {
+bool Core::accept_leader(Time now, const Message& word, Message& answer) {
   answer.to = word.from;
   answer.round = word.round;
   answer.term = vote_.term;
@@ -97,20 +97,20 @@
     return false;
   }
   if (word.term > vote_.term && !save_term(word.term, 0)) return false;
-  follow(now, word.term, word.from, word.from_address);
+  become_follower(now, word.term, word.from, word.from_address);
   answer.term = vote_.term;
   // It once acknowledged more than is here: its disk came back from the past, or has lied. Whatever the
   // leader says next, a snapshot too, would only hide that votes may be forgotten with it.
   if (word.acknowledged > log_.last()) {
-    become_another(now);
+    adopt_new_id(now);
     return false;
   }
-  note_whether_to_stay(now, word.yes);
+  update_told_to_stay(now, word.flag);
   return true;
 }
 
 // What an append must hold, whatever we hold ourselves; and nothing that is committed here is denied by it.
-bool Core::sound(const Message& append) {
+bool Core::has_valid_entries(const Message& append) {
   Term term = append.log_term;
   Index index = append.index;
   bool good = index + 1 < log_.first() || index > commit_ || log_.term_at(index) == append.log_term;
@@ -125,16 +125,16 @@
   return good;
 }
 
-void Core::on_append(Time now, const Message& append) {
+void Core::on_append_entries(Time now, const Message& append) {
   Message answer;
-  answer.kind = MessageKind::appended;
-  if (append.term >= vote_.term && !sound(append)) return;
-  if (!heed(now, append, answer)) return;
+  answer.kind = MessageKind::append_response;
+  if (append.term >= vote_.term && !has_valid_entries(append)) return;
+  if (!accept_leader(now, append, answer)) return;
   Index last_new = append.index + append.entries.size();
   if (append.index > log_.last() ||
       (append.index >= log_.snapshot().index && log_.term_at(append.index) != append.log_term)) {
     // It once acknowledged just this, and has something else in its place.
-    if (append.index <= append.acknowledged) return become_another(now);
+    if (append.index <= append.acknowledged) return adopt_new_id(now);
     answer.index = std::min(log_.last(), append.index > 0 ? append.index - 1 : 0);
     answer.index = std::max(answer.index, commit_);
     return send(append.from_address, answer);
@@ -149,13 +149,13 @@
   if (!news.empty() && write_entries(news.front().index, std::move(news))) return;
   commit_ = std::max(commit_, std::min(append.commit, last_new));
   apply_committed();
-  answer.yes = true;
+  answer.flag = true;
   answer.index = last_new;
   send(append.from_address, answer);
 }
 
 // Whose answer it is, where we lead in its term.
-Core::Peer* Core::answered(Time now, const Message& answer) {
+Core::Peer* Core::find_responder(Time now, const Message& answer) {
   if (answer.term > vote_.term) {
     if (save_term(answer.term, 0)) step_down(now);
     return nullptr;
@@ -164,22 +164,22 @@
   auto found = peers_.find(answer.from);
   if (found == peers_.end()) return nullptr;
   Peer& peer = found->second;
-  peer.heard = now;
-  peer.can = answer.can;
+  peer.last_contact = now;
+  peer.capabilities = answer.capabilities;
   if (auto round = rounds_.find(answer.round); round != rounds_.end())
     peer.round_sent = std::max(peer.round_sent, round->second);
   return &peer;
 }
 
-void Core::on_appended(Time now, const Message& answer) {
-  Peer* peer = answered(now, answer);
+void Core::on_append_response(Time now, const Message& answer) {
+  Peer* peer = find_responder(now, answer);
   if (!peer) return;
-  if (answer.yes && answer.index > log_.last()) {
+  if (answer.flag && answer.index > log_.last()) {
     ++counters_.refused_messages;
     return;
   }
   if (peer->transfer) {
-    if (answer.yes && answer.index >= peer->transfer->snapshot->index) {
+    if (answer.flag && answer.index >= peer->transfer->snapshot->index) {
       peer->transfer.reset();
       peer->flight = {};
     } else {
@@ -187,7 +187,7 @@
       return send_to(now, answer.from, *peer, false);
     }
   }
-  if (answer.yes) {
+  if (answer.flag) {
     if (peer->flight.waiting && answer.index >= peer->flight.through)
       peer->flight = {};
     else if (peer->flight.passed(answer.round))
@@ -237,40 +237,40 @@
   std::size_t behind = applied_ - log_.snapshot().index;
   std::size_t bytes = log_.bytes();
   bool must = behind >= most_entries || bytes >= most_bytes;
-  bool worth = behind >= options_.fold_entries && bytes * 2 >= log_.snapshot().state.size();
-  if (behind > 0 && (must || worth) && applied_ >= fold_after_) fold_log();
+  bool worth = behind >= options_.snapshot_after_entries && bytes * 2 >= log_.snapshot().state.size();
+  if (behind > 0 && (must || worth) && applied_ >= compact_after_) compact_log();
 }
 
-void Core::fold_log() {
+void Core::compact_log() {
   Snapshot snapshot;
   snapshot.index = applied_;
   snapshot.term = log_.term_at(applied_);
   snapshot.membership = log_.membership_at(applied_);
-  snapshot.state = machine_.fold();
-  auto error = log_.fold(std::move(snapshot));  // where it fails the log only stays longer
-  fail(error);
-  if (error) fold_after_ = applied_ + options_.fold_entries;
+  snapshot.state = machine_.take_snapshot();
+  auto error = log_.compact(std::move(snapshot));  // where it fails the log only stays longer
+  record_store_result(error);
+  if (error) compact_after_ = applied_ + options_.snapshot_after_entries;
   if (role_ == Role::leader) return;  // which lets go with its rounds
-  log_.keep(log_.snapshot().index, 0);
+  log_.trim(log_.snapshot().index, 0);
   sending_.reset();
 }
 
 // Of what is folded, the entries stay that a member in touch still lacks, up to a bound.
-void Core::let_go(Time now) {
+void Core::trim_log(Time now) {
   Index floor = log_.snapshot().index;
   bool sends = false;
   for (auto& [id, peer] : peers_) {
-    if (now - peer.heard > options_.timing.gone_after) {
+    if (now - peer.last_contact > options_.timing.silent_voter_timeout) {
       if (peer.transfer) peer.flight = {};
       peer.transfer.reset();
       continue;
     }
     floor = std::min(floor, peer.transfer ? peer.transfer->snapshot->index : peer.match);
   }
-  log_.keep(floor, keep_bytes);
+  log_.trim(floor, max_retained_bytes);
   for (auto& [id, peer] : peers_) {
     if (peer.transfer && peer.transfer->snapshot->index + 1 < log_.first()) {
-      ++counters_.transfers_restarted;
+      ++counters_.snapshot_transfers_restarted;
       peer.transfer.reset();
       peer.flight = {};
     }
--- a/src/raft/transfer.h
+++ b/src/raft/snapshot_transfer.h
@@ -1,5 +1,5 @@
 // A snapshot on its way to a member that lacks what the log begins with: its state in pieces, one out at a
-// time, beside the leader's rounds. A piece goes out when the one before it is acknowledged, or when a later
+// time, beside the leader's rounds. A chunk goes out when the one before it is acknowledged, or when a later
 // round was answered without it. The receiver holds the pieces in memory; the store gets the whole, in one
 // write, or nothing.
 #pragma once
@@ -14,8 +14,8 @@
 namespace pearspar::raft {
 
 // What is out to a member, and how often it was in vain. One thing at a time, so at most one append's or one
-// piece's bytes are out and unanswered, however long the member is silent.
-struct Flight {
+// chunk's bytes are out and unanswered, however long the member is silent.
+struct InFlight {
   bool waiting = false;     // for an answer
   std::uint64_t round = 0;  // when it went out
   Index through = 0;        // its last entry
@@ -35,21 +35,21 @@
 
 std::uint64_t state_digest(const std::string& state);
 
-struct Transfer {
+struct OutgoingSnapshot {
   std::shared_ptr<const Snapshot> snapshot;
   std::uint64_t digest = 0;
   std::uint64_t held = 0;  // bytes, by the receiver
 };
 
-struct Incoming {
+struct IncomingSnapshot {
   Snapshot snapshot;  // its state: what has come
   std::uint64_t total = 0;
   std::uint64_t digest = 0;
   Time retry{};  // of a write that the disk has refused
 
-  bool of(const Message& piece) const {
-    return snapshot.index == piece.snapshot.index && snapshot.term == piece.snapshot.term &&
-           snapshot.membership == piece.snapshot.membership && total == piece.total && digest == piece.digest;
+  bool of(const Message& chunk) const {
+    return snapshot.index == chunk.snapshot.index && snapshot.term == chunk.snapshot.term &&
+           snapshot.membership == chunk.snapshot.membership && total == chunk.total && digest == chunk.digest;
   }
 };
 
--- a/src/raft/store.h
+++ b/src/raft/store.h
@@ -10,7 +10,7 @@
 
 namespace pearspar::raft {
 
-struct Stored {
+struct PersistentState {
   MemberId self = 0;  // 0 = this disk is empty
   Vote vote;
   Snapshot snapshot;
@@ -22,7 +22,7 @@
 class Store {
  public:
   virtual ~Store() = default;
-  virtual std::error_code load(Stored& stored) = 0;
+  virtual std::error_code load(PersistentState& stored) = 0;
   virtual std::error_code save_self(MemberId self) = 0;
   virtual std::error_code save_vote(const Vote& vote) = 0;
   // Drops every entry from `from` on, then adds these (the first of which is `from`, if there is one).
--- a/src/raft/types.h
+++ b/src/raft/types.h
@@ -27,7 +27,8 @@
 // The voters; part of the log.
 struct Membership {
   std::vector<Member> voters;
-  std::uint32_t wanted = 0;  // so many voters make up the core; one more stands in only while one is replaced
+  std::uint32_t target_size =
+      0;  // so many voters make up the core; one more stands in only while one is replaced
 
   bool operator==(const Membership&) const = default;
   bool has(MemberId id) const {
@@ -38,12 +39,12 @@
   std::size_t majority() const { return voters.size() / 2 + 1; }
 };
 
-enum class EntryKind : std::uint8_t { start_of_term, change, membership };
+enum class EntryKind : std::uint8_t { term_start, change, membership };
 
 struct Entry {
   Index index = 0;
   Term term = 0;
-  EntryKind kind = EntryKind::start_of_term;
+  EntryKind kind = EntryKind::term_start;
   std::string data;       // of a change: the state machine's
   Membership membership;  // of a membership entry
   bool operator==(const Entry&) const = default;
@@ -51,7 +52,7 @@
 
 struct Vote {
   Term term = 0;
-  MemberId given_to = 0;
+  MemberId voted_for = 0;
   bool operator==(const Vote&) const = default;
 };
 
@@ -64,25 +65,25 @@
 };
 
 enum class MessageKind : std::uint8_t {
-  ask_pre_vote,
-  pre_vote,
-  ask_vote,
-  vote,
-  append,      // entries, or none: a heartbeat
-  appended,    // the answer to append and install
-  install,     // a snapshot
-  join,        // a newcomer asks to be taken in
-  take_over,   // the leader leaves: stand for election now
-  piece,       // of a snapshot's state; without bytes: asks how much is held
-  piece_held,  // the answer to it
-  leave        // a member was asked to end, and wants to be let go
+  pre_vote_request,
+  pre_vote_response,
+  vote_request,
+  vote_response,
+  append_entries,           // entries, or none: a heartbeat
+  append_response,          // the answer to append and install
+  install_snapshot,         // a snapshot
+  join,                     // a newcomer asks to be taken in
+  timeout_now,              // the leader leaves: stand for election now
+  snapshot_chunk,           // of a snapshot's state; without bytes: asks how much is held
+  snapshot_chunk_response,  // the answer to it
+  leave                     // a member was asked to end, and wants to be let go
 };
 
-// What a program can beside what the first one could; each message says it of its sender.
-inline constexpr std::uint64_t can_take_pieces = 1;
+// What a program capabilities beside what the first one could; each message says it of its sender.
+inline constexpr std::uint64_t supports_snapshot_chunks = 1;
 
 struct Message {
-  MessageKind kind = MessageKind::append;
+  MessageKind kind = MessageKind::append_entries;
   MemberId from = 0;
   MemberId to = 0;  // 0 = whoever is at the address
   std::string from_address;
@@ -92,12 +93,12 @@
   Index commit = 0;
   Index acknowledged = 0;   // append: what this leader was told that the one asked holds
   std::uint64_t round = 0;  // of the leader; comes back with the answer
-  // Granted, accepted. join: this is the first start of the whole system. append, install, piece: were the
-  // one asked to end, it is to stay until a newcomer counts.
-  bool yes = false;
+  // Granted, accepted. join: this is the first start of the whole system. append_entries, install_snapshot,
+  // piece: were the one asked to end, it is to stay until a newcomer counts.
+  bool flag = false;
   std::vector<Entry> entries;
   Snapshot snapshot;  // install; piece: its state is the bytes from `offset` on
-  std::uint64_t can = 0;
+  std::uint64_t capabilities = 0;
   std::uint64_t offset = 0;  // piece: where it stands in the state; piece_held: held without a gap
   std::uint64_t total = 0;   // piece: bytes of the whole state
   std::uint64_t digest = 0;  // piece: XXH3 of the whole state
--- a/src/sennes/member.cpp
+++ b/src/sennes/member.cpp
@@ -75,7 +75,7 @@
   if (noted_changes_ == office_.list_changes() && noted_commit_ == core_.commit()) return;
   if (core_.role() == raft::Core::Role::leader && core_.log().membership().voters.size() > 1) return;
   note_due_ = now + note_every;
-  if (core_.keep_note(office_.note(now))) return;
+  if (core_.save_note(office_.note(now))) return;
   noted_changes_ = office_.list_changes();
   noted_commit_ = core_.commit();
 }
@@ -86,7 +86,7 @@
   Time now = clock();
   core_.tick(now);
   office_.advance(now);
-  bool leads = core_.may_speak(clock());
+  bool leads = core_.holds_lease(clock());
   for (auto& out : core_.take_out()) wire_.send_to(out.address, fanes::pack(out.message));
   for (auto& out : office_.take_messages()) {
     auto* answer = std::get_if<fanes::CallAnswer>(&out.message);
@@ -105,7 +105,7 @@
 
 Time Member::due() const { return started_ ? std::min(core_.due(), office_.due()) : Time::max(); }
 
-void Member::hand_over(Time now) {
+void Member::transfer_leadership(Time now) {
   if (started_) core_.leave(now);
 }
 
--- a/src/sennes/member.h
+++ b/src/sennes/member.h
@@ -36,9 +36,9 @@
   using Clock = std::function<Time()>;
   std::vector<Reply> advance(const Clock& clock);
   Time due() const;
-  // Before an end that was asked for; it may end when may_end() says so, or its grace is over.
-  void hand_over(Time now);
-  bool may_end() const { return !started_ || core_.may_end(); }
+  // Before an end that was asked for; it may end when may_shut_down() says so, or its grace is over.
+  void transfer_leadership(Time now);
+  bool may_shut_down() const { return !started_ || core_.may_shut_down(); }
 
   const raft::Core& core() const { return core_; }
   const State& state() const { return state_; }
--- a/src/sennes/office.cpp
+++ b/src/sennes/office.cpp
@@ -56,7 +56,7 @@
   bool leads = core_.role() == raft::Core::Role::leader;
   // Somebody else is to lead: this program cannot read what was taken.
   if (leads && !state_.may_serve()) {
-    core_.hand_over(now);
+    core_.transfer_leadership(now);
     leads = false;
   }
   if (in_office() && (!leads || core_.term() != view_.at().term)) close_office(now);
@@ -89,7 +89,7 @@
 
 std::vector<ToLink> Office::take_news(Time now) {
   std::vector<ToLink> out = std::exchange(to_links_, {});
-  if (core_.may_speak(now))
+  if (core_.holds_lease(now))
     for (ToLink& news : followers_.take_out(now)) out.push_back(std::move(news));
   return out;
 }
@@ -99,7 +99,7 @@
   bursar_.watch(now, state_.accounts());
   if (!in_office()) return;
   const averau::Allowances* rules = state_.allowances();
-  if (core_.may_speak(now))
+  if (core_.holds_lease(now))
     if (auto entry = bursar_.entry(now, state_.accounts(), rules))
       bursar_.proposed(core_.propose(now, State::allowance(*entry)));
   for (auto& [link, tell] : bursar_.tells(now, core_.applied(), state_.accounts(), rules))
@@ -108,7 +108,7 @@
 
 // Only a leader hands out, and only for services that the configuration names.
 void Office::grant(Time now, LinkId link, const fanes::Want& want) {
-  if (!in_office() || !core_.may_speak(now) || !view_.configuration()) return;
+  if (!in_office() || !core_.holds_lease(now) || !view_.configuration()) return;
   fanes::Grant grant;
   grant.number = want.number;
   for (const fanes::Tokens& each : want.tokens) {
--- a/src/sennes/office.h
+++ b/src/sennes/office.h
@@ -112,7 +112,7 @@
   };
 
   // Leads, may speak, and can read what stands.
-  bool may_serve(Time now) const { return state_.may_serve() && core_.may_speak(now); }
+  bool may_serve(Time now) const { return state_.may_serve() && core_.holds_lease(now); }
   void take_in(Time now, Request request);
   bool settle(Time now, Request& request);  // false: not yet
   bool settle_change(Time now, Request& request);
--- a/src/sennes/office_nodes.cpp
+++ b/src/sennes/office_nodes.cpp
@@ -56,7 +56,7 @@
 void Office::finish_spreading(Time now) {
   while (!spreading_.empty()) {
     Spreading& first = spreading_.front();
-    bool in_office_still = core_.may_speak(now) && first.at.term == core_.term();
+    bool in_office_still = core_.holds_lease(now) && first.at.term == core_.term();
     if (in_office_still && now < first.until && !followers_.acknowledged(now, first.at)) return;
     if (in_office_still)
       reply(first.request, 200,
--- a/src/sennes/report.cpp
+++ b/src/sennes/report.cpp
@@ -42,9 +42,10 @@
       R"({{"view":"local","nodeName":{},"leads":{},"leader":{},"term":{},"commit":{},"logEntries":{},)"
       R"("diskRefuses":{},"edition":{},"readable":{},)"
       R"("wanted":{},"members":{},"nodes":{},"edges":{}}})",
-      quoted(name), core.may_speak(now), quoted(core.leader_address()), core.term(), core.commit(),
-      core.log().last() - core.log().snapshot().index, core.ill(), state.edition(), state.may_serve(),
-      core.log().membership().wanted, members.text(), view.nodes().all().size(), edges.text());
+      quoted(name), core.holds_lease(now), quoted(core.leader_address()), core.term(), core.commit(),
+      core.log().last() - core.log().snapshot().index, core.store_failed(), state.edition(),
+      state.may_serve(), core.log().membership().target_size, members.text(), view.nodes().all().size(),
+      edges.text());
 }
 
 std::string nodes_json(Time now, const vazzoler::View& view) {
--- a/src/sennes/state.cpp
+++ b/src/sennes/state.cpp
@@ -113,7 +113,7 @@
 }
 
 // The first three as older programs read them: with up to 512 taken, and all of it read, nothing else.
-std::string State::fold() const {
+std::string State::take_snapshot() const {
   std::size_t told = std::min(taken_.size(), most_told_apart);
   bool more = taken_.size() > told || taken_.cut() || !unfolded_.empty() || doubtful_;
   fanes::Packer packer;
--- a/src/sennes/state.h
+++ b/src/sennes/state.h
@@ -30,7 +30,7 @@
   explicit State(Reader read = averau::read_configuration) : read_(read) {}
 
   void apply(const raft::Entry& change) override;
-  std::string fold() const override;
+  std::string take_snapshot() const override;
   void restore(const std::string& state) override;
 
   // What an entry holds: steps of the allowance, or a configuration on top of the one it was checked against.
--- a/src/storage/folder.cpp
+++ b/src/storage/files.cpp
@@ -1,4 +1,4 @@
-#include "storage/folder.h"
+#include "storage/files.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -10,15 +10,15 @@
 namespace pearspar::storage {
 namespace {
 
-std::error_code last_fault() { return {errno, std::generic_category()}; }
+std::error_code last_error() { return {errno, std::generic_category()}; }
 
 }  // namespace
 
-std::error_code make_folder(const std::string& folder) {
-  if (::mkdir(folder.c_str(), 0755) != 0) return errno == EEXIST ? std::error_code() : last_fault();
+std::error_code make_directory(const std::string& folder) {
+  if (::mkdir(folder.c_str(), 0755) != 0) return errno == EEXIST ? std::error_code() : last_error();
   std::size_t slash = folder.find_last_not_of('/');
   slash = folder.rfind('/', slash);
-  return sync_folder(slash == folder.npos ? "." : folder.substr(0, slash + 1));
+  return sync_directory(slash == folder.npos ? "." : folder.substr(0, slash + 1));
 }
 
 // Whatever cannot be looked at may be there: only what is surely none is made.
@@ -28,24 +28,24 @@
 }
 
 std::error_code remove_file(const std::string& file) {
-  return ::unlink(file.c_str()) == 0 || errno == ENOENT ? std::error_code() : last_fault();
+  return ::unlink(file.c_str()) == 0 || errno == ENOENT ? std::error_code() : last_error();
 }
 
 std::error_code rename_file(const std::string& from, const std::string& to) {
-  return std::rename(from.c_str(), to.c_str()) == 0 ? std::error_code() : last_fault();
+  return std::rename(from.c_str(), to.c_str()) == 0 ? std::error_code() : last_error();
 }
 
-std::error_code sync_folder(const std::string& folder) {
+std::error_code sync_directory(const std::string& folder) {
   int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   // Who may not read it, or cannot sync any, has to trust its names as they are.
-  if (fd < 0) return errno == EACCES || errno == EPERM ? std::error_code() : last_fault();
+  if (fd < 0) return errno == EACCES || errno == EPERM ? std::error_code() : last_error();
   std::error_code error;
-  if (::fsync(fd) != 0 && errno != EINVAL) error = last_fault();
+  if (::fsync(fd) != 0 && errno != EINVAL) error = last_error();
   ::close(fd);
   return error;
 }
 
-int make_as_long(int fd, std::size_t bytes) {
+int extend_file(int fd, std::size_t bytes) {
   struct stat found {};
   if (::fstat(fd, &found) != 0) return errno;
   if (static_cast<std::size_t>(found.st_size) >= bytes) return 0;
--- a/src/storage/folder.h
+++ b/src/storage/files.h
@@ -8,13 +8,13 @@
 namespace pearspar::storage {
 
 // Made where it is not there; its name lasts then.
-std::error_code make_folder(const std::string& folder);
+std::error_code make_directory(const std::string& folder);
 bool exists(const std::string& file);
 std::error_code remove_file(const std::string& file);  // none is no fault
 std::error_code rename_file(const std::string& from, const std::string& to);
 // What was made, renamed or removed in it lasts only then.
-std::error_code sync_folder(const std::string& folder);
+std::error_code sync_directory(const std::string& folder);
 // Zeros behind its end up to there; 0, or the fault's number.
-int make_as_long(int fd, std::size_t bytes);
+int extend_file(int fd, std::size_t bytes);
 
 }  // namespace pearspar::storage
--- a/src/storage/lmdb_store.cpp
+++ b/src/storage/lmdb_store.cpp
@@ -4,7 +4,7 @@
 
 #include "allocation/allocation.h"
 #include "fanes/agreement.h"
-#include "storage/folder.h"
+#include "storage/files.h"
 
 namespace pearspar::storage {
 namespace {
@@ -18,7 +18,8 @@
  public:
   const char* name() const noexcept override { return "store"; }
   std::string message(int value) const override {
-    return value == static_cast<int>(Fault::other_format) ? "written in another format" : "does not read";
+    return value == static_cast<int>(StoreError::unsupported_format) ? "written in another format"
+                                                                     : "does not read";
   }
 };
 
@@ -77,7 +78,7 @@
 }
 
 // Without a format: nothing, or what an older program wrote before it. All else is somebody else's.
-bool began(MDB_txn* txn, MDB_dbi dbi) {
+bool is_unfinished_store(MDB_txn* txn, MDB_dbi dbi) {
   MDB_cursor* cursor = nullptr;
   if (mdb_cursor_open(txn, dbi, &cursor)) return false;
   MDB_val key{}, value{};
@@ -90,13 +91,13 @@
 
 }  // namespace
 
-std::error_code make_error_code(Fault fault) {
+std::error_code make_error_code(StoreError fault) {
   static const FaultCategory category;
   return {static_cast<int>(fault), category};
 }
 
-LmdbStore::LmdbStore(std::string folder, std::size_t map_mb, std::size_t most_mb)
-    : folder_(std::move(folder)), map_mb_(map_mb), most_mb_(most_mb) {}
+LmdbStore::LmdbStore(std::string folder, std::size_t map_mb, std::size_t max_map_mb)
+    : folder_(std::move(folder)), map_mb_(map_mb), max_map_mb_(max_map_mb) {}
 
 LmdbStore::~LmdbStore() { close(); }
 
@@ -107,17 +108,17 @@
 
 std::error_code LmdbStore::open() {
   if (env_) return {};
-  if (auto error = make_folder(folder_)) return error;
+  if (auto error = make_directory(folder_)) return error;
   std::string file = folder_ + "/data.mdb";
   if (!exists(file))
     if (auto error = make_file(file)) return error;
   if (int result = open_at(file)) return error_of(result);
   // The names of what was made last only then.
-  if (auto error = named_ ? std::error_code() : sync_folder(folder_)) {
+  if (auto error = directory_synced_ ? std::error_code() : sync_directory(folder_)) {
     close();
     return error;
   }
-  named_ = true;
+  directory_synced_ = true;
   return {};
 }
 
@@ -134,7 +135,7 @@
   if (result == MDB_SUCCESS) result = mdb_env_stat(env_, &stat);
   if (result == MDB_SUCCESS) result = mdb_env_get_fd(env_, &fd);
   // To read a page behind the file's end would end the process; one of zeros is no page to LMDB.
-  if (result == MDB_SUCCESS) result = make_as_long(fd, (info.me_last_pgno + 1) * stat.ms_psize);
+  if (result == MDB_SUCCESS) result = extend_file(fd, (info.me_last_pgno + 1) * stat.ms_psize);
   if (result != MDB_SUCCESS) close();
   return result;
 }
@@ -175,11 +176,11 @@
   return error_of(result);
 }
 
-std::error_code LmdbStore::write_amply(const std::function<int(MDB_txn*, MDB_dbi)>& work) {
+std::error_code LmdbStore::write_with_reserve(const std::function<int(MDB_txn*, MDB_dbi)>& work) {
   auto error = write(work);
   if (error != error_of(MDB_MAP_FULL)) return error;
   if (auto closed = open()) return closed;
-  if (int result = mdb_env_set_mapsize(env_, most_mb_ << 20)) return error_of(result);
+  if (int result = mdb_env_set_mapsize(env_, max_map_mb_ << 20)) return error_of(result);
   error = write(work);
   // What a transaction has freed is there for the second one after it, and a write that is refused is none:
   // so one more now, while there is room.
@@ -191,7 +192,7 @@
   return error;
 }
 
-std::error_code LmdbStore::load(Stored& stored) {
+std::error_code LmdbStore::load(PersistentState& stored) {
   stored = {};
   if (auto error = open()) return error;
   MDB_txn* txn = nullptr;
@@ -207,13 +208,14 @@
   auto number = [&](const std::string& bytes) {
     fanes::Unpacker unpacker(bytes);
     std::uint64_t value = unpacker.number();
-    if (!unpacker.whole()) fault = Fault::spoilt;
+    if (!unpacker.whole()) fault = StoreError::corrupt;
     return value;
   };
   int result = mdb_dbi_open(txn, nullptr, 0, &dbi);
   std::string bytes;
   if (result == MDB_SUCCESS) {
-    if (read("format", bytes) ? number(bytes) != format : !began(txn, dbi)) fault = Fault::other_format;
+    if (read("format", bytes) ? number(bytes) != format : !is_unfinished_store(txn, dbi))
+      fault = StoreError::unsupported_format;
   }
   if (result == MDB_SUCCESS && !fault) {
     if (read("self", bytes)) stored.self = number(bytes);
@@ -222,20 +224,20 @@
       if (vote)
         stored.vote = *vote;
       else
-        fault = Fault::spoilt;
+        fault = StoreError::corrupt;
     }
     if (read("note", bytes)) {
       fanes::Unpacker unpacker(bytes);
       stored.commit = unpacker.number();
       stored.note = unpacker.text();
-      if (!unpacker.whole()) fault = Fault::spoilt;
+      if (!unpacker.whole()) fault = StoreError::corrupt;
     }
     if (read("snapshot", bytes)) {
       auto snapshot = fanes::unpack_snapshot(bytes);
       if (snapshot)
         stored.snapshot = std::move(*snapshot);
       else
-        fault = Fault::spoilt;
+        fault = StoreError::corrupt;
     }
     MDB_cursor* cursor = nullptr;
     result = mdb_cursor_open(txn, dbi, &cursor);
@@ -248,7 +250,7 @@
         auto entry = fanes::unpack_entry(view_of(value));
         Index due = stored.snapshot.index + stored.entries.size() + 1;
         if (!entry || (entry->index >= due && entry->index != due)) {
-          fault = Fault::spoilt;
+          fault = StoreError::corrupt;
           break;
         }
         if (entry->index == due) stored.entries.push_back(std::move(*entry));
@@ -263,14 +265,14 @@
 }
 
 std::error_code LmdbStore::save_self(MemberId self) {
-  return write_amply([&](MDB_txn* txn, MDB_dbi dbi) {
+  return write_with_reserve([&](MDB_txn* txn, MDB_dbi dbi) {
     int result = put(txn, dbi, "format", pack_number(format));
     return result ? result : put(txn, dbi, "self", pack_number(self));
   });
 }
 
 std::error_code LmdbStore::save_vote(const Vote& vote) {
-  return write_amply(
+  return write_with_reserve(
       [&](MDB_txn* txn, MDB_dbi dbi) { return put(txn, dbi, "vote", fanes::pack_vote(vote)); });
 }
 
@@ -294,7 +296,7 @@
 }
 
 std::error_code LmdbStore::save_snapshot(const Snapshot& snapshot, bool drop_rest) {
-  return write_amply([&](MDB_txn* txn, MDB_dbi dbi) {
+  return write_with_reserve([&](MDB_txn* txn, MDB_dbi dbi) {
     int result = put(txn, dbi, "snapshot", fanes::pack_snapshot(snapshot));
     if (result) return result;
     return drop_entries(txn, dbi, 0, [&](Index index) { return drop_rest || index <= snapshot.index; });
--- a/src/storage/lmdb_store.h
+++ b/src/storage/lmdb_store.h
@@ -15,19 +15,19 @@
 
 namespace pearspar::storage {
 
-enum class Fault { other_format = 1, spoilt };
-std::error_code make_error_code(Fault fault);
+enum class StoreError { unsupported_format = 1, corrupt };
+std::error_code make_error_code(StoreError fault);
 
 class LmdbStore : public raft::Store {
  public:
   // `folder` is made where it is not there. `map_mb`: how far entries and notes may let the file grow, in MB;
-  // `most_mb`: how far anything may. What lies between is for votes and for a snapshot that takes the place
-  // of entries: a store that these have filled can still be folded. Beyond it a write is refused as by a full
-  // disk.
-  explicit LmdbStore(std::string folder, std::size_t map_mb = 64, std::size_t most_mb = 120);
+  // `max_map_mb`: how far anything may. What lies between is for votes and for a snapshot that takes the
+  // place of entries: a store that these have filled can still be folded. Beyond it a write is refused as by
+  // a full disk.
+  explicit LmdbStore(std::string folder, std::size_t map_mb = 64, std::size_t max_map_mb = 120);
   ~LmdbStore() override;
 
-  std::error_code load(raft::Stored& stored) override;
+  std::error_code load(raft::PersistentState& stored) override;
   std::error_code save_self(raft::MemberId self) override;
   std::error_code save_vote(const raft::Vote& vote) override;
   std::error_code replace_tail(raft::Index from, const std::vector<raft::Entry>& entries) override;
@@ -44,16 +44,16 @@
   std::error_code write(const std::function<int(MDB_txn*, MDB_dbi)>& work);
   std::error_code commit(const std::function<int(MDB_txn*, MDB_dbi)>& work);
   // With all the room there is, where the usual does not do.
-  std::error_code write_amply(const std::function<int(MDB_txn*, MDB_dbi)>& work);
+  std::error_code write_with_reserve(const std::function<int(MDB_txn*, MDB_dbi)>& work);
 
   std::string folder_;
   std::size_t map_mb_;
-  std::size_t most_mb_;
+  std::size_t max_map_mb_;
   MDB_env* env_ = nullptr;
-  bool named_ = false;  // its names are there to stay
+  bool directory_synced_ = false;  // its names are there to stay
 };
 
 }  // namespace pearspar::storage
 
 template <>
-struct std::is_error_code_enum<pearspar::storage::Fault> : std::true_type {};
+struct std::is_error_code_enum<pearspar::storage::StoreError> : std::true_type {};
--- a/tests/system/band.h
+++ b/tests/system/band.h
@@ -33,7 +33,7 @@
   bool spoke = false;
 
   void apply(const Entry& change) override { held.push_back(change.data); }
-  std::string fold() const override {
+  std::string take_snapshot() const override {
     std::string all = ".";  // never empty
     for (const std::string& data : held) all += data + '\n';
     return all;
@@ -120,7 +120,7 @@
   double seconds() const { return world_.now().time_since_epoch().count(); }
   bool speaks(std::size_t at) const {
     const Place& place = *places_[at];
-    return place.core && place.frozen_until <= world_.now() && place.core->may_speak(place.clock);
+    return place.core && place.frozen_until <= world_.now() && place.core->holds_lease(place.clock);
   }
   // Who may speak; the number of places where nobody does.
   std::size_t speaker() const {
@@ -181,7 +181,7 @@
     }
     for (std::size_t at = 0; at < places_.size(); ++at) {
       if (!places_[at]->core) continue;
-      for (Outgoing& out : places_[at]->core->take_out()) {
+      for (OutgoingMessage& out : places_[at]->core->take_out()) {
         std::size_t to = std::stoul(out.address.substr(1));
         if (!cut_.contains({at, to}) && places_[to]->core) inbox_[to].push_back(std::move(out.message));
       }
@@ -314,7 +314,7 @@
   }
   void look(std::size_t at) {
     double since = band_.seconds() - asked_;
-    if ((since < 0.4 || !band_.core(at).may_end()) && since < grace)
+    if ((since < 0.4 || !band_.core(at).may_shut_down()) && since < grace)
       return world_.in(Duration(0.02), [this, at] { look(at); });
     say("ended", at);
     band_.end(at);
--- a/tests/system/cluster_test.cpp
+++ b/tests/system/cluster_test.cpp
@@ -238,7 +238,7 @@
             cluster.run(0.002);
             int speak = 0;
             for (std::size_t core = 0; core < cluster.cores(); ++core)
-              if (cluster.member(core)->core().may_speak(cluster.world().now())) ++speak;
+              if (cluster.member(core)->core().holds_lease(cluster.world().now())) ++speak;
             CPPUNIT_ASSERT(speak <= 1);
           }
           cluster.heal(address);
@@ -299,7 +299,7 @@
     std::size_t leader = led(cluster);
     cluster.cut_off(cluster.core_address(leader), true, true);
     cluster.run(1.5);
-    CPPUNIT_ASSERT(!cluster.member(leader)->core().may_speak(cluster.world().now()));
+    CPPUNIT_ASSERT(!cluster.member(leader)->core().holds_lease(cluster.world().now()));
     changed(cluster);
     cluster.heal(cluster.core_address(leader));
     cluster.run(3);
--- a/tests/system/set_back_test.cpp
+++ b/tests/system/disk_rollback_test.cpp
@@ -5,8 +5,8 @@
 
 namespace pearspar::raft {
 
-class SetBackTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(SetBackTest);
+class DiskRollbackTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DiskRollbackTest);
   CPPUNIT_TEST(aFolderSetBackIsFoundOutBehindASnapshot);
   CPPUNIT_TEST(whoWasAwayForLongKeepsItsId);
   CPPUNIT_TEST_SUITE_END();
@@ -54,11 +54,11 @@
     band.start(member);
     CPPUNIT_ASSERT(band.until(3, [&] { return band.core(member).commit() == band.core(leader).commit(); }));
     CPPUNIT_ASSERT_EQUAL(before, band.core(member).self());
-    CPPUNIT_ASSERT(band.core(member).counters().installed > 0);
+    CPPUNIT_ASSERT(band.core(member).counters().snapshots_installed > 0);
     band.good();
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(SetBackTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DiskRollbackTest);
 
 }  // namespace pearspar::raft
--- a/tests/system/log_store_test.cpp
+++ b/tests/system/log_store_test.cpp
@@ -38,16 +38,17 @@
       return std::get<Message>(*message);
     };
     Message append = read(append_bytes);
-    CPPUNIT_ASSERT(append.kind == MessageKind::append && append.from_address == "a:1" && append.can == 0);
+    CPPUNIT_ASSERT(append.kind == MessageKind::append_entries && append.from_address == "a:1" &&
+                   append.capabilities == 0);
     CPPUNIT_ASSERT(append.entries.size() == 1 && append.entries[0].data == "change");
     Message install = read(install_bytes);
     CPPUNIT_ASSERT(install.snapshot.index == 7 && install.snapshot.state == "state");
     CPPUNIT_ASSERT(install.snapshot.membership == members());
-    CPPUNIT_ASSERT(read(appended_bytes).yes);
+    CPPUNIT_ASSERT(read(appended_bytes).flag);
     // What we send begins with the bytes that the first program knows, but for the length of the array, and
     // holds more behind them; its reader passes over that.
     Message ours = install;
-    ours.can = can_take_pieces;
+    ours.capabilities = supports_snapshot_chunks;
     std::string bytes = fanes::pack(ours), theirs = from_hex(install_bytes);
     CPPUNIT_ASSERT_EQUAL(theirs.substr(3), bytes.substr(3, theirs.size() - 3));
     // An entry of a kind that nobody here knows is no entry.
@@ -57,7 +58,7 @@
 
   // The values that the first program put under each key.
   void aStoreOfTheFirstProgramReads() {
-    Folder folder;
+    TempFolder folder;
     MDB_env* env = nullptr;
     MDB_txn* txn = nullptr;
     MDB_dbi dbi = 0;
@@ -80,7 +81,7 @@
     CPPUNIT_ASSERT_EQUAL(0, mdb_txn_commit(txn));
     mdb_env_close(env);
     storage::LmdbStore store(folder.path());
-    Stored stored;
+    PersistentState stored;
     CPPUNIT_ASSERT(!store.load(stored));
     CPPUNIT_ASSERT(stored.self == 12 && stored.vote == (Vote{4, 12}));
     CPPUNIT_ASSERT(stored.snapshot.index == 7 && stored.snapshot.state == "state");
@@ -91,7 +92,7 @@
   }
 
   void aFoldIsPossibleWhereTheLogHasFilledTheStore() {
-    Folder folder;
+    TempFolder folder;
     storage::LmdbStore store(folder.path(), 4, 12);
     std::string state(1500000, 's');
     CPPUNIT_ASSERT(!store.save_snapshot({1, 1, members(), state}, false));
@@ -102,7 +103,7 @@
       error = store.replace_tail(index, {{index, 1, EntryKind::change, std::string(20000, 'e'), {}}});
     }
     CPPUNIT_ASSERT(error && index > 50);
-    Stored stored;
+    PersistentState stored;
     CPPUNIT_ASSERT(!store.load(stored));
     CPPUNIT_ASSERT_EQUAL(index - 1, stored.snapshot.index + stored.entries.size());  // nothing is lost
     CPPUNIT_ASSERT(!store.save_vote({9, 9}));
@@ -117,9 +118,9 @@
 
   // A state that is not worth folding yet, and a store that takes no more: it is folded all the same.
   void aMemberFoldsWhereItsStoreIsFull() {
-    Folder folder;
+    TempFolder folder;
     storage::LmdbStore store(folder.path(), 4, 12);
-    Book book(3 * mb);
+    CountingMachine book(3 * mb);
     Options founder;
     founder.address = "m0";
     founder.founders = {"m0"};
@@ -127,16 +128,16 @@
     Core core(store, book, founder);
     Time now{Duration(1000)};
     CPPUNIT_ASSERT(!core.start(now));
-    while (!core.may_speak(now)) core.tick(now += Duration(0.1));
+    while (!core.holds_lease(now)) core.tick(now += Duration(0.1));
     for (int i = 0; i < 120; ++i) CPPUNIT_ASSERT(core.propose(now, std::string(20000, 'c')));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{120}, book.count);
-    CPPUNIT_ASSERT(core.counters().refused_writes > 0 && !core.ill());
+    CPPUNIT_ASSERT(core.counters().refused_writes > 0 && !core.store_failed());
     CPPUNIT_ASSERT(folder.size() <= 12 * mb);
   }
 
   // A day in short: changes of all sizes, notes, folds of a state that grows and shrinks.
   void theFileStaysUnderItsBound() {
-    Folder folder;
+    TempFolder folder;
     storage::LmdbStore store(folder.path());
     Day day(200, 3 * mb);
     day.run(store);
@@ -147,7 +148,7 @@
   // What a restart reads: a snapshot, under 4096 applied entries, and under 4 MB of them and one change.
   void aStartReadsABoundedLog() {
     for (std::size_t state : {std::size_t{1000}, std::size_t{800000}}) {
-      Rig rig(1, state, 1e9);
+      ReplicationHarness rig(1, state, 1e9);
       rig.lead();
       std::size_t most = 0, bytes = 0;
       for (int i = 0; i < 5000; ++i) {
@@ -166,7 +167,7 @@
         bytes = std::max(bytes, rig.nodes[0]->core->log().bytes());
       }
       CPPUNIT_ASSERT(bytes < 4 * mb);
-      Rig::Node& node = *rig.nodes[0];
+      ReplicationHarness::Node& node = *rig.nodes[0];
       std::uint64_t digest = node.book.digest;
       rig.kill(node, false);
       rig.start(node);
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -141,7 +141,7 @@
 
   void messagesComeBackAsTheyWent() {
     raft::Message append;
-    append.kind = raft::MessageKind::install;
+    append.kind = raft::MessageKind::install_snapshot;
     append.from = 5;
     append.term = 9;
     append.entries.push_back({3, 9, raft::EntryKind::membership, "data", {{{7, "a:1"}, {8, "b:2"}}, 3}});
@@ -244,10 +244,10 @@
   }
 
   void theStoreKeepsWhatItSaid() {
-    Folder folder;
+    TempFolder folder;
     {
       storage::LmdbStore store(folder.path());
-      raft::Stored empty;
+      raft::PersistentState empty;
       CPPUNIT_ASSERT(!store.load(empty));
       CPPUNIT_ASSERT_EQUAL(raft::MemberId{0}, empty.self);
       CPPUNIT_ASSERT(!store.save_self(42));
@@ -258,7 +258,7 @@
       CPPUNIT_ASSERT(!store.replace_tail(5, {entry(5, "w")}));
     }
     storage::LmdbStore store(folder.path());
-    raft::Stored stored;
+    raft::PersistentState stored;
     CPPUNIT_ASSERT(!store.load(stored));
     CPPUNIT_ASSERT(stored.self == 42 && stored.vote == (raft::Vote{9, 3}));
     CPPUNIT_ASSERT(stored.snapshot.state == "state" && stored.entries.size() == 3);
@@ -272,7 +272,7 @@
   }
 
   void theStoreRefusesAnotherFormat() {
-    Folder folder;
+    TempFolder folder;
     {
       storage::LmdbStore store(folder.path());
       store.save_self(42);
@@ -290,15 +290,15 @@
     mdb_txn_commit(txn);
     mdb_env_close(env);
     storage::LmdbStore store(folder.path());
-    raft::Stored stored;
-    CPPUNIT_ASSERT(store.load(stored) == storage::Fault::other_format);
+    raft::PersistentState stored;
+    CPPUNIT_ASSERT(store.load(stored) == storage::StoreError::unsupported_format);
   }
 
   // Power goes in the middle of a commit: of the pages that it wrote, any may be there or not, as long as the
   // page that names them (the meta page, written after they are synced) is the old one.
   void aTornWriteLeavesTheCommitBefore() {
     constexpr std::size_t page = 4096, metas = 2;
-    Folder folder;
+    TempFolder folder;
     const std::string file = folder.path() + "/data.mdb";
     std::mt19937 random(11);
     std::string old_bytes, new_bytes;
@@ -322,7 +322,7 @@
       }
       spill(file, torn);
       storage::LmdbStore store(folder.path());
-      raft::Stored stored;
+      raft::PersistentState stored;
       CPPUNIT_ASSERT(!store.load(stored));
       CPPUNIT_ASSERT(stored.self == 42 && stored.vote == (raft::Vote{3, 1}));
       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stored.entries.size());
@@ -371,7 +371,7 @@
     CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, state.edition());
     CPPUNIT_ASSERT_EQUAL(good_config, state.text());
     sennes::State other;
-    other.restore(state.fold());
+    other.restore(state.take_snapshot());
     CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, other.edition());
     CPPUNIT_ASSERT(other.took(7, sennes::digest_of(good_config)));
     CPPUNIT_ASSERT(!other.took(7, sennes::digest_of(good_config + " ")));
--- a/tests/system/agreement_test.cpp
+++ b/tests/system/raft_core_test.cpp
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-class AgreementTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(AgreementTest);
+class RaftCoreTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RaftCoreTest);
   CPPUNIT_TEST(anOldDiskThatComesBackMeetsAMajority);
   CPPUNIT_TEST(theLeaderDiesBetweenShrinkAndGrowth);
   CPPUNIT_TEST(twoOfFiveAreReplacedOneByOne);
@@ -101,7 +101,7 @@
       band.start(a);
       CPPUNIT_ASSERT(band.until(4, [&] { return band.speaker() < 3 && band.counts(c); }));
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(band.led()));
-      CPPUNIT_ASSERT_EQUAL(3u, band.count(band.led()).wanted);
+      CPPUNIT_ASSERT_EQUAL(3u, band.count(band.led()).target_size);
       CPPUNIT_ASSERT(band.change(band.led()));
       band.good();
     }
@@ -136,9 +136,9 @@
     word.from_address = band.place(b).address;
     word.term = band.core(a).term();
     for (int i = 0; i < 20; ++i) {
-      word.kind = i == 0 ? MessageKind::join : MessageKind::appended;
+      word.kind = i == 0 ? MessageKind::join : MessageKind::append_response;
       word.index = band.core(a).commit();
-      word.yes = i > 0;
+      word.flag = i > 0;
       band.hand(a, word);
       band.run(0.05);
       CPPUNIT_ASSERT(band.count(a).has(band.core(b).self()));
@@ -184,8 +184,8 @@
       band.freeze(b, 30);
       band.run(head_start);
       band.core(c).leave(band.now(c));
-      CPPUNIT_ASSERT(!band.core(c).may_end());
-      CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_end(); }));
+      CPPUNIT_ASSERT(!band.core(c).may_shut_down());
+      CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_shut_down(); }));
       band.end(c);
       band.run(3);
       a = band.led();
@@ -206,7 +206,7 @@
     band.run(2.4);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(a));
     CPPUNIT_ASSERT(band.until(0.8, [&] { return band.counts(b); }));
-    CPPUNIT_ASSERT_EQUAL(3u, band.count(a).wanted);
+    CPPUNIT_ASSERT_EQUAL(3u, band.count(a).target_size);
     band.end(c);
     CPPUNIT_ASSERT(band.until(2, [&] { return band.voters(a) == 3; }));
     band.good();
@@ -233,10 +233,10 @@
     // Longer than a restart waits.
     for (int i = 0; i < 20; ++i) {
       band.run(0.1);
-      CPPUNIT_ASSERT_MESSAGE("the leaver goes on while it is needed", !band.core(c).may_end());
+      CPPUNIT_ASSERT_MESSAGE("the leaver goes on while it is needed", !band.core(c).may_shut_down());
     }
     for (std::size_t fresh : {after_b, after_c}) band.place(fresh).disk->set_full(false);
-    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(c).may_end(); }));
+    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(c).may_shut_down(); }));
     band.end(c);
     CPPUNIT_ASSERT(band.change(band.led()));
     band.good();
@@ -247,21 +247,21 @@
     Band band(3);
     std::size_t a = band.led(), c = other_than({a});
     Message word;
-    word.kind = MessageKind::append;
+    word.kind = MessageKind::append_entries;
     word.from = band.core(a).self();
     word.from_address = band.place(a).address;
     word.term = band.core(a).term();
     word.index = band.core(c).log().last();
     word.log_term = band.core(c).log().term_at(word.index);
     word.commit = band.core(c).commit();
-    word.yes = true;
+    word.flag = true;
     band.hand(c, word);
     band.core(c).leave(band.now(c));
-    CPPUNIT_ASSERT(!band.core(c).may_end());
+    CPPUNIT_ASSERT(!band.core(c).may_shut_down());
     // Heartbeats without the word: the first of them change nothing.
     band.run(0.2);
-    CPPUNIT_ASSERT(!band.core(c).may_end());
-    CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_end(); }));
+    CPPUNIT_ASSERT(!band.core(c).may_shut_down());
+    CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_shut_down(); }));
   }
 
   // Nobody is coming: what is missing without it is missing whether it waits or not.
@@ -272,7 +272,7 @@
     band.run(1);
     band.core(c).leave(band.now(c));
     band.run(0.3);
-    CPPUNIT_ASSERT(band.core(c).may_end());
+    CPPUNIT_ASSERT(band.core(c).may_shut_down());
   }
 
   // What the leaver holds is held by a majority of the others when it ends, also where one of them was away.
@@ -290,10 +290,10 @@
     band.core(c).leave(band.now(c));
     for (int i = 0; i < 20; ++i) {
       band.run(0.1);
-      CPPUNIT_ASSERT(!band.core(c).may_end());
+      CPPUNIT_ASSERT(!band.core(c).may_shut_down());
     }
     band.heal();
-    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(c).may_end(); }));
+    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(c).may_shut_down(); }));
     band.end(c);
     CPPUNIT_ASSERT(band.change(band.led()));
     band.good();
@@ -313,9 +313,9 @@
     CPPUNIT_ASSERT(band.core(a).role() == Core::Role::leader);
     band.core(c).leave(band.now(c));
     band.run(0.3);
-    CPPUNIT_ASSERT(!band.core(c).may_end());
+    CPPUNIT_ASSERT(!band.core(c).may_shut_down());
     band.heal();
-    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(c).may_end(); }));
+    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(c).may_shut_down(); }));
     a = band.led();
     CPPUNIT_ASSERT(band.count(a).has(silent) && !band.count(a).has(band.core(c).self()));
     band.good();
@@ -333,10 +333,10 @@
     band.run(0.5);
     band.core(c).leave(band.now(c));
     band.run(0.3);
-    CPPUNIT_ASSERT(!band.core(c).may_end());
+    CPPUNIT_ASSERT(!band.core(c).may_shut_down());
     CPPUNIT_ASSERT(band.change(a));
     band.start(b);
-    CPPUNIT_ASSERT(band.until(2, [&] { return band.core(c).may_end(); }));
+    CPPUNIT_ASSERT(band.until(2, [&] { return band.core(c).may_shut_down(); }));
     band.end(c);
     CPPUNIT_ASSERT(band.change(band.led()));
     band.good();
@@ -352,7 +352,7 @@
     band.core(a).propose(band.now(a), "sent");
     band.core(a).propose(band.now(a), "not sent yet");
     band.core(a).leave(band.now(a));
-    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(a).may_end(); }));
+    CPPUNIT_ASSERT(band.until(4, [&] { return band.core(a).may_shut_down(); }));
     band.end(a);
     std::size_t leader = band.led();
     CPPUNIT_ASSERT_EQUAL(std::string("not sent yet"), band.place(leader).held.back());
@@ -369,7 +369,7 @@
       CPPUNIT_ASSERT(band.change(a));
       band.core(a).leave(band.now(a));
       CPPUNIT_ASSERT(!band.speaks(a));
-      CPPUNIT_ASSERT(band.until(1, [&] { return band.core(a).may_end(); }));
+      CPPUNIT_ASSERT(band.until(1, [&] { return band.core(a).may_shut_down(); }));
       band.end(a);
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(band.led()));
       CPPUNIT_ASSERT(band.change(band.led()));
@@ -383,7 +383,7 @@
     for (std::size_t at = 0; at < 3; ++at) {
       band.led();
       band.core(at).leave(band.now(at));
-      CPPUNIT_ASSERT(band.core(at).may_end());
+      CPPUNIT_ASSERT(band.core(at).may_shut_down());
       band.run(0.4);
       band.end(at);
       band.run(0.3);
@@ -404,11 +404,11 @@
     std::size_t a = band.led(), c = other_than({a});
     band.core(c).leave(band.now(c));
     // It is told when it asks again.
-    CPPUNIT_ASSERT(band.until(0.15, [&] { return band.core(c).may_end(); }));
+    CPPUNIT_ASSERT(band.until(0.15, [&] { return band.core(c).may_shut_down(); }));
     // Alive for a while yet, it is not taken in again.
-    Index out = band.core(a).log().membership_since();
+    Index out = band.core(a).log().membership_index();
     band.run(0.4);
-    CPPUNIT_ASSERT_EQUAL(out, band.core(a).log().membership_since());
+    CPPUNIT_ASSERT_EQUAL(out, band.core(a).log().membership_index());
     band.end(c);
     band.run(0.5);
     band.start(c);
@@ -422,9 +422,9 @@
     stand_in(band);
     std::size_t a = band.led(), c = other_than({a});
     band.core(c).leave(band.now(c));
-    CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_end(); }));
+    CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_shut_down(); }));
     Message word;
-    word.kind = MessageKind::take_over;
+    word.kind = MessageKind::timeout_now;
     word.from = band.core(a).self();
     word.to = band.core(c).self();
     word.term = band.core(c).term();
@@ -437,18 +437,18 @@
     Band band(3);
     std::size_t a = band.led(), b = other_than({a});
     Message word;
-    word.kind = MessageKind::take_over;
+    word.kind = MessageKind::timeout_now;
     word.from = band.core(a).self();
     word.to = band.core(b).self();
     word.term = band.core(b).term();
     band.hand(b, word);
     CPPUNIT_ASSERT(band.core(b).role() == Core::Role::candidate);
     Message vote;
-    vote.kind = MessageKind::vote;
+    vote.kind = MessageKind::vote_response;
     vote.from = 12345;
     vote.to = band.core(b).self();
     vote.term = band.core(b).term();
-    vote.yes = true;
+    vote.flag = true;
     band.hand(b, vote);
     CPPUNIT_ASSERT(band.core(b).role() == Core::Role::candidate);
     vote.from = band.core(a).self();
@@ -469,7 +469,7 @@
     }));
     std::size_t c = other_than({a, b});
     Message answer;
-    answer.kind = MessageKind::appended;
+    answer.kind = MessageKind::append_response;
     answer.from = band.core(c).self();
     answer.to = band.core(b).self();
     answer.term = band.core(b).term();
@@ -583,7 +583,7 @@
       CPPUNIT_ASSERT(band.led() != a);
       CPPUNIT_ASSERT(band.change(band.led()));
       // All that it knows as it wakes, before it has read a word.
-      CPPUNIT_ASSERT(!band.core(a).may_speak(band.now(a)));
+      CPPUNIT_ASSERT(!band.core(a).holds_lease(band.now(a)));
       band.run(0.2);
       CPPUNIT_ASSERT(!band.speaks(a));
       band.run(0.5);
@@ -608,6 +608,6 @@
   static constexpr double most_without = 4;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AgreementTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RaftCoreTest);
 
 }  // namespace pearspar::raft
--- a/tests/system/words_test.cpp
+++ b/tests/system/raft_message_test.cpp
@@ -3,8 +3,8 @@
 
 namespace pearspar::raft {
 
-class WordsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(WordsTest);
+class RaftMessageTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RaftMessageTest);
   CPPUNIT_TEST(anEntryOfAnEarlierTermIsNotCommittedByCount);
   CPPUNIT_TEST(oneChangeOfTheMembershipAtATime);
   CPPUNIT_TEST(noChangeOfTheMembershipBeforeTheTermHasCommitted);
@@ -18,13 +18,13 @@
 
   static Message held(const Core& leader, MemberId by, Index index) {
     Message answer;
-    answer.kind = MessageKind::appended;
+    answer.kind = MessageKind::append_response;
     answer.from = by;
     answer.to = leader.self();
     answer.term = leader.term();
     answer.round = 1;
     answer.index = index;
-    answer.yes = true;
+    answer.flag = true;
     return answer;
   }
   static Message join(const Core& leader, MemberId who, const std::string& address) {
@@ -39,21 +39,21 @@
   // By whom the leader has handed the lead over to, so that it is looked at while the leader lives.
   static Message ask(Band& band, std::size_t by, std::size_t of) {
     Message message;
-    message.kind = MessageKind::ask_vote;
+    message.kind = MessageKind::vote_request;
     message.from = band.core(by).self();
     message.from_address = band.place(by).address;
     message.to = band.core(of).self();
     message.term = band.core(by).term() + 1;
     message.index = band.core(by).log().last();
     message.log_term = band.core(by).log().last_term();
-    message.yes = true;
+    message.flag = true;
     return message;
   }
   static bool votes(Band& band, std::size_t at, const Message& message) {
     static_cast<void>(band.core(at).take_out());
     band.hand(at, message);
-    for (const Outgoing& out : band.core(at).take_out())
-      if (out.message.kind == MessageKind::vote && out.message.yes) return true;
+    for (const OutgoingMessage& out : band.core(at).take_out())
+      if (out.message.kind == MessageKind::vote_response && out.message.flag) return true;
     return false;
   }
   // Just elected: nobody has answered yet.
@@ -104,7 +104,7 @@
       band.hand(a, join(leader, who, address));
       band.hand(a, held(leader, who, leader.log().last()));
       CPPUNIT_ASSERT_EQUAL(std::size_t{4}, band.voters(a));
-      CPPUNIT_ASSERT(leader.commit() < leader.log().membership_since());
+      CPPUNIT_ASSERT(leader.commit() < leader.log().membership_index());
     }
   }
 
@@ -177,16 +177,16 @@
     Band band(5);
     std::size_t a = band.led(), b = (a + 1) % 5;
     Message word;
-    word.kind = MessageKind::take_over;
+    word.kind = MessageKind::timeout_now;
     word.from = band.core(a).self();
     word.to = band.core(b).self();
     word.term = band.core(b).term();
     band.hand(b, word);
     Message vote;
-    vote.kind = MessageKind::vote;
+    vote.kind = MessageKind::vote_response;
     vote.to = band.core(b).self();
     vote.term = band.core(b).term();
-    vote.yes = true;
+    vote.flag = true;
     for (std::size_t by : {(a + 2) % 5, (a + 3) % 5}) {
       CPPUNIT_ASSERT(band.core(b).role() == Core::Role::candidate);
       vote.from = band.core(by).self();
@@ -214,7 +214,7 @@
     Band band(3);
     std::size_t a = band.led(), c = (a + 1) % 3;
     Message piece;
-    piece.kind = MessageKind::piece;
+    piece.kind = MessageKind::snapshot_chunk;
     piece.from = band.core(a).self();
     piece.from_address = band.place(a).address;
     piece.to = band.core(c).self();
@@ -228,8 +228,8 @@
       piece.digest = digest;
       static_cast<void>(band.core(c).take_out());
       band.hand(c, piece);
-      for (const Outgoing& out : band.core(c).take_out())
-        if (out.message.kind == MessageKind::piece_held) return out.message.offset;
+      for (const OutgoingMessage& out : band.core(c).take_out())
+        if (out.message.kind == MessageKind::snapshot_chunk_response) return out.message.offset;
       return std::uint64_t{99};
     };
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, held("aaaa", 1));
@@ -239,6 +239,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(WordsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RaftMessageTest);
 
 }  // namespace pearspar::raft
--- a/tests/system/log_rig.h
+++ b/tests/system/replication_harness.h
@@ -17,14 +17,14 @@
 namespace pearspar::raft {
 
 // Counts what it was told and keeps so many bytes beside: a state of any size, the same everywhere.
-class Book : public StateMachine {
+class CountingMachine : public StateMachine {
  public:
-  explicit Book(std::size_t bytes) : bytes_(bytes) {}
+  explicit CountingMachine(std::size_t bytes) : bytes_(bytes) {}
   void apply(const Entry& change) override {
     ++count;
     digest = digest * 1099511628211u + std::hash<std::string>()(change.data);
   }
-  std::string fold() const override {
+  std::string take_snapshot() const override {
     std::string out = std::to_string(count) + " " + std::to_string(digest) + " ";
     out.resize(std::max(out.size(), bytes_), static_cast<char>('a' + count % 26));
     return out;
@@ -42,13 +42,13 @@
 };
 
 // Members on links of so many bytes a second, in simulated time, through the codec in service.
-class Rig {
+class ReplicationHarness {
  public:
   struct Node {
     Node(biella::World& world, std::size_t bytes) : disk(world), book(bytes), state_bytes(bytes) {}
     std::string address;
     biella::SimDisk disk;
-    Book book;
+    CountingMachine book;
     std::size_t state_bytes;
     std::unique_ptr<Core> core;
     std::uint64_t life = 0;
@@ -57,8 +57,8 @@
     Time awake{};
   };
 
-  explicit Rig(std::size_t count, std::size_t state_bytes, double bytes_per_s = 17e6 / 8,
-               std::uint64_t seed = 1)
+  explicit ReplicationHarness(std::size_t count, std::size_t state_bytes, double bytes_per_s = 17e6 / 8,
+                              std::uint64_t seed = 1)
       : rate_(bytes_per_s), state_bytes_(state_bytes), world(seed) {
     for (std::size_t i = 0; i < count; ++i) founders_.push_back("m" + std::to_string(i));
     for (std::size_t i = 0; i < count; ++i) add(true);
@@ -71,7 +71,7 @@
     return *nodes.back();
   }
   void start(Node& node, bool first = false) {
-    node.book = Book(node.state_bytes);
+    node.book = CountingMachine(node.state_bytes);
     Options options;
     options.address = node.address;
     options.founders = options.seeds = founders_;
@@ -97,7 +97,7 @@
   }
   Node* leader() {
     for (auto& node : nodes)
-      if (node->core && node->core->may_speak(world.now())) return node.get();
+      if (node->core && node->core->holds_lease(world.now())) return node.get();
     return nullptr;
   }
   Node& lead() {
@@ -129,8 +129,8 @@
     if (world.now() < node.awake) return;
     Time done = std::max(world.now(), node.disk.busy_until());
     node.core->tick(world.now());
-    for (Outgoing& out : node.core->take_out()) {
-      if (node.older) out.message.can = 0;
+    for (OutgoingMessage& out : node.core->take_out()) {
+      if (node.older) out.message.capabilities = 0;
       send(node, out, done);
     }
     std::uint64_t life = node.life;
@@ -147,7 +147,7 @@
   std::size_t most_out = 0;  // bytes on one link at once
 
  private:
-  void send(Node& from, const Outgoing& out, Time leaves) {
+  void send(Node& from, const OutgoingMessage& out, Time leaves) {
     std::string frame = fanes::pack(out.message);
     CPPUNIT_ASSERT(frame.size() <= fanes::most_frame);
     bytes_to[out.address] += frame.size();
@@ -169,7 +169,7 @@
       auto message = fanes::unpack(frame);
       CPPUNIT_ASSERT(message);
       const auto& word = std::get<Message>(*message);
-      if (node->older && word.kind > MessageKind::take_over) return;  // a frame that it can't read
+      if (node->older && word.kind > MessageKind::timeout_now) return;  // a frame that it can't read
       node->core->step(world.now(), word);
       pump(*node);
     }
@@ -189,8 +189,8 @@
 constexpr std::size_t mb = 1 << 20;
 
 // A member that was away while the others folded all that it lacks.
-struct Behind {
-  explicit Behind(std::size_t state, std::size_t nodes = 3) : rig(nodes, state), away(&rig.other()) {
+struct LaggingMember {
+  explicit LaggingMember(std::size_t state, std::size_t nodes = 3) : rig(nodes, state), away(&rig.other()) {
     rig.kill(*away, true);
     rig.run(3);
     fill();
@@ -211,15 +211,15 @@
   }
   void arrives(double within) {
     rig.until(within, [&] { return rig.same(*away); });
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, away->core->counters().installed);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, away->core->counters().snapshots_installed);
   }
-  Rig rig;
-  Rig::Node* away;
+  ReplicationHarness rig;
+  ReplicationHarness::Node* away;
 };
 
 // A member with an empty disk that hears only what it is handed.
-struct Lone {
-  Lone() { core.start(world.now()); }
+struct SingleMember {
+  SingleMember() { core.start(world.now()); }
   static Options options() {
     Options options;
     options.address = "b:2";
@@ -228,7 +228,7 @@
   }
   biella::World world{1};
   biella::SimDisk disk{world};
-  Book book{0};
+  CountingMachine book{0};
   Core core{disk, book, options()};
 };
 
--- a/tests/system/log_test.cpp
+++ b/tests/system/replication_test.cpp
@@ -6,8 +6,8 @@
 
 namespace pearspar::raft {
 
-class LogTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LogTest);
+class ReplicationTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ReplicationTest);
   CPPUNIT_TEST(aLargeSnapshotComesInPiecesBesideRounds);
   CPPUNIT_TEST(aTransferGoesOnAfterLoss);
   CPPUNIT_TEST(aTransferIsBrokenOffByPowerLoss);
@@ -31,29 +31,30 @@
  public:
   // A state of 10 MB over 17 Mbit/s takes some 5 s: the leader keeps its lease and takes changes all along.
   void aLargeSnapshotComesInPiecesBesideRounds() {
-    Behind behind(10 * mb);
-    Rig& rig = behind.rig;
-    Rig::Node& leads = rig.lead();
+    LaggingMember behind(10 * mb);
+    ReplicationHarness& rig = behind.rig;
+    ReplicationHarness::Node& leads = rig.lead();
     rig.most_out = 0;
     behind.begin(1);
     int taken = 0, asked = 0;
     double took = rig.until(20, [&] {
       CPPUNIT_ASSERT(rig.leader() == &leads);
       if (++asked % 10 == 0) taken += rig.change(1000, 7);
-      return rig.same(*behind.away) && behind.away->core->counters().installed == 1;
+      return rig.same(*behind.away) && behind.away->core->counters().snapshots_installed == 1;
     });
     CPPUNIT_ASSERT(took < 8 && taken > 40);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, leads.core->counters().transfers);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{40}, leads.core->counters().pieces);  // 256 KB each, each once
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, leads.core->counters().snapshot_transfers);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{40}, leads.core->counters().chunks_sent);  // 256 KB each, each once
     CPPUNIT_ASSERT(rig.bytes_to[behind.away->address] < 11 * mb);
     CPPUNIT_ASSERT(rig.most_out < 600 << 10);
   }
 
   void aTransferGoesOnAfterLoss() {
-    Behind behind(4 * mb);
-    Rig& rig = behind.rig;
+    LaggingMember behind(4 * mb);
+    ReplicationHarness& rig = behind.rig;
     rig.lose = [&](const Message& word, const std::string&) {
-      return (word.kind == MessageKind::piece || word.kind == MessageKind::piece_held) &&
+      return (word.kind == MessageKind::snapshot_chunk ||
+              word.kind == MessageKind::snapshot_chunk_response) &&
              rig.world.chance(0.1);
     };
     behind.begin(2 * mb);
@@ -61,19 +62,19 @@
     rig.run(1);
     behind.away->cut = false;
     behind.arrives(30);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, rig.lead().core->counters().transfers);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, rig.lead().core->counters().snapshot_transfers);
     // 16, and again where one or its answer was lost.
-    CPPUNIT_ASSERT(rig.lead().core->counters().pieces < 28);
+    CPPUNIT_ASSERT(rig.lead().core->counters().chunks_sent < 28);
   }
 
   void aTransferIsBrokenOffByPowerLoss() {
-    Behind behind(4 * mb);
+    LaggingMember behind(4 * mb);
     Index before = 0;
     for (int i = 0; i < 2; ++i) {
       behind.begin(2 * mb);
       before = behind.away->core->applied();
       behind.rig.kill(*behind.away, true);
-      Stored stored;
+      PersistentState stored;
       behind.away->disk.load(stored);
       CPPUNIT_ASSERT(stored.snapshot.index <= before);  // no rest of it is there
       behind.rig.run(0.3);
@@ -83,10 +84,10 @@
   }
 
   void aTransferIsBrokenOffByAChangeOfLeader() {
-    Behind behind(4 * mb);
-    Rig& rig = behind.rig;
+    LaggingMember behind(4 * mb);
+    ReplicationHarness& rig = behind.rig;
     behind.begin(2 * mb);
-    Rig::Node& first = rig.lead();
+    ReplicationHarness::Node& first = rig.lead();
     rig.kill(first, true);
     rig.run(2);
     rig.start(first);
@@ -96,47 +97,47 @@
   }
 
   void aFullDiskTakesTheWholeLater() {
-    Behind behind(4 * mb);
-    Rig& rig = behind.rig;
+    LaggingMember behind(4 * mb);
+    ReplicationHarness& rig = behind.rig;
     behind.begin(1 * mb);
     behind.away->disk.set_full(true);
     rig.run(20);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, behind.away->core->counters().installed);
-    CPPUNIT_ASSERT(behind.away->core->ill());
-    Stored stored;
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, behind.away->core->counters().snapshots_installed);
+    CPPUNIT_ASSERT(behind.away->core->store_failed());
+    PersistentState stored;
     behind.away->disk.load(stored);
     CPPUNIT_ASSERT(stored.snapshot.index < rig.lead().core->log().snapshot().index);
     // What it holds is not sent again.
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{16}, rig.lead().core->counters().pieces);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{16}, rig.lead().core->counters().chunks_sent);
     behind.away->disk.set_full(false);
     behind.arrives(2);
   }
 
   void aDeposedLeaderSendsNothingThatIsTaken() {
-    Lone lone;
+    SingleMember lone;
     Core& core = lone.core;
     core.step(lone.world.now(), piece(5, "abcdef", 0, 3));
     core.step(lone.world.now(), heartbeat(6));
     core.step(lone.world.now(), piece(5, "abcdef", 3, 6));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, core.counters().installed);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, core.counters().snapshots_installed);
     bool told = false;
-    for (const Outgoing& out : core.take_out())
-      told = told || (out.message.kind == MessageKind::piece_held && out.message.term == 6);
+    for (const OutgoingMessage& out : core.take_out())
+      told = told || (out.message.kind == MessageKind::snapshot_chunk_response && out.message.term == 6);
     CPPUNIT_ASSERT(told);
     // The newer leader has the same snapshot: what has come counts.
     core.step(lone.world.now(), piece(6, "abcdef", 3, 6));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, core.counters().installed);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, core.counters().snapshots_installed);
     CPPUNIT_ASSERT_EQUAL(std::string("abcdef"), core.log().snapshot().state);
   }
 
   void aTooLargeSnapshotIsRefused() {
-    Behind behind(17 * mb);  // over the bound: it is not begun, and everything else goes on
-    Rig& rig = behind.rig;
+    LaggingMember behind(17 * mb);  // over the bound: it is not begun, and everything else goes on
+    ReplicationHarness& rig = behind.rig;
     behind.begin(1);
     rig.run(5);
     CPPUNIT_ASSERT(rig.lead().core->counters().refused_snapshots > 0);
     CPPUNIT_ASSERT(rig.bytes_to[behind.away->address] < 100000);
-    Lone lone;
+    SingleMember lone;
     Core& core = lone.core;
     Message large = piece(5, "abcdef", 0, 3);
     large.total = 17 * mb;
@@ -145,14 +146,14 @@
     noise.digest += 1;
     core.step(lone.world.now(), noise);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, core.counters().refused_snapshots);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, core.counters().installed);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, core.counters().snapshots_installed);
   }
 
   // 200 configurations of 100 KB at gaps of 0.08 s fold every 64 entries; the transfer, begun under the
   // storm, is the only one, and ends in it or right after.
   void aStormDoesNotMakeATransferStartAgain() {
-    Behind behind(8 * mb);
-    Rig& rig = behind.rig;
+    LaggingMember behind(8 * mb);
+    ReplicationHarness& rig = behind.rig;
     behind.begin(1);
     Index folded = rig.lead().core->log().snapshot().index;
     int taken = 0;
@@ -163,26 +164,26 @@
     CPPUNIT_ASSERT(taken > 190);
     behind.arrives(30);
     CPPUNIT_ASSERT(rig.lead().core->log().snapshot().index > folded + 100);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, rig.lead().core->counters().transfers);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, rig.lead().core->counters().transfers_restarted);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, rig.lead().core->counters().snapshot_transfers);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, rig.lead().core->counters().snapshot_transfers_restarted);
     // What was kept for it is let go.
     rig.run(1);
-    CPPUNIT_ASSERT(rig.lead().core->log().kept_bytes() < 1000000);
+    CPPUNIT_ASSERT(rig.lead().core->log().retained_bytes() < 1000000);
   }
 
   // However often the leader folds meanwhile: it holds one beside its newest.
   void transfersUnderWaySendOneSnapshot() {
-    Behind behind(600000, 5);
-    Rig& rig = behind.rig;
-    Rig::Node& second = rig.other(&rig.other() == behind.away ? 1 : 0);
+    LaggingMember behind(600000, 5);
+    ReplicationHarness& rig = behind.rig;
+    ReplicationHarness::Node& second = rig.other(&rig.other() == behind.away ? 1 : 0);
     rig.kill(second, true);
     rig.run(3);
     behind.fill();
     std::set<Index> sent;
     bool lost = true;
     rig.lose = [&](const Message& word, const std::string& to) {
-      if (word.kind == MessageKind::piece) sent.insert(word.snapshot.index);
-      return lost && word.kind == MessageKind::piece && !word.snapshot.state.empty() &&
+      if (word.kind == MessageKind::snapshot_chunk) sent.insert(word.snapshot.index);
+      return lost && word.kind == MessageKind::snapshot_chunk && !word.snapshot.state.empty() &&
              to == behind.away->address;
     };
     behind.begin(1);
@@ -195,25 +196,26 @@
   }
 
   void beyondTheBoundANewSnapshotStarts() {
-    Behind behind(4 * mb);
-    Rig& rig = behind.rig;
+    LaggingMember behind(4 * mb);
+    ReplicationHarness& rig = behind.rig;
     rig.lose = [&](const Message& word, const std::string& to) {
-      return to == behind.away->address && word.kind == MessageKind::piece && !word.snapshot.state.empty();
+      return to == behind.away->address && word.kind == MessageKind::snapshot_chunk &&
+             !word.snapshot.state.empty();
     };
     behind.begin(1);
     for (int i = 0; i < 60; ++i) {
       rig.change(900000, static_cast<std::uint64_t>(i));
       rig.run(0.6);
-      CPPUNIT_ASSERT(rig.lead().core->log().kept_bytes() < 38 * mb);
+      CPPUNIT_ASSERT(rig.lead().core->log().retained_bytes() < 38 * mb);
     }
-    CPPUNIT_ASSERT(rig.lead().core->counters().transfers_restarted > 0);
+    CPPUNIT_ASSERT(rig.lead().core->counters().snapshot_transfers_restarted > 0);
     rig.lose = [](const Message&, const std::string&) { return false; };
     behind.arrives(30);
   }
 
   // Sent while the answer to the one before was on its way, held up in the net, and met by a longer log.
   void aLateSnapshotDropsNothingAcknowledged() {
-    Lone lone;
+    SingleMember lone;
     Core& core = lone.core;
     core.step(lone.world.now(), piece(5, "ab", 0, 2));
     Message append = heartbeat(5);
@@ -227,18 +229,18 @@
     core.step(lone.world.now(), late);
     CPPUNIT_ASSERT_EQUAL(Index{12}, core.commit());
     CPPUNIT_ASSERT_EQUAL(Index{14}, core.log().last());
-    Stored stored;
+    PersistentState stored;
     lone.disk.load(stored);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stored.entries.size());
   }
 
   // Each loses its power as soon as the one before it has all again; changes come all along.
   void restartsInTurnUnderAStorm() {
-    Rig rig(3, 600000);
+    ReplicationHarness rig(3, 600000);
     rig.lead();
     int taken = 0;
     for (std::size_t i = 0; i < 9; ++i) {
-      Rig::Node& node = *rig.nodes[i % 3];
+      ReplicationHarness::Node& node = *rig.nodes[i % 3];
       rig.kill(node, true);
       for (int k = 0; k < 40; ++k) {
         taken += rig.change(100000, i * 100 + static_cast<std::size_t>(k));
@@ -259,8 +261,8 @@
 
   // Its process stands still for 20 s in the middle of changes: one append is out, and small words.
   void aSilentMemberIsSentNoMoreThanOnce() {
-    Rig rig(3, 1000);
-    Rig::Node& asleep = rig.other();
+    ReplicationHarness rig(3, 1000);
+    ReplicationHarness::Node& asleep = rig.other();
     rig.lead();
     rig.run(1);
     asleep.awake = rig.world.now() + Duration(20);
@@ -274,8 +276,8 @@
   }
 
   void aMemberWithAFullDiskIsCaughtUpLater() {
-    Rig rig(3, 1000);
-    Rig::Node& full = rig.other();
+    ReplicationHarness rig(3, 1000);
+    ReplicationHarness::Node& full = rig.other();
     rig.run(1);
     full.disk.set_full(true);
     rig.bytes_to.clear();
@@ -294,7 +296,7 @@
     std::mt19937_64 random(5);
     std::uint64_t refused = 0;
     for (int round = 0; round < 300; ++round) {
-      Lone lone;
+      SingleMember lone;
       Core& core = lone.core;
       core.step(lone.world.now(), piece(5, "ab", 0, 2));
       Message good = heartbeat(5);
@@ -308,7 +310,9 @@
       for (int i = 0; i < 40; ++i) {
         Message bad = good;
         auto draw = [&](std::uint64_t most) { return random() % (most + 1); };
-        bad.kind = draw(3) ? MessageKind::append : draw(1) ? MessageKind::piece : MessageKind::install;
+        bad.kind = draw(3)   ? MessageKind::append_entries
+                   : draw(1) ? MessageKind::snapshot_chunk
+                             : MessageKind::install_snapshot;
         bad.term = 4 + draw(2);
         bad.index = draw(20);
         bad.log_term = draw(7);
@@ -332,7 +336,7 @@
         CPPUNIT_ASSERT_EQUAL(core.commit(), core.applied());
         for (const Entry& entry : held)
           if (entry.index >= core.log().first()) CPPUNIT_ASSERT(core.log().at(entry.index) == entry);
-        Stored stored;
+        PersistentState stored;
         lone.disk.load(stored);
         Index due = stored.snapshot.index;
         CPPUNIT_ASSERT_EQUAL(core.log().snapshot().index, due);
@@ -350,16 +354,16 @@
   }
 
   void aLeaderTrustsNoAnswerBeyondItsLog() {
-    Rig rig(3, 1000);
-    Rig::Node& leads = rig.lead();
+    ReplicationHarness rig(3, 1000);
+    ReplicationHarness::Node& leads = rig.lead();
     rig.change(100);
     rig.run(0.5);
     Core& core = *leads.core;
     Message answer = heartbeat(core.term());
-    answer.kind = MessageKind::appended;
+    answer.kind = MessageKind::append_response;
     answer.from = rig.other().core->self();
     answer.from_address = rig.other().address;
-    answer.yes = true;
+    answer.flag = true;
     answer.index = core.log().last() + 1000;
     core.step(rig.world.now(), answer);
     core.step(rig.world.now(), heartbeat(core.term()));  // somebody else leads in our term
@@ -372,19 +376,19 @@
 
   // It reads no pieces and does not say that it could: the whole in one word, as before, where that fits.
   void anOlderMemberIsSentTheWhole() {
-    Behind behind(2 * mb);
+    LaggingMember behind(2 * mb);
     behind.away->older = true;
     behind.rig.words.clear();
     behind.begin(1);
     behind.arrives(20);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, behind.rig.words[MessageKind::piece]);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, behind.rig.words[MessageKind::install]);
-    Behind large(5 * mb);  // what no frame of it holds is not sent, and counted
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, behind.rig.words[MessageKind::snapshot_chunk]);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, behind.rig.words[MessageKind::install_snapshot]);
+    LaggingMember large(5 * mb);  // what no frame of it holds is not sent, and counted
     large.away->older = true;
     large.begin(1);
     large.rig.run(3);
     CPPUNIT_ASSERT(large.rig.lead().core->counters().refused_snapshots > 0);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, large.away->core->counters().installed);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, large.away->core->counters().snapshots_installed);
     large.rig.kill(*large.away, false);  // brought up to date, it has all
     large.away->older = false;
     large.begin(1);
@@ -399,7 +403,7 @@
     for (Index i = 1; i <= 5000; ++i) entries.push_back({i, 1, EntryKind::change, "c", {}});
     CPPUNIT_ASSERT(!log.replace_tail(1, std::move(entries)));
     Message word = heartbeat(1);
-    word.entries = log.from(1, mb);
+    word.entries = log.entries_from(1, mb);
     CPPUNIT_ASSERT(fanes::unpack(fanes::pack(word)));
   }
 
@@ -407,7 +411,7 @@
   static Membership members() { return {{{11, "a:1"}, {12, "b:2"}, {13, "c:3"}}, 3}; }
   static Message heartbeat(Term term) {
     Message word;
-    word.kind = MessageKind::append;
+    word.kind = MessageKind::append_entries;
     word.from = 11;
     word.from_address = "a:1";
     word.term = term;
@@ -417,9 +421,9 @@
   static Message piece(Term term, const std::string& state, std::size_t from, std::size_t to);
 };
 
-Message LogTest::piece(Term term, const std::string& state, std::size_t from, std::size_t to) {
+Message ReplicationTest::piece(Term term, const std::string& state, std::size_t from, std::size_t to) {
   Message word = heartbeat(term);
-  word.kind = MessageKind::piece;
+  word.kind = MessageKind::snapshot_chunk;
   word.snapshot = {10, 4, members(), state.substr(from, to - from)};
   word.offset = from;
   word.total = state.size();
@@ -427,6 +431,6 @@
   return word;
 }
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LogTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReplicationTest);
 
 }  // namespace pearspar::raft
--- a/tests/system/start_test.cpp
+++ b/tests/system/start_test.cpp
@@ -8,7 +8,7 @@
 class CutStore : public Store {
  public:
   CutStore(Store& store, int writes) : store_(store), left_(writes) {}
-  std::error_code load(Stored& stored) override { return store_.load(stored); }
+  std::error_code load(PersistentState& stored) override { return store_.load(stored); }
   std::error_code save_self(MemberId self) override {
     return write([&] { return store_.save_self(self); });
   }
@@ -90,7 +90,7 @@
       band.run(20);
       band.start(2, true);
       CPPUNIT_ASSERT(band.until(3, [&] { return band.counts(2); }));
-      CPPUNIT_ASSERT_EQUAL(3u, band.count(band.led()).wanted);
+      CPPUNIT_ASSERT_EQUAL(3u, band.count(band.led()).target_size);
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(band.led()));
       band.end(band.led() == 0 ? 1 : 0);
       CPPUNIT_ASSERT(band.change(band.led()));
@@ -134,12 +134,12 @@
     CPPUNIT_ASSERT(band.until(3, [&] { return band.counts(newcomer); }));
     std::size_t b = band.led() == 0 ? 1 : 0;
     band.core(b).leave(band.now(b));
-    CPPUNIT_ASSERT(band.until(2, [&] { return band.core(b).may_end() && !band.counts(b); }));
+    CPPUNIT_ASSERT(band.until(2, [&] { return band.core(b).may_shut_down() && !band.counts(b); }));
     band.end(b);
     band.run(2);
     band.start(b, true);
     CPPUNIT_ASSERT(band.until(3, [&] { return band.counts(b); }));
-    CPPUNIT_ASSERT_EQUAL(3u, band.count(band.led()).wanted);
+    CPPUNIT_ASSERT_EQUAL(3u, band.count(band.led()).target_size);
     band.good();
   }
 
@@ -150,7 +150,7 @@
     std::set<MemberId> ids{band.core(c).self()};
     for (int i = 0; i < 5; ++i) {
       Message append;
-      append.kind = MessageKind::append;
+      append.kind = MessageKind::append_entries;
       append.from = band.core(a).self();
       append.from_address = band.place(a).address;
       append.to = band.core(c).self();
@@ -178,11 +178,11 @@
         band.core(leaver).leave(band.now(leaver));
         band.run(0.02);
         band.core(leaver).leave(band.now(leaver));
-        CPPUNIT_ASSERT(band.until(4, [&] { return band.core(leaver).may_end(); }));
+        CPPUNIT_ASSERT(band.until(4, [&] { return band.core(leaver).may_shut_down(); }));
         band.end(leaver);
         CPPUNIT_ASSERT(band.change(band.led()));
         CPPUNIT_ASSERT_EQUAL(members, band.voters(band.led()));
-        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(members), band.count(band.led()).wanted);
+        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(members), band.count(band.led()).target_size);
         // Back, its wish is forgotten.
         band.start(leaver);
         CPPUNIT_ASSERT(band.until(4, [&] { return band.counts(leaver); }));
@@ -201,15 +201,15 @@
     CPPUNIT_ASSERT(band.until(3, [&] { return band.counts(newcomer); }));
     std::size_t b = band.led() == 0 ? 1 : 0;
     band.core(b).leave(band.now(b));
-    CPPUNIT_ASSERT(band.until(2, [&] { return band.core(b).may_end() && !band.counts(b); }));
-    Index out = band.core(band.led()).log().membership_since();
+    CPPUNIT_ASSERT(band.until(2, [&] { return band.core(b).may_shut_down() && !band.counts(b); }));
+    Index out = band.core(band.led()).log().membership_index();
     band.run(5);
-    CPPUNIT_ASSERT_EQUAL(out, band.core(band.led()).log().membership_since());
+    CPPUNIT_ASSERT_EQUAL(out, band.core(band.led()).log().membership_index());
     band.end(b);
     band.run(0.1);
     band.start(b);
     Message round;
-    round.kind = MessageKind::append;
+    round.kind = MessageKind::append_entries;
     round.from = band.core(band.led()).self();
     round.from_address = band.place(band.led()).address;
     round.term = band.core(band.led()).term();
@@ -269,7 +269,8 @@
       band.run(0.001 * moment);
       band.core(a).leave(band.now(a));
       double asked = band.seconds();
-      CPPUNIT_ASSERT(band.until(4, [&] { return band.seconds() > asked + 0.4 && band.core(a).may_end(); }));
+      CPPUNIT_ASSERT(
+          band.until(4, [&] { return band.seconds() > asked + 0.4 && band.core(a).may_shut_down(); }));
       band.end(a);
       CPPUNIT_ASSERT(band.until(4, [&] { return band.speaker() < 4 && band.counts(fresh); }));
       band.run(3);
--- a/tests/system/state_test.cpp
+++ b/tests/system/state_test.cpp
@@ -141,7 +141,7 @@
   Member& member(int i) { return *seats_[static_cast<std::size_t>(i)].member; }
   int leader() {
     for (int i = 0; i < 3; ++i)
-      if (up(i) && member(i).core().may_speak(world.now()) && member(i).office().in_office()) return i;
+      if (up(i) && member(i).core().holds_lease(world.now()) && member(i).office().in_office()) return i;
     return -1;
   }
   int wait_for_leader() {
@@ -268,10 +268,10 @@
       state.apply(change(3 * (e - 1), 3 * e, text));
     }
     State other;
-    other.restore(state.fold());
-    CPPUNIT_ASSERT_EQUAL(state.fold(), other.fold());
+    other.restore(state.take_snapshot());
+    CPPUNIT_ASSERT_EQUAL(state.take_snapshot(), other.take_snapshot());
     // 20,000 at 24 bytes, and the text.
-    CPPUNIT_ASSERT(state.fold().size() < 500'000);
+    CPPUNIT_ASSERT(state.take_snapshot().size() < 500'000);
     for (const State* each : {&state, &other}) {
       CPPUNIT_ASSERT_EQUAL(3 * changes, each->edition());
       CPPUNIT_ASSERT_EQUAL(Taken::most, each->taken().size());
@@ -298,7 +298,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.taken().size());
     CPPUNIT_ASSERT(state.took(7, digest_of(state.text())));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.accounts().count({"f", "pull"}).out);
-    CPPUNIT_ASSERT(state.fold() == bytes_of(older_snapshot));
+    CPPUNIT_ASSERT(state.take_snapshot() == bytes_of(older_snapshot));
     State folded;
     folded.apply(entry(bytes_of(older_entry)));
     CPPUNIT_ASSERT_EQUAL(averau::Edition{3}, folded.edition());
@@ -331,7 +331,7 @@
     for (averau::Edition e = 1; e <= 600; ++e) state.apply(change(e - 1, e, config(e)));
     for (pramperet::Window window : {0, 1}) {
       if (window > 0) state.apply(steps(1, 5, window));
-      std::string folded = state.fold();
+      std::string folded = state.take_snapshot();
       fanes::Unpacker in(folded);
       CPPUNIT_ASSERT_EQUAL(config(600), in.text());
       CPPUNIT_ASSERT_EQUAL(std::size_t{512}, in.enter(512));
@@ -368,14 +368,14 @@
       CPPUNIT_ASSERT(newer.may_serve());
       // Edition 2 goes by without a step under it; the step under 4 cannot be folded from there on.
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(i), i != 2 && i < 5, behind.may_serve());
-      if (behind.may_serve()) CPPUNIT_ASSERT_EQUAL(newer.fold(), behind.fold());
+      if (behind.may_serve()) CPPUNIT_ASSERT_EQUAL(newer.take_snapshot(), behind.take_snapshot());
       // Over a snapshot: the older one goes on from it, and a newer one has it all.
       State restored(older), upgraded;
-      restored.restore(behind.fold());
-      CPPUNIT_ASSERT_EQUAL(behind.fold(), restored.fold());
+      restored.restore(behind.take_snapshot());
+      CPPUNIT_ASSERT_EQUAL(behind.take_snapshot(), restored.take_snapshot());
       CPPUNIT_ASSERT_EQUAL(behind.may_serve(), restored.may_serve());
-      upgraded.restore(behind.fold());
-      CPPUNIT_ASSERT_EQUAL(newer.fold(), upgraded.fold());
+      upgraded.restore(behind.take_snapshot());
+      CPPUNIT_ASSERT_EQUAL(newer.take_snapshot(), upgraded.take_snapshot());
       CPPUNIT_ASSERT(upgraded.may_serve());
       behind = std::move(restored);
     }
@@ -391,15 +391,15 @@
     apply(steps(1, 2, 1));
     for (std::uint64_t i = 2; i < 66'000; ++i) apply(steps(i, 1));
     apply(change(1, 2, config(2)));
-    CPPUNIT_ASSERT(behind.fold().size() < 100'000);
+    CPPUNIT_ASSERT(behind.take_snapshot().size() < 100'000);
     // It has lost steps, knows it, and tells whoever reads its snapshot.
     State upgraded;
-    upgraded.restore(behind.fold());
+    upgraded.restore(behind.take_snapshot());
     CPPUNIT_ASSERT(!behind.may_serve() && !upgraded.may_serve());
     CPPUNIT_ASSERT_EQUAL(newer.text(), upgraded.text());
-    behind.restore(newer.fold());
+    behind.restore(newer.take_snapshot());
     CPPUNIT_ASSERT(behind.may_serve());
-    CPPUNIT_ASSERT_EQUAL(newer.fold(), behind.fold());
+    CPPUNIT_ASSERT_EQUAL(newer.take_snapshot(), behind.take_snapshot());
   }
 
   // One of three runs an older program: whatever it is asked, it is never it that leads behind such a change.
@@ -569,7 +569,7 @@
         trio.run(0.02);
         if (int leader = trio.leader(); leader >= 0) {
           last = trio.member(leader).state().edition();
-          if (round % 20 == 5) trio.member(leader).hand_over(trio.world.now());
+          if (round % 20 == 5) trio.member(leader).transfer_leadership(trio.world.now());
           if (round % 20 == 10 && leader == 0) {
             trio.kill(0);
             trio.start(0);
@@ -605,7 +605,7 @@
     int leader = trio.leader();
     trio.passes = [&](int, int to, const fanes::Message& message) {
       const auto* agreement = std::get_if<raft::Message>(&message);
-      return !agreement || to != leader || agreement->kind != raft::MessageKind::appended ||
+      return !agreement || to != leader || agreement->kind != raft::MessageKind::append_response ||
              agreement->index <= trio.member(leader).core().commit();
     };
     order = trio.order(leader, 0, config(1));
@@ -647,7 +647,7 @@
     };
     Asker first = trio.order((old + 1) % 3, 0, config(1)), second = trio.order((old + 2) % 3, 0, config(1));
     trio.run(0.1);
-    trio.member(old).hand_over(trio.world.now());
+    trio.member(old).transfer_leadership(trio.world.now());
     CPPUNIT_ASSERT_EQUAL(200, trio.wait(first));
     CPPUNIT_ASSERT_EQUAL(200, trio.wait(second));
   }
@@ -670,7 +670,8 @@
           trio.run(0.002 * static_cast<double>(random() % 4), 0.002);
         }
         if (tries % 3 == 1)
-          if (int leader = trio.leader(); leader >= 0) trio.member(leader).hand_over(trio.world.now());
+          if (int leader = trio.leader(); leader >= 0)
+            trio.member(leader).transfer_leadership(trio.world.now());
         trio.run(1);
         for (const auto& [edition, asker] : asked) {
           CPPUNIT_ASSERT(trio.status(asker) == 200 || trio.status(asker) == 503);
@@ -750,7 +751,8 @@
     const raft::Index before = trio.member(old).core().log().last();
     trio.passes = [&](int, int, const fanes::Message& message) {
       const auto* agreement = std::get_if<raft::Message>(&message);
-      return !agreement || agreement->kind != raft::MessageKind::appended || agreement->index <= before;
+      return !agreement || agreement->kind != raft::MessageKind::append_response ||
+             agreement->index <= before;
     };
     trio.kill(old);
     for (int i = 0; i < 400; ++i) {
@@ -793,7 +795,7 @@
       }
     };
     holds();
-    trio.member(trio.leader()).hand_over(trio.world.now());
+    trio.member(trio.leader()).transfer_leadership(trio.world.now());
     trio.run(1);
     holds();
     // A lost disk: all that is known comes in a snapshot.
@@ -833,7 +835,8 @@
           for (int who : {0, 1}) asked[who] = trio.order(static_cast<int>(random() % 3), base, texts[who]);
           if (random() % 3 == 0 && trio.leader() >= 0) {
             trio.run(0.001 * static_cast<double>(random() % 5), 0.001);
-            if (int leader = trio.leader(); leader >= 0) trio.member(leader).hand_over(trio.world.now());
+            if (int leader = trio.leader(); leader >= 0)
+              trio.member(leader).transfer_leadership(trio.world.now());
           }
           trio.run(1);
           for (int who : {0, 1}) {
--- a/tests/system/store_folder_test.cpp
+++ b/tests/system/store_folder_test.cpp
@@ -43,7 +43,7 @@
 namespace pearspar::storage {
 
 using raft::EntryKind;
-using raft::Stored;
+using raft::PersistentState;
 
 class StoreFolderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreFolderTest);
@@ -60,7 +60,7 @@
   }
 
   void aNameLastsBeforeAnythingIsConfirmed() {
-    Folder folder;
+    TempFolder folder;
     LmdbStore store(folder.path());
     bool lasts = false;
     int fault = EIO;
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT(lasts);
     lasts = false;
     LmdbStore again(folder.path());  // also of one that an older program made
-    Stored stored;
+    PersistentState stored;
     CPPUNIT_ASSERT(!again.load(stored));
     CPPUNIT_ASSERT(lasts);
     CPPUNIT_ASSERT_EQUAL(raft::MemberId{5}, stored.self);
@@ -85,7 +85,7 @@
   void whatWasBegunBeforeALossOfPowerIsNoStore() {
     int syncs = 0;
     {
-      Folder folder;
+      TempFolder folder;
       LmdbStore store(folder.path());
       on_file_sync = [&] {
         if (++syncs == 1) CPPUNIT_ASSERT_EQUAL(std::size_t{0}, folder.size());
@@ -95,10 +95,10 @@
     }
     CPPUNIT_ASSERT(syncs > 1);
     for (std::size_t size : {0, 1, 4096, 5000, 8192, 12288}) {
-      Folder folder;
+      TempFolder folder;
       std::ofstream(folder.path() + "/data.new", std::ios::binary) << std::string(size, '\x7f');
       LmdbStore store(folder.path());
-      Stored stored;
+      PersistentState stored;
       CPPUNIT_ASSERT(!store.load(stored) && stored.self == 0);
       CPPUNIT_ASSERT(!store.save_self(7));
       CPPUNIT_ASSERT(::access((folder.path() + "/data.new").c_str(), F_OK) != 0);
@@ -107,7 +107,7 @@
 
   // By whoever copies it. Each cut is refused, or reads as it was: nothing of it was in use.
   void aFileThatIsCutShortIsRefused() {
-    Folder folder;
+    TempFolder folder;
     {
       LmdbStore store(folder.path());
       CPPUNIT_ASSERT(!store.save_self(5));
@@ -121,7 +121,7 @@
     for (std::size_t size = 100; size < all.size(); size += 5 * 4096) {
       std::ofstream(file, std::ios::binary | std::ios::trunc) << all.substr(0, size);
       LmdbStore store(folder.path());
-      Stored stored;
+      PersistentState stored;
       if (store.load(stored))
         ++refused;
       else
@@ -131,7 +131,7 @@
   }
 
   void aFileOfAnotherUseIsLeftAsItIs() {
-    Folder folder;
+    TempFolder folder;
     {
       MDB_env* env = nullptr;
       MDB_txn* txn = nullptr;
@@ -146,8 +146,8 @@
       CPPUNIT_ASSERT_EQUAL(0, mdb_txn_commit(txn));
       mdb_env_close(env);
     }
-    Stored stored;
-    CPPUNIT_ASSERT(LmdbStore(folder.path()).load(stored) == Fault::other_format);
+    PersistentState stored;
+    CPPUNIT_ASSERT(LmdbStore(folder.path()).load(stored) == StoreError::unsupported_format);
     std::ofstream(folder.path() + "/data.mdb", std::ios::trunc) << std::string(20000, 'x');
     CPPUNIT_ASSERT(LmdbStore(folder.path()).load(stored));
     CPPUNIT_ASSERT_EQUAL(std::size_t{20000}, folder.size());
--- a/tests/system/strange_calls_test.cpp
+++ b/tests/system/strange_calls_test.cpp
@@ -240,13 +240,13 @@
     State state;
     std::string text = config("3");
     state.apply({1, 1, raft::EntryKind::change, State::change(0, 3, digest_of(text), text), {}});
-    std::string whole = state.fold();
+    std::string whole = state.take_snapshot();
     for (std::size_t size = 1; size < whole.size(); ++size) {
       State other;
       other.restore(whole.substr(0, size));
       CPPUNIT_ASSERT_MESSAGE(std::to_string(size), !other.may_serve());
       State third;
-      third.restore(other.fold());
+      third.restore(other.take_snapshot());
       CPPUNIT_ASSERT_MESSAGE(std::to_string(size), !third.may_serve());
       other.restore(whole);
       CPPUNIT_ASSERT(other.may_serve() && other.edition() == 3);
--- a/tests/system/folder.h
+++ b/tests/system/temp_folder.h
@@ -10,13 +10,13 @@
 
 namespace pearspar {
 
-class Folder {
+class TempFolder {
  public:
-  Folder() {
+  TempFolder() {
     char name[] = "/tmp/altavia-test-XXXXXX";
     path_ = mkdtemp(name);
   }
-  ~Folder() {
+  ~TempFolder() {
     std::remove((path_ + "/data.mdb").c_str());
     rmdir(path_.c_str());
   }
