--- a/src/raft/core.cpp
+++ b/src/raft/core.cpp
@@ -1,5 +1,5 @@
-// A member's start, its clock and what it is handed; who leads is in election.cpp, the log's way in
-// replication.cpp, who counts in membership.cpp.
+// Start-up, timers and message dispatch. Elections are in election.cpp, log replication in replication.cpp,
+// snapshot transfer in snapshot_transfer.cpp and membership changes in membership.cpp.
 #include "raft/core.h"
 
 #include <xxhash.h>
@@ -11,8 +11,8 @@
 namespace pearspar::raft {
 namespace {
 
-// Each fresh id serves once; the next follows from the one that is used up.
-MemberId following(MemberId id) { return XXH3_64bits(&id, sizeof id) | 1; }
+// Each new id is used once; the next one is derived from it.
+MemberId next_fresh_id(MemberId id) { return XXH3_64bits(&id, sizeof id) | 1; }
 
 }  // namespace
 
@@ -30,27 +30,27 @@
   reset_election_timer(now);
   if (stored.self == 0) {
     const auto& founders = options_.founders;
-    bool founds = options_.first_start &&
-                  std::find(founders.begin(), founders.end(), options_.address) != founders.end();
-    self_ = founds ? founder_id(options_.address) : options_.fresh_id;
-    Snapshot founding;
-    if (founds) {
-      // The same on every founder, so it needs no agreement: a log that begins behind entry 1 of term 1.
-      founding.index = 1;
-      founding.term = 1;
+    bool is_founder = options_.first_start &&
+                      std::find(founders.begin(), founders.end(), options_.address) != founders.end();
+    self_ = is_founder ? founder_id(options_.address) : options_.fresh_id;
+    Snapshot bootstrap;
+    if (is_founder) {
+      // Every founder starts from this same snapshot, so it does not have to be replicated.
+      bootstrap.index = 1;
+      bootstrap.term = 1;
       for (const std::string& address : founders)
-        founding.membership.voters.push_back({founder_id(address), address});
-      founding.membership.target_size = static_cast<std::uint32_t>(founders.size());
-      founding.state = machine_.take_snapshot();
-      if (auto error = log_.install(founding)) return error;
+        bootstrap.membership.voters.push_back({founder_id(address), address});
+      bootstrap.membership.target_size = static_cast<std::uint32_t>(founders.size());
+      bootstrap.state = machine_.take_snapshot();
+      if (auto error = log_.install(bootstrap)) return error;
       if (!save_term(1, 0)) return std::make_error_code(std::errc::io_error);
     }
-    // Last: whoever finds an id on its disk finds the rest there too.
+    // Saved last, so that a store with an id is complete.
     if (auto error = store_.save_self(self_)) return error;
-    if (!founds) options_.fresh_id = following(self_);
+    if (!is_founder) options_.fresh_id = next_fresh_id(self_);
   } else {
     self_ = stored.self;
-    options_.first_start = false;  // which has an empty disk, whatever the settings still say
+    options_.first_start = false;  // bootstrapping applies only to an empty store
     vote_ = stored.vote;
     log_.load(stored);
     if (!stored.snapshot.state.empty()) machine_.restore(stored.snapshot.state);
@@ -70,24 +70,24 @@
 }
 
 bool Core::save_term(Term term, MemberId vote) {
-  Vote wanted{term, vote};
-  if (wanted == vote_) return true;
-  auto error = store_.save_vote(wanted);
+  Vote vote_to_save{term, vote};
+  if (vote_to_save == vote_) return true;
+  auto error = store_.save_vote(vote_to_save);
   record_store_result(error);
   if (error) return false;
-  vote_ = wanted;
+  vote_ = vote_to_save;
   return true;
 }
 
-// Whoever has forgotten what it promised is somebody else: it asks to be taken in, and its old id leaves the
-// count for it. The log stays: what it holds was true of the old id, and is as good for a newcomer.
+// A member that has lost acknowledged data may also have lost votes, so it joins again under a new id and the
+// old one is removed. Its log can be kept.
 void Core::adopt_new_id(Time now) {
-  MemberId fresh = options_.fresh_id;
-  auto error = store_.save_self(fresh);
+  MemberId new_id = options_.fresh_id;
+  auto error = store_.save_self(new_id);
   record_store_result(error);
   if (error) return;
-  self_ = fresh;
-  options_.fresh_id = following(fresh);
+  self_ = new_id;
+  options_.fresh_id = next_fresh_id(new_id);
   step_down(now);
   join_due_ = now;
 }
@@ -98,7 +98,7 @@
   due_ = now + Duration(draw(random_));
 }
 
-// Between two tries of a candidate: shorter, since nobody leads.
+// Time between two attempts of a candidate; shorter than an election timeout since there is no leader.
 void Core::reset_candidate_timer(Time now) {
   std::uniform_real_distribution<double> draw(0.4, 1.0);
   due_ = now + options_.timing.min_election_timeout * draw(random_);
@@ -130,8 +130,8 @@
 
 Time Core::due() const {
   Time due = due_;
-  bool asks = leader_ == 0 || !log_.membership().has(self_);
-  if (role_ != Role::leader && asks && !leaving_) due = std::min(due, join_due_);
+  bool wants_to_join = leader_ == 0 || !log_.membership().has(self_);
+  if (role_ != Role::leader && wants_to_join && !leaving_) due = std::min(due, join_due_);
   if (role_ != Role::leader && leaving_ && !may_shut_down()) due = std::min(due, leave_due_);
   return due;
 }
@@ -157,7 +157,7 @@
     if (now - majority_contact_time(now, false) > options_.timing.max_election_timeout) return step_down(now);
     broadcast(now);
     change_membership(now);
-    // Elected for want of another: until somebody else holds all that is held here.
+    // A leader that is shutting down leads only until another voter has its whole log.
     for (const auto& [id, peer] : peers_)
       if (leaving_ && peer.voter && is_alive(now, peer) && peer.match == log_.last())
         return transfer_leadership(now);
@@ -177,8 +177,8 @@
   start_pre_vote(now, false);
 }
 
-// Whoever has no leader, or is not counted, asks to be taken in: newcomers, members that were removed while
-// they were away. Those who know better take no notice.
+// Sent by members that know no leader or are not voters: new ones, and those removed while they were down. A
+// leader ignores it if the sender is a voter.
 void Core::send_join() {
   Message join;
   join.kind = MessageKind::join;
@@ -187,14 +187,14 @@
   join.term = vote_.term;
   join.index = log_.last();
   join.flag = options_.first_start;
-  std::vector<std::string> asked = addresses();
+  std::vector<std::string> targets = addresses();
   for (const std::string& seed : options_.seeds)
-    if (std::find(asked.begin(), asked.end(), seed) == asked.end()) asked.push_back(seed);
-  for (const std::string& address : asked)
+    if (std::find(targets.begin(), targets.end(), seed) == targets.end()) targets.push_back(seed);
+  for (const std::string& address : targets)
     if (address != options_.address) send(address, join);
 }
 
-// Until it is out of the count, as far as it knows.
+// Repeated until this member has been removed.
 void Core::send_leave(Time now) {
   leave_due_ = now + options_.timing.heartbeat;
   Message message;
@@ -213,15 +213,13 @@
   out_.push_back({address, std::move(message)});
 }
 
-// A pre-vote first: nobody's term rises while most still hear a leader.
-
 void Core::step(Time now, const Message& message) {
   dispatch(now, message);
   check_invariants();
 }
 
 void Core::dispatch(Time now, const Message& message) {
-  if (message.to != 0 && message.to != self_) return;  // meant for who was here before the disk was lost
+  if (message.to != 0 && message.to != self_) return;  // addressed to an earlier id of this member
   switch (message.kind) {
     case MessageKind::pre_vote_request:
     case MessageKind::vote_request:
--- a/src/raft/describe.cpp
+++ b/src/raft/describe.cpp
@@ -1,10 +1,10 @@
-// What a member's next steps depend on, as bytes: two members that are described alike go on alike. Moments
-// count from `now`, and where no rule tells two of them apart any more they are the same.
+// Serialises the state that a member's future steps depend on: members with equal descriptions behave the
+// same. Times are relative to `now` and limited to the range in which they make a difference.
 //
-// Left out, since no step reads them: peers, rounds and the lease of whoever does not lead, and votes of
-// whoever does not stand (all three are cleared before they are read again); rounds older than the lease; the
-// store's health; the generator (the search settles every draw) and the options that do not change within a
-// life. A field that is added to Core and read by a step belongs in here.
+// Left out because no step reads them: peers and rounds of a member that is not the leader, votes of one that
+// is not a candidate (they are cleared before use), rounds older than the lease, store_failed_, the random
+// generator (the search makes each draw deterministic) and options that do not change. Any new field that a
+// step reads must be added here.
 #include <algorithm>
 
 #include "raft/core.h"
@@ -24,12 +24,12 @@
     number(value.size());
     bytes_ += value;
   }
-  // How long ago; `most` and longer are one.
-  void age(Time moment, Duration most) {
-    Duration age = std::min(std::max(now_ - moment, Duration(0)), most);
+  // Time since `moment`, limited to `limit`.
+  void age(Time moment, Duration limit) {
+    Duration age = std::min(std::max(now_ - moment, Duration(0)), limit);
     number(static_cast<std::uint64_t>(age.count() * 1e6 + 0.5));
   }
-  // How long until then; what is past is due.
+  // Time until `moment`, 0 if it has passed.
   void wait(Time moment) {
     number(moment <= now_ ? 0 : static_cast<std::uint64_t>((moment - now_).count() * 1e6 + 0.5));
   }
@@ -98,12 +98,12 @@
     out.text(incoming_->snapshot.state);
     out.number(incoming_->total);
     out.number(incoming_->digest);
-    out.wait(incoming_->retry);
+    out.wait(incoming_->retry_at);
   }
 
   if (role_ == Role::candidate || role_ == Role::pre_candidate) {
     out.number(votes_.size());
-    for (const auto& [id, yes] : votes_) out.number(id);
+    for (const auto& [id, granted] : votes_) out.number(id);
   }
   if (role_ != Role::leader) return out.take();
   out.number(term_start_);
@@ -125,12 +125,12 @@
     out.number(peer.capabilities);
     out.number(peer.flight.waiting);
     out.number(peer.flight.round);
-    out.number(peer.flight.through);
+    out.number(peer.flight.last_index);
     out.number(static_cast<std::uint64_t>(peer.flight.losses));
-    out.number(peer.flight.again);
+    out.number(peer.flight.retry_round);
     out.number(peer.transfer ? peer.transfer->snapshot->index : 0);
-    out.number(peer.transfer ? peer.transfer->held : 0);
-    // A newcomer is forgotten after the longest silence that anything asks about.
+    out.number(peer.transfer ? peer.transfer->received_bytes : 0);
+    // A silent peer that is no voter is dropped after this time.
     out.age(peer.last_contact, 4 * timing.silent_voter_timeout + timing.max_election_timeout);
     out.age(peer.round_sent, timing.lease);
   }
--- a/src/raft/election.cpp
+++ b/src/raft/election.cpp
@@ -1,12 +1,12 @@
-// Who leads: standing, votes, the lease, and handing over.
+// Leader election, leader lease and leadership transfer.
 #include <algorithm>
 
 #include "raft/core.h"
 
 namespace pearspar::raft {
 
-// A pre-vote first: nobody's term rises while most still hear a leader. Who is not in the membership of its
-// own log, the newest there, neither stands nor counts itself.
+// The pre-vote keeps terms from rising while a majority still hears from a leader. Only a member of the
+// latest membership in its own log may stand for election.
 void Core::start_pre_vote(Time now, bool leadership_transfer) {
   if (!log_.membership().has(self_)) return reset_election_timer(now);
   role_ = Role::pre_candidate;
@@ -17,15 +17,15 @@
   reset_candidate_timer(now);
   if (leadership_transfer || log_.membership().majority() == 1)
     return start_election(now, leadership_transfer);
-  Message ask;
-  ask.kind = MessageKind::pre_vote_request;
-  ask.term = vote_.term + 1;
-  ask.index = log_.last();
-  ask.log_term = log_.last_term();
+  Message request;
+  request.kind = MessageKind::pre_vote_request;
+  request.term = vote_.term + 1;
+  request.index = log_.last();
+  request.log_term = log_.last_term();
   for (const Member& voter : log_.membership().voters) {
     if (voter.id == self_) continue;
-    ask.to = voter.id;
-    send(voter.address, ask);
+    request.to = voter.id;
+    send(voter.address, request);
   }
 }
 
@@ -36,67 +36,67 @@
   votes_[self_] = true;
   reset_candidate_timer(now);
   if (log_.membership().majority() == 1) return become_leader(now);
-  Message ask;
-  ask.kind = MessageKind::vote_request;
-  ask.term = vote_.term;
-  ask.index = log_.last();
-  ask.log_term = log_.last_term();
-  ask.flag = leadership_transfer;
+  Message request;
+  request.kind = MessageKind::vote_request;
+  request.term = vote_.term;
+  request.index = log_.last();
+  request.log_term = log_.last_term();
+  request.flag = leadership_transfer;
   for (const Member& voter : log_.membership().voters) {
     if (voter.id == self_) continue;
-    ask.to = voter.id;
-    send(voter.address, ask);
+    request.to = voter.id;
+    send(voter.address, request);
   }
 }
 
-bool Core::log_is_up_to_date(const Message& ask) const {
-  return std::pair(ask.log_term, ask.index) >= std::pair(log_.last_term(), log_.last());
+bool Core::log_is_up_to_date(const Message& request) const {
+  return std::pair(request.log_term, request.index) >= std::pair(log_.last_term(), log_.last());
 }
 
-void Core::on_vote_request(Time now, const Message& ask) {
-  bool pre = ask.kind == MessageKind::pre_vote_request;
-  // Who still hears a leader helps nobody against it, and does not take over the term either, unless the
-  // leader itself wants to go.
-  bool held = leader_is_alive(now) || (role_ == Role::leader && holds_lease(now));
-  if (held && !(ask.kind == MessageKind::vote_request && ask.flag)) return;
-  Message answer;
-  answer.kind = pre ? MessageKind::pre_vote_response : MessageKind::vote_response;
-  answer.to = ask.from;
-  if (pre) {
-    answer.term = ask.term;
-    answer.flag = ask.term > vote_.term && log_is_up_to_date(ask);
-    if (!answer.flag) answer.term = vote_.term;
-    return send(ask.from_address, answer);
+void Core::on_vote_request(Time now, const Message& request) {
+  bool is_pre_vote = request.kind == MessageKind::pre_vote_request;
+  // A member that still hears from a leader ignores vote requests, and their term, unless the leader itself
+  // is transferring leadership.
+  bool has_leader = leader_is_alive(now) || (role_ == Role::leader && holds_lease(now));
+  if (has_leader && !(request.kind == MessageKind::vote_request && request.flag)) return;
+  Message response;
+  response.kind = is_pre_vote ? MessageKind::pre_vote_response : MessageKind::vote_response;
+  response.to = request.from;
+  if (is_pre_vote) {
+    response.term = request.term;
+    response.flag = request.term > vote_.term && log_is_up_to_date(request);
+    if (!response.flag) response.term = vote_.term;
+    return send(request.from_address, response);
   }
-  if (ask.term < vote_.term) return;
-  bool free = ask.term > vote_.term || vote_.voted_for == 0 || vote_.voted_for == ask.from;
-  bool yes = free && log_is_up_to_date(ask) && role_ != Role::leader;
-  if (ask.term > vote_.term) {
-    yes = log_is_up_to_date(ask);
-    if (!save_term(ask.term, yes ? ask.from : 0)) return;
+  if (request.term < vote_.term) return;
+  bool vote_available = request.term > vote_.term || vote_.voted_for == 0 || vote_.voted_for == request.from;
+  bool grant = vote_available && log_is_up_to_date(request) && role_ != Role::leader;
+  if (request.term > vote_.term) {
+    grant = log_is_up_to_date(request);
+    if (!save_term(request.term, grant ? request.from : 0)) return;
     step_down(now);
-  } else if (yes) {
-    if (!save_term(ask.term, ask.from)) return;
+  } else if (grant) {
+    if (!save_term(request.term, request.from)) return;
     reset_election_timer(now);
   }
-  answer.term = vote_.term;
-  answer.flag = yes;
-  send(ask.from_address, answer);
+  response.term = vote_.term;
+  response.flag = grant;
+  send(request.from_address, response);
 }
 
 void Core::on_vote_response(Time now, const Message& vote) {
-  bool pre = vote.kind == MessageKind::pre_vote_response;
+  bool is_pre_vote = vote.kind == MessageKind::pre_vote_response;
   if (!vote.flag) {
     if (vote.term > vote_.term && role_ != Role::leader && save_term(vote.term, 0)) step_down(now);
     return;
   }
-  if (pre ? role_ != Role::pre_candidate || vote.term != vote_.term + 1
-          : role_ != Role::candidate || vote.term != vote_.term)
+  if (is_pre_vote ? role_ != Role::pre_candidate || vote.term != vote_.term + 1
+                  : role_ != Role::candidate || vote.term != vote_.term)
     return;
   if (!log_.membership().has(vote.from)) return;
   votes_[vote.from] = true;
   if (votes_.size() < log_.membership().majority()) return;
-  if (pre)
+  if (is_pre_vote)
     start_election(now, false);
   else
     become_leader(now);
@@ -131,7 +131,7 @@
     send(best->address, message);
   }
   step_down(now);
-  // What this lease still covers is over by this word: nothing more is said as a leader.
+  // Gives the successor time to be elected before this member becomes a candidate again.
   due_ += options_.timing.min_election_timeout;
 }
 
@@ -140,7 +140,6 @@
   return now < majority_contact_time(now, true) + options_.timing.lease;
 }
 
-// The latest moment by which a majority, we among it, had been heard of (or had answered a round sent then).
 Time Core::majority_contact_time(Time now, bool rounds) const {
   const Membership& membership = log_.membership();
   std::vector<Time> times;
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -5,7 +5,7 @@
 namespace pearspar::raft {
 namespace {
 
-constexpr std::size_t max_entries = 1024;  // entries; a reader takes 4096
+constexpr std::size_t max_entries = 1024;  // per message; receivers accept up to 4096
 
 }  // namespace
 
@@ -60,7 +60,7 @@
   return {};
 }
 
-// After the snapshot has moved on from `before`: counts anew what it holds now, and no more than that.
+// Updates sizes and memberships after the snapshot's index has advanced from `before`.
 void Log::count_compacted(Index before) {
   for (Index i = std::max(before + 1, first()); i <= std::min(snapshot_->index, last()); ++i) {
     bytes_ -= entry_size(at(i));
@@ -85,8 +85,8 @@
   entries_.pop_front();
 }
 
-void Log::trim(Index floor, std::size_t most) {
-  while (base_ < snapshot_->index && (base_ < floor || retained_bytes_ > most)) drop_first();
+void Log::trim(Index floor, std::size_t max_bytes) {
+  while (base_ < snapshot_->index && (base_ < floor || retained_bytes_ > max_bytes)) drop_first();
 }
 
 std::error_code Log::install(const Snapshot& snapshot) {
--- a/src/raft/log.h
+++ b/src/raft/log.h
@@ -1,8 +1,8 @@
-// The log in memory beside its store: a snapshot, the entries behind it, and the membership that each prefix
-// has. Entries that the snapshot holds already are kept in memory for a while, for members that lack them.
+// In-memory view of the replicated log: the latest snapshot, the entries after it and the membership at each
+// index. Entries that the snapshot covers can be retained in memory for members that still need them.
 //
-// Between calls: memory holds what the store has confirmed, never more; entries stand without a gap from
-// first() to last(), and first() - 1 is the snapshot's index or before it.
+// Invariants: memory holds only what the store has confirmed; entries are contiguous from first() to last(),
+// and first() - 1 is at most the snapshot's index.
 #pragma once
 
 #include <deque>
@@ -15,9 +15,10 @@
 
 namespace pearspar::raft {
 
-// What an entry counts for where bytes are bounded: its data and about what lies around it.
+// Approximate size of an entry in bytes, including its overhead.
 inline std::size_t entry_size(const Entry& entry) { return entry.data.size() + 64; }
 
+// The replicated log of one member, written through to its store.
 class Log {
  public:
   explicit Log(Store& store) : store_(store) {}
@@ -27,33 +28,35 @@
   Index first() const { return base_ + 1; }
   Index last() const { return base_ + entries_.size(); }
   Term last_term() const { return entries_.empty() ? base_term_ : entries_.back().term; }
-  // 0 where the index is not held any more, or not yet.
+  // 0 if the index is not in memory.
   Term term_at(Index index) const;
   const Entry& at(Index index) const { return entries_[index - first()]; }
-  // Those from `from` on, until they hold about so many bytes (one at least, so many at the most).
+  // Entries from `from` on, up to about `bytes` bytes: at least one, and no more than one message may hold.
   std::vector<Entry> entries_from(Index from, std::size_t bytes) const;
   const Snapshot& snapshot() const { return *snapshot_; }
   std::shared_ptr<const Snapshot> shared_snapshot() const { return snapshot_; }
   bool empty() const { return last() == 0; }
 
-  // The newest membership in the log, committed or not; `since` is its entry (or the snapshot's index).
+  // The latest membership in the log, committed or not, and the index of its entry (or of the snapshot).
   const Membership& membership() const { return memberships_.back().second; }
   Index membership_index() const { return memberships_.back().first; }
-  // As of an index that is not before the snapshot's.
+  // Membership at `index`, which must not be before the snapshot's index.
   const Membership& membership_at(Index index) const;
 
-  // `from` is behind the snapshot, and not behind last() + 1. After a failure the entries are the caller's
-  // still.
+  // Replaces the entries from `from` on; `from` must be after the snapshot and at most last() + 1.
+  // On failure `entries` is left unchanged.
   std::error_code replace_tail(Index from, std::vector<Entry>&& entries);
-  // Ours, of what is applied. The entries that it holds stay in memory until trim() lets them go.
+  // Installs a snapshot of our own applied state. The entries it covers stay in memory until trim().
   std::error_code compact(Snapshot snapshot);
-  // Of the entries that the snapshot holds, those behind `floor` stay, as long as they are `most` bytes.
-  void trim(Index floor, std::size_t most);
-  // The leader's. What we hold behind it stays where it continues it: we may have acknowledged that.
+  // Drops entries that the snapshot covers, except those after `floor` as far as they fit in `max_bytes`.
+  void trim(Index floor, std::size_t max_bytes);
+  // Installs a leader's snapshot. Entries after it are kept if they continue it, since they may have been
+  // acknowledged.
   std::error_code install(const Snapshot& snapshot);
 
-  // Of the entries behind the snapshot: what a start has to read beside it.
+  // Size of the entries after the snapshot, which a restart has to read.
   std::size_t bytes() const { return bytes_; }
+  // Size of the entries in memory that the snapshot covers.
   std::size_t retained_bytes() const { return retained_bytes_; }
 
  private:
@@ -62,12 +65,13 @@
 
   Store& store_;
   std::shared_ptr<const Snapshot> snapshot_ = std::make_shared<Snapshot>();
-  Index base_ = 0;  // of the entry before first()
+  Index base_ = 0;  // index of the entry before first()
   Term base_term_ = 0;
   std::deque<Entry> entries_;
-  std::vector<std::pair<Index, Membership>> memberships_{{0, {}}};  // the snapshot's, then each entry's
+  // Membership of the snapshot, then of each membership entry after it.
+  std::vector<std::pair<Index, Membership>> memberships_{{0, {}}};
   std::size_t bytes_ = 0;
-  std::size_t retained_bytes_ = 0;  // of the entries that the snapshot holds
+  std::size_t retained_bytes_ = 0;
 };
 
 }  // namespace pearspar::raft
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -1,18 +1,23 @@
-// Who counts: newcomers are taken in, who lost its disk is replaced, who ends or is gone leaves. One entry at
-// a time, each taking one voter in or one out, so that the majorities before it and after it share a member.
+// Membership changes: adding new voters, replacing voters that lost their disk, and removing voters that shut
+// down or fail. Each entry adds or removes one voter, so that majorities before and after it overlap.
 #include <algorithm>
 
 #include "raft/core.h"
 
 namespace pearspar::raft {
+namespace {
+
+constexpr Index max_lag_entries = 8;  // of a member that is about to be added
+
+}  // namespace
 
 void Core::sync_peers(Time now) {
   for (const Member& voter : log_.membership().voters) {
     if (voter.id == self_) continue;
-    auto [peer, fresh] = peers_.try_emplace(voter.id);
-    if (fresh) {
+    auto [peer, inserted] = peers_.try_emplace(voter.id);
+    if (inserted) {
       peer->second.next = log_.last() + 1;
-      peer->second.last_contact = now;  // a new leader gives everybody the time of a silence
+      peer->second.last_contact = now;  // a new leader assumes that every voter is alive
     }
     peer->second.address = voter.address;
     peer->second.voter = true;
@@ -25,29 +30,29 @@
   return now - peer.last_contact < options_.timing.min_election_timeout;
 }
 
-// It says so again and again; whoever ended without being let go is silent like any other.
+// Leave messages are repeated; a member that stopped sending them is treated like any silent voter.
 bool Core::is_leaving(Time now, const Peer& peer) const {
   return peer.asked_to_leave != Time{} && now - peer.asked_to_leave < options_.timing.silent_voter_timeout;
 }
 
-// To a leader that lives from whoever follows it: joins and leaves find it by any member.
+// Lets join and leave messages reach the leader through any member.
 void Core::forward_to_leader(Time now, const Message& message) {
   if (leader_ == 0 || leader_ == message.from || !leader_is_alive(now) || message.from == 0) return;
   if (message.from_address == leader_address_) return;
-  Message onward = message;
-  onward.to = leader_;
-  out_.push_back({leader_address_, std::move(onward)});
+  Message forwarded = message;
+  forwarded.to = leader_;
+  out_.push_back({leader_address_, std::move(forwarded)});
 }
 
 void Core::on_join(Time now, const Message& join) {
   if (role_ != Role::leader) return forward_to_leader(now, join);
   if (log_.membership().has(join.from)) return;
-  auto [peer, fresh] = peers_.try_emplace(join.from);
+  auto [peer, inserted] = peers_.try_emplace(join.from);
   peer->second.address = join.from_address;
   peer->second.first_start = join.flag;
   peer->second.capabilities = join.capabilities;
   peer->second.asked_to_leave = {};
-  if (fresh) {
+  if (inserted) {
     peer->second.next = std::min(join.index, log_.last()) + 1;
     peer->second.last_contact = now;
     send_to(now, join.from, peer->second, false);
@@ -56,59 +61,56 @@
 
 void Core::on_leave(Time now, const Message& leave) {
   if (role_ != Role::leader) return forward_to_leader(now, leave);
-  bool counts = log_.membership().has(leave.from);
-  auto [peer, fresh] = peers_.try_emplace(leave.from);
-  if (fresh) {
-    // Out already, by an entry that it does not know of: it is told of the log until it does.
+  bool is_voter = log_.membership().has(leave.from);
+  auto [peer, inserted] = peers_.try_emplace(leave.from);
+  if (inserted) {
+    // Already removed by an entry that it does not know of; replicate the log to it until it does.
     peer->second.address = leave.from_address;
     peer->second.next = std::min(leave.index, log_.last()) + 1;
   }
   peer->second.last_contact = peer->second.asked_to_leave = now;
-  if (fresh) return send_to(now, leave.from, peer->second, false);
-  if (counts) change_membership(now);
+  if (inserted) return send_to(now, leave.from, peer->second, false);
+  if (is_voter) change_membership(now);
 }
 
-// Asked to end. Where a successor stands this member goes on acknowledging until it is out of the count.
+// If there is a surplus voter, this member keeps acknowledging entries until it has been removed.
 void Core::leave(Time now) {
   leaving_ = true;
   leave_due_ = now;
   transfer_leadership(now);
 }
 
-// Nothing that is agreed on rests on this member any more than on one that was never here: it is out of the
-// count by an entry that a majority of those who stay holds, with all before it. Or nobody stands in for it:
-// then its end is that of a restart, and it stays in the count; unless the leader says that it is needed
-// until a newcomer is in.
+// True once the entry that removes this member is committed. Without a surplus voter the shutdown is a
+// restart: it remains a voter and may stop at once, unless the leader has told it to wait for a new voter.
 bool Core::may_shut_down() const {
   const Membership& membership = log_.membership();
   if (membership.has(self_)) return membership.voters.size() <= membership.target_size && !told_to_stay_;
   return log_.membership_index() <= commit_;
 }
 
-// Voters that live are a majority of it: what it changes can be agreed on under it, and goes on being so.
 bool Core::has_live_majority(Time now, const Membership& next) const {
-  std::size_t living = 0;
+  std::size_t alive = 0;
   for (const Member& voter : next.voters) {
     auto peer = peers_.find(voter.id);
-    if (voter.id == self_ || (peer != peers_.end() && is_alive(now, peer->second))) ++living;
+    if (voter.id == self_ || (peer != peers_.end() && is_alive(now, peer->second))) ++alive;
   }
-  return living >= next.majority();
+  return alive >= next.majority();
 }
 
-// Those that live are no majority without it, and a newcomer is about to come in: as soon as that one counts,
-// the others can do without it. Where nobody is coming, waiting would change nothing.
+// True if the live voters are no majority without `id` while a new member is joining; waiting is pointless if
+// none is.
 bool Core::must_stay(Time now, MemberId id) const {
-  const bool newcomer = std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
+  const bool has_newcomer = std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
     return !peer.second.voter && peer.second.asked_to_leave == Time{} && is_alive(now, peer.second);
   });
-  if (!newcomer || !log_.membership().has(id)) return false;
-  std::size_t living = id == self_ ? 0 : 1;
+  if (!has_newcomer || !log_.membership().has(id)) return false;
+  std::size_t alive = id == self_ ? 0 : 1;
   for (const auto& [other, peer] : peers_)
-    if (peer.voter && other != id && is_alive(now, peer)) ++living;
-  return living < log_.membership().majority();
+    if (peer.voter && other != id && is_alive(now, peer)) ++alive;
+  return alive < log_.membership().majority();
 }
 
-// A new leader knows of newcomers only when they have asked it: its first words release nobody.
+// A new leader does not know of joining members until they ask it, so its first messages clear nothing.
 void Core::update_told_to_stay(Time now, bool stay) {
   if (stay) {
     told_to_stay_ = true;
@@ -125,7 +127,7 @@
   return next;
 }
 
-// Who asked to end, while a successor stands.
+// Removes a voter that asked to leave, if there is a surplus voter.
 std::optional<Membership> Core::membership_without_leaver(Time now) const {
   if (log_.membership().voters.size() <= log_.membership().target_size) return std::nullopt;
   for (const auto& [id, peer] : peers_)
@@ -134,10 +136,11 @@
   return std::nullopt;
 }
 
-// All but the last few entries are there. Who asked to end is not taken in until it asks to be: it may be
-// gone at any moment, whatever of its answers is still on its way.
+// Whether a joining member lacks only the last few entries. One that asked to leave does not count until it
+// asks to join again, even if it still responds.
 bool Core::nearly_caught_up(Time now, const Peer& peer) const {
-  return !peer.voter && peer.asked_to_leave == Time{} && is_alive(now, peer) && peer.match + 8 >= log_.last();
+  return !peer.voter && peer.asked_to_leave == Time{} && is_alive(now, peer) &&
+         peer.match + max_lag_entries >= log_.last();
 }
 
 bool Core::caught_up(Time now, const Peer& peer) const {
@@ -150,11 +153,11 @@
                      [&](const Member& voter) { return voter.address == address; });
 }
 
-// A voter that is silent, and from whose address somebody else speaks who has caught up: its disk is lost, or
-// away. It goes by one entry, its successor comes by the next. Put in its place by a single one, the two
-// counts would share only those who stay: {A, C} and {B, C'} have nobody in common, should the old disk come
-// back. Nothing is lost by the shrink: a dead voter of n = 2k + 1 leaves 2k, and both need k + 1 that live.
-// Where a voter is lacking already it waits for the newcomer who is about to come in.
+// Removes a silent voter if a caught-up member with another id responds from its address: its disk was
+// replaced. The new id is added by a separate entry. If one entry did both, majorities before and after it,
+// such as {A, C} and {B, C'}, might not overlap when the old disk returns. Removing one of 2k + 1 voters
+// leaves the quorum at k + 1. While the group is below its target size, members about to join are added
+// first.
 std::optional<Membership> Core::membership_without_replaced(Time now) const {
   if (log_.membership().voters.size() < log_.membership().target_size)
     for (const auto& [id, peer] : peers_)
@@ -179,22 +182,22 @@
   return std::nullopt;
 }
 
-// The one silent for longest, while more stand than are wanted. Not while somebody who said so is on its way
-// out: two would go where one was replaced.
+// Removes the voter that has been silent for longest if there is a surplus voter. Waits while another voter
+// is leaving, since otherwise two would be removed for one replacement.
 std::optional<Membership> Core::membership_without_silent(Time now) const {
   if (log_.membership().voters.size() <= log_.membership().target_size) return std::nullopt;
   MemberId silent = 0;
-  Time least = now - options_.timing.silent_voter_timeout;
+  Time silent_since = now - options_.timing.silent_voter_timeout;
   for (const auto& [id, peer] : peers_) {
     if (!peer.voter) continue;
     if (is_leaving(now, peer)) return std::nullopt;
-    if (peer.last_contact < least) silent = id, least = peer.last_contact;
+    if (peer.last_contact < silent_since) silent = id, silent_since = peer.last_contact;
   }
   return silent == 0 ? std::nullopt : membership_without(now, silent);
 }
 
-// One change at a time, and none before this term has committed something. First who asked to end, then room
-// for who has lost its disk, then newcomers, last the silent.
+// One change at a time, and none before an entry of the own term is committed. Voters that leave come first,
+// then voters whose disk was replaced, then new members, then silent voters.
 void Core::change_membership(Time now) {
   if (role_ != Role::leader || commit_ < term_start_ || log_.membership_index() > commit_) return;
   std::optional<Membership> next = membership_without_leaver(now);
--- a/src/raft/replication.cpp
+++ b/src/raft/replication.cpp
@@ -1,4 +1,4 @@
-// The log on its way to all: rounds, appends, snapshots, what is committed and folded.
+// Log replication: heartbeat rounds, append entries, commit index and log compaction.
 #include <algorithm>
 
 #include "raft/core.h"
@@ -6,11 +6,11 @@
 namespace pearspar::raft {
 namespace {
 
-// A log is folded from Options::snapshot_after_entries on, a large state only when it is worth it: when the
-// entries have half its bytes. At the latest at so many entries, or bytes.
-constexpr std::size_t most_entries = 4096;
-constexpr std::size_t most_bytes = 4 << 20;
-// Of entries that are folded already, kept for members that still lack them.
+// The log is compacted from Options::snapshot_after_entries on if its entries have at least half the size of
+// the state, and in any case at these limits.
+constexpr std::size_t max_log_entries = 4096;
+constexpr std::size_t max_log_bytes = 4 << 20;
+// Compacted entries kept in memory for members that still need them.
 constexpr std::size_t max_retained_bytes = 32 << 20;
 constexpr std::size_t max_remembered_rounds = 64;
 
@@ -24,14 +24,14 @@
   return !write_entries(log_.last() + 1, std::move(entries));
 }
 
-// A store that is full gets room by what is applied being folded, if by anything.
+// If the store is full, compacts the applied entries to make room and tries again.
 std::error_code Core::write_entries(Index from, std::vector<Entry>&& entries) {
   auto error = log_.replace_tail(from, std::move(entries));
   record_store_result(error);
   if (!error || applied_ == log_.snapshot().index || applied_ < compact_after_) return error;
   compact_log();
   if (store_failed_) return error;
-  // What was refused is still here.
+  // `entries` is unchanged after a failure.
   error = log_.replace_tail(from, std::move(entries));  // NOLINT(bugprone-use-after-move)
   record_store_result(error);
   return error;
@@ -64,8 +64,8 @@
 
 void Core::send_to(Time now, MemberId id, Peer& peer, bool heartbeat) {
   if (peer.transfer || peer.next < log_.first()) return send_snapshot(now, id, peer, heartbeat);
-  bool news = peer.next <= log_.last();
-  if (!heartbeat && news && !peer.flight.free(round_)) return;
+  bool has_new_entries = peer.next <= log_.last();
+  if (!heartbeat && has_new_entries && !peer.flight.can_send(round_)) return;
   Message message;
   message.kind = MessageKind::append_entries;
   message.to = id;
@@ -76,137 +76,136 @@
   message.flag = must_stay(now, id);
   message.index = peer.next - 1;
   message.log_term = log_.term_at(peer.next - 1);
-  if (news && peer.flight.free(round_)) {
-    // To one that has not answered twice, a single entry: its disk may be full, or its link too narrow.
+  if (has_new_entries && peer.flight.can_send(round_)) {
+    // After two losses in a row only a single entry: the peer's disk may be full or its link too slow.
     message.entries = log_.entries_from(peer.next, peer.flight.losses > 1 ? 0 : options_.max_append_bytes);
     peer.flight.send(round_, message.entries.back().index);
   }
   send(peer.address, std::move(message));
 }
 
-bool Core::accept_leader(Time now, const Message& word, Message& answer) {
-  answer.to = word.from;
-  answer.round = word.round;
-  answer.term = vote_.term;
-  if (word.term < vote_.term) {
-    send(word.from_address, answer);
+bool Core::accept_leader(Time now, const Message& message, Message& response) {
+  response.to = message.from;
+  response.round = message.round;
+  response.term = vote_.term;
+  if (message.term < vote_.term) {
+    send(message.from_address, response);
     return false;
   }
-  if (word.from == self_ || (role_ == Role::leader && word.term == vote_.term)) {
+  if (message.from == self_ || (role_ == Role::leader && message.term == vote_.term)) {
     ++counters_.refused_messages;  // a term has one leader
     return false;
   }
-  if (word.term > vote_.term && !save_term(word.term, 0)) return false;
-  become_follower(now, word.term, word.from, word.from_address);
-  answer.term = vote_.term;
-  // It once acknowledged more than is here: its disk came back from the past, or has lied. Whatever the
-  // leader says next, a snapshot too, would only hide that votes may be forgotten with it.
-  if (word.acknowledged > log_.last()) {
+  if (message.term > vote_.term && !save_term(message.term, 0)) return false;
+  become_follower(now, message.term, message.from, message.from_address);
+  response.term = vote_.term;
+  // This member once acknowledged more than its log holds, so its disk was rolled back or lost writes,
+  // perhaps votes too. Must be detected before anything from the leader is applied.
+  if (message.acknowledged > log_.last()) {
     adopt_new_id(now);
     return false;
   }
-  update_told_to_stay(now, word.flag);
+  update_told_to_stay(now, message.flag);
   return true;
 }
 
-// What an append must hold, whatever we hold ourselves; and nothing that is committed here is denied by it.
+// Whether the entries are consistent in themselves and do not contradict committed entries.
 bool Core::has_valid_entries(const Message& append) {
   Term term = append.log_term;
   Index index = append.index;
-  bool good = index + 1 < log_.first() || index > commit_ || log_.term_at(index) == append.log_term;
+  bool valid = index + 1 < log_.first() || index > commit_ || log_.term_at(index) == append.log_term;
   for (const Entry& entry : append.entries) {
-    good =
-        good && entry.index == ++index && entry.term != 0 && entry.term >= term && entry.term <= append.term;
+    valid =
+        valid && entry.index == ++index && entry.term != 0 && entry.term >= term && entry.term <= append.term;
     term = entry.term;
-    if (good && index >= log_.first() - 1 && index <= commit_) good = log_.term_at(index) == term;
-    if (entry.kind == EntryKind::membership && entry.membership.voters.empty()) good = false;
+    if (valid && index >= log_.first() - 1 && index <= commit_) valid = log_.term_at(index) == term;
+    if (entry.kind == EntryKind::membership && entry.membership.voters.empty()) valid = false;
   }
-  if (!good) ++counters_.refused_messages;
-  return good;
+  if (!valid) ++counters_.refused_messages;
+  return valid;
 }
 
 void Core::on_append_entries(Time now, const Message& append) {
-  Message answer;
-  answer.kind = MessageKind::append_response;
+  Message response;
+  response.kind = MessageKind::append_response;
   if (append.term >= vote_.term && !has_valid_entries(append)) return;
-  if (!accept_leader(now, append, answer)) return;
+  if (!accept_leader(now, append, response)) return;
   Index last_new = append.index + append.entries.size();
   if (append.index > log_.last() ||
       (append.index >= log_.snapshot().index && log_.term_at(append.index) != append.log_term)) {
-    // It once acknowledged just this, and has something else in its place.
+    // This member once acknowledged that entry and now has a different one.
     if (append.index <= append.acknowledged) return adopt_new_id(now);
-    answer.index = std::min(log_.last(), append.index > 0 ? append.index - 1 : 0);
-    answer.index = std::max(answer.index, commit_);
-    return send(append.from_address, answer);
+    response.index = std::min(log_.last(), append.index > 0 ? append.index - 1 : 0);
+    response.index = std::max(response.index, commit_);
+    return send(append.from_address, response);
   }
-  std::vector<Entry> news;
+  std::vector<Entry> new_entries;
   for (const Entry& entry : append.entries) {
     if (entry.index <= log_.snapshot().index) continue;
-    if (news.empty() && entry.index <= log_.last() && log_.term_at(entry.index) == entry.term) continue;
-    news.push_back(entry);
+    if (new_entries.empty() && entry.index <= log_.last() && log_.term_at(entry.index) == entry.term)
+      continue;
+    new_entries.push_back(entry);
   }
-  // Nothing is said by a disk that refuses: the leader sends less, and again.
-  if (!news.empty() && write_entries(news.front().index, std::move(news))) return;
+  // No response if the write fails: the leader retries with fewer entries.
+  if (!new_entries.empty() && write_entries(new_entries.front().index, std::move(new_entries))) return;
   commit_ = std::max(commit_, std::min(append.commit, last_new));
   apply_committed();
-  answer.flag = true;
-  answer.index = last_new;
-  send(append.from_address, answer);
+  response.flag = true;
+  response.index = last_new;
+  send(append.from_address, response);
 }
 
-// Whose answer it is, where we lead in its term.
-Core::Peer* Core::find_responder(Time now, const Message& answer) {
-  if (answer.term > vote_.term) {
-    if (save_term(answer.term, 0)) step_down(now);
+Core::Peer* Core::find_responder(Time now, const Message& response) {
+  if (response.term > vote_.term) {
+    if (save_term(response.term, 0)) step_down(now);
     return nullptr;
   }
-  if (role_ != Role::leader || answer.term != vote_.term) return nullptr;
-  auto found = peers_.find(answer.from);
+  if (role_ != Role::leader || response.term != vote_.term) return nullptr;
+  auto found = peers_.find(response.from);
   if (found == peers_.end()) return nullptr;
   Peer& peer = found->second;
   peer.last_contact = now;
-  peer.capabilities = answer.capabilities;
-  if (auto round = rounds_.find(answer.round); round != rounds_.end())
+  peer.capabilities = response.capabilities;
+  if (auto round = rounds_.find(response.round); round != rounds_.end())
     peer.round_sent = std::max(peer.round_sent, round->second);
   return &peer;
 }
 
-void Core::on_append_response(Time now, const Message& answer) {
-  Peer* peer = find_responder(now, answer);
+void Core::on_append_response(Time now, const Message& response) {
+  Peer* peer = find_responder(now, response);
   if (!peer) return;
-  if (answer.flag && answer.index > log_.last()) {
+  if (response.flag && response.index > log_.last()) {
     ++counters_.refused_messages;
     return;
   }
   if (peer->transfer) {
-    if (answer.flag && answer.index >= peer->transfer->snapshot->index) {
+    if (response.flag && response.index >= peer->transfer->snapshot->index) {
       peer->transfer.reset();
       peer->flight = {};
     } else {
-      if (peer->flight.passed(answer.round)) peer->flight.lost(round_);
-      return send_to(now, answer.from, *peer, false);
+      if (peer->flight.overtaken_by(response.round)) peer->flight.record_loss(round_);
+      return send_to(now, response.from, *peer, false);
     }
   }
-  if (answer.flag) {
-    if (peer->flight.waiting && answer.index >= peer->flight.through)
+  if (response.flag) {
+    if (peer->flight.waiting && response.index >= peer->flight.last_index)
       peer->flight = {};
-    else if (peer->flight.passed(answer.round))
-      peer->flight.lost(round_);
-    if (answer.index > peer->match) {
-      peer->match = answer.index;
+    else if (peer->flight.overtaken_by(response.round))
+      peer->flight.record_loss(round_);
+    if (response.index > peer->match) {
+      peer->match = response.index;
       advance_commit(now);
       if (role_ != Role::leader) return;
     }
     peer->next = std::max(peer->next, peer->match + 1);
   } else {
-    Index before = peer->next;
-    peer->next = std::max<Index>(peer->match + 1, std::min(peer->next - 1, answer.index + 1));
-    // It lacks what it once acknowledged: its disk has lied. Asking at once would go on for ever; a later
-    // round does.
-    if (peer->next >= before) return peer->flight.lost(round_);
+    Index previous_next = peer->next;
+    peer->next = std::max<Index>(peer->match + 1, std::min(peer->next - 1, response.index + 1));
+    // The peer lacks entries that it acknowledged. Retrying at once would loop, so wait for a later round.
+    if (peer->next >= previous_next) return peer->flight.record_loss(round_);
     peer->flight.waiting = false;
   }
-  if (peer->next <= log_.last()) send_to(now, answer.from, *peer, false);
+  if (peer->next <= log_.last()) send_to(now, response.from, *peer, false);
   if (!peer->voter) change_membership(now);
 }
 
@@ -214,31 +213,31 @@
   if (role_ != Role::leader) return;
   const Membership& membership = log_.membership();
   for (Index index = log_.last(); index > commit_ && log_.term_at(index) == vote_.term; --index) {
-    std::size_t held = 0;
+    std::size_t replicas = 0;
     for (const Member& voter : membership.voters) {
       auto peer = peers_.find(voter.id);
-      if (voter.id == self_ || (peer != peers_.end() && peer->second.match >= index)) ++held;
+      if (voter.id == self_ || (peer != peers_.end() && peer->second.match >= index)) ++replicas;
     }
-    if (held < membership.majority()) continue;
+    if (replicas < membership.majority()) continue;
     commit_ = index;
     apply_committed();
-    // Those with news to take in hear of it with the next round.
     return change_membership(now);
   }
 }
 
 void Core::apply_committed() {
-  // Once counted it adds nothing to what is wanted, should it ever have to be taken in again.
+  // A founder raises the target size only once, even if it has to join again.
   if (log_.membership().has(self_)) options_.first_start = false;
   while (applied_ < commit_) {
     const Entry& entry = log_.at(++applied_);
     if (entry.kind == EntryKind::change) machine_.apply(entry);
   }
-  std::size_t behind = applied_ - log_.snapshot().index;
+  std::size_t applied_entries = applied_ - log_.snapshot().index;
   std::size_t bytes = log_.bytes();
-  bool must = behind >= most_entries || bytes >= most_bytes;
-  bool worth = behind >= options_.snapshot_after_entries && bytes * 2 >= log_.snapshot().state.size();
-  if (behind > 0 && (must || worth) && applied_ >= compact_after_) compact_log();
+  bool limit_reached = applied_entries >= max_log_entries || bytes >= max_log_bytes;
+  bool worthwhile =
+      applied_entries >= options_.snapshot_after_entries && bytes * 2 >= log_.snapshot().state.size();
+  if (applied_entries > 0 && (limit_reached || worthwhile) && applied_ >= compact_after_) compact_log();
 }
 
 void Core::compact_log() {
@@ -247,18 +246,18 @@
   snapshot.term = log_.term_at(applied_);
   snapshot.membership = log_.membership_at(applied_);
   snapshot.state = machine_.take_snapshot();
-  auto error = log_.compact(std::move(snapshot));  // where it fails the log only stays longer
+  auto error = log_.compact(std::move(snapshot));  // on failure the log just stays longer
   record_store_result(error);
   if (error) compact_after_ = applied_ + options_.snapshot_after_entries;
-  if (role_ == Role::leader) return;  // which lets go with its rounds
+  if (role_ == Role::leader) return;  // trims in broadcast()
   log_.trim(log_.snapshot().index, 0);
   sending_.reset();
 }
 
-// Of what is folded, the entries stay that a member in touch still lacks, up to a bound.
+// Keeps compacted entries that reachable peers still need, up to a limit.
 void Core::trim_log(Time now) {
   Index floor = log_.snapshot().index;
-  bool sends = false;
+  bool transferring = false;
   for (auto& [id, peer] : peers_) {
     if (now - peer.last_contact > options_.timing.silent_voter_timeout) {
       if (peer.transfer) peer.flight = {};
@@ -274,9 +273,9 @@
       peer.transfer.reset();
       peer.flight = {};
     }
-    sends = sends || peer.transfer;
+    transferring = transferring || peer.transfer;
   }
-  if (!sends) sending_.reset();
+  if (!transferring) sending_.reset();
 }
 
 }  // namespace pearspar::raft
--- a/src/raft/snapshot_transfer.cpp
+++ b/src/raft/snapshot_transfer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t max_state_bytes = 16 << 20;
-// For a member that takes no pieces: what one frame holds for certain.
+// Limit for members without support for chunks: a state that fits in one frame.
 constexpr std::size_t max_unchunked_bytes = 3 << 20;
 constexpr Duration retry_after = std::chrono::milliseconds(500);
 
@@ -16,8 +16,8 @@
 
 std::uint64_t state_digest(const std::string& state) { return XXH3_64bits(state.data(), state.size()); }
 
-// All transfers under way send one snapshot, the oldest whose entries behind it are still here: memory holds
-// that one beside the log's, whoever asks and however often it is folded meanwhile.
+// All transfers in progress share one snapshot, the oldest one whose following entries are still in memory.
+// So at most one snapshot is held besides the log's own.
 bool Core::begin_transfer(Peer& peer) {
   if (!sending_ || sending_->index + 1 < log_.first()) sending_ = log_.shared_snapshot();
   if (sending_->state.size() >
@@ -32,59 +32,59 @@
 }
 
 void Core::send_snapshot(Time now, MemberId id, Peer& peer, bool heartbeat) {
-  // Nothing is begun to one that says nothing: its next answer begins it.
-  bool lives = now - peer.last_contact <= options_.timing.silent_voter_timeout;
-  bool sends = peer.transfer || (lives && begin_transfer(peer));
-  bool goes = sends && peer.flight.free(round_);
-  if (!goes && !heartbeat) return;
+  // A transfer to a silent peer starts with its next response.
+  bool alive = now - peer.last_contact <= options_.timing.silent_voter_timeout;
+  bool transferring = peer.transfer || (alive && begin_transfer(peer));
+  bool send_data = transferring && peer.flight.can_send(round_);
+  if (!send_data && !heartbeat) return;
   Message message;
   message.to = id;
   message.term = vote_.term;
   message.round = round_;
   message.acknowledged = peer.match;
   message.flag = must_stay(now, id);
-  if (!sends || !(peer.capabilities & supports_snapshot_chunks)) {
-    // Between the tries a heartbeat that holds whatever the member has.
-    message.kind = goes ? MessageKind::install_snapshot : MessageKind::append_entries;
-    if (goes) message.snapshot = *peer.transfer->snapshot;
+  if (!transferring || !(peer.capabilities & supports_snapshot_chunks)) {
+    // Between attempts, an empty heartbeat that is valid for any log.
+    message.kind = send_data ? MessageKind::install_snapshot : MessageKind::append_entries;
+    if (send_data) message.snapshot = *peer.transfer->snapshot;
   } else {
     OutgoingSnapshot& transfer = *peer.transfer;
-    const Snapshot& whole = *transfer.snapshot;
+    const Snapshot& snapshot = *transfer.snapshot;
     message.kind = MessageKind::snapshot_chunk;
-    message.snapshot.index = whole.index;
-    message.snapshot.term = whole.term;
-    message.snapshot.membership = whole.membership;
-    message.offset = transfer.held;
-    message.total = whole.state.size();
+    message.snapshot.index = snapshot.index;
+    message.snapshot.term = snapshot.term;
+    message.snapshot.membership = snapshot.membership;
+    message.offset = transfer.received_bytes;
+    message.total = snapshot.state.size();
     message.digest = transfer.digest;
-    if (goes) message.snapshot.state = whole.state.substr(transfer.held, options_.snapshot_chunk_bytes);
+    if (send_data)
+      message.snapshot.state = snapshot.state.substr(transfer.received_bytes, options_.snapshot_chunk_bytes);
     if (!message.snapshot.state.empty()) ++counters_.chunks_sent;
   }
-  if (goes) peer.flight.send(round_, peer.transfer->snapshot->index);
+  if (send_data) peer.flight.send(round_, peer.transfer->snapshot->index);
   send(peer.address, std::move(message));
 }
 
-void Core::on_snapshot_chunk_response(Time now, const Message& answer) {
-  Peer* peer = find_responder(now, answer);
-  if (!peer || !peer->transfer || peer->transfer->snapshot->index != answer.index) return;
+void Core::on_snapshot_chunk_response(Time now, const Message& response) {
+  Peer* peer = find_responder(now, response);
+  if (!peer || !peer->transfer || peer->transfer->snapshot->index != response.index) return;
   OutgoingSnapshot& transfer = *peer->transfer;
-  if (answer.offset > transfer.snapshot->state.size()) {
+  if (response.offset > transfer.snapshot->state.size()) {
     ++counters_.refused_messages;
     return;
   }
-  if (answer.offset > transfer.held) {
+  if (response.offset > transfer.received_bytes) {
     peer->flight = {};
-  } else if (answer.offset < transfer.held || peer->flight.passed(answer.round)) {
-    // It has begun anew, or the last chunk has not come.
-    peer->flight.lost(round_);
+  } else if (response.offset < transfer.received_bytes || peer->flight.overtaken_by(response.round)) {
+    // The receiver has restarted the transfer, or the last chunk was lost.
+    peer->flight.record_loss(round_);
   } else {
     return;
   }
-  transfer.held = answer.offset;
-  send_to(now, answer.from, *peer, false);
+  transfer.received_bytes = response.offset;
+  send_to(now, response.from, *peer, false);
 }
 
-// In one write, or not at all.
 bool Core::install_snapshot(const Snapshot& snapshot) {
   auto error = log_.install(snapshot);
   record_store_result(error);
@@ -96,9 +96,9 @@
 }
 
 void Core::on_install_snapshot(Time now, const Message& install) {
-  Message answer;
-  answer.kind = MessageKind::append_response;
-  if (!accept_leader(now, install, answer)) return;
+  Message response;
+  response.kind = MessageKind::append_response;
+  if (!accept_leader(now, install, response)) return;
   const Snapshot& snapshot = install.snapshot;
   if (snapshot.index > commit_) {
     if (snapshot.term > install.term || snapshot.term < log_.snapshot().term ||
@@ -109,31 +109,31 @@
     if (!install_snapshot(snapshot)) return;
   }
   incoming_.reset();
-  answer.flag = true;
-  answer.index = commit_;
-  send(install.from_address, answer);
+  response.flag = true;
+  response.index = commit_;
+  send(install.from_address, response);
 }
 
 void Core::on_snapshot_chunk(Time now, const Message& chunk) {
-  Message answer;
-  answer.kind = MessageKind::snapshot_chunk_response;
-  answer.index = chunk.snapshot.index;
-  if (!accept_leader(now, chunk, answer)) return;
+  Message response;
+  response.kind = MessageKind::snapshot_chunk_response;
+  response.index = chunk.snapshot.index;
+  if (!accept_leader(now, chunk, response)) return;
   if (chunk.snapshot.index <= commit_) {
     incoming_.reset();
-    answer.kind = MessageKind::append_response;
-    answer.flag = true;
-    answer.index = commit_;
-    return send(chunk.from_address, answer);
+    response.kind = MessageKind::append_response;
+    response.flag = true;
+    response.index = commit_;
+    return send(chunk.from_address, response);
   }
   const std::string& bytes = chunk.snapshot.state;
   if (chunk.total > max_state_bytes || chunk.offset > chunk.total ||
       bytes.size() > chunk.total - chunk.offset || chunk.snapshot.term > chunk.term ||
       chunk.snapshot.term < log_.snapshot().term || chunk.snapshot.membership.voters.empty()) {
     ++counters_.refused_snapshots;
-    return send(chunk.from_address, answer);
+    return send(chunk.from_address, response);
   }
-  if (!incoming_ || !incoming_->of(chunk)) {
+  if (!incoming_ || !incoming_->matches(chunk)) {
     incoming_.emplace();
     incoming_->snapshot = chunk.snapshot;
     incoming_->snapshot.state.clear();
@@ -141,25 +141,25 @@
     incoming_->total = chunk.total;
     incoming_->digest = chunk.digest;
   }
-  std::string& held = incoming_->snapshot.state;
-  if (chunk.offset == held.size()) held += bytes;
-  if (held.size() == incoming_->total && now >= incoming_->retry) {
-    if (state_digest(held) != incoming_->digest) {
+  std::string& received = incoming_->snapshot.state;
+  if (chunk.offset == received.size()) received += bytes;
+  if (received.size() == incoming_->total && now >= incoming_->retry_at) {
+    if (state_digest(received) != incoming_->digest) {
       ++counters_.refused_snapshots;
       incoming_.reset();
-      return send(chunk.from_address, answer);
+      return send(chunk.from_address, response);
     }
     if (install_snapshot(incoming_->snapshot)) {
       incoming_.reset();
-      answer.kind = MessageKind::append_response;
-      answer.flag = true;
-      answer.index = commit_;
-      return send(chunk.from_address, answer);
+      response.kind = MessageKind::append_response;
+      response.flag = true;
+      response.index = commit_;
+      return send(chunk.from_address, response);
     }
-    incoming_->retry = now + retry_after;
+    incoming_->retry_at = now + retry_after;
   }
-  answer.offset = held.size();
-  send(chunk.from_address, answer);
+  response.offset = received.size();
+  send(chunk.from_address, response);
 }
 
 }  // namespace pearspar::raft
--- a/src/raft/snapshot_transfer.h
+++ b/src/raft/snapshot_transfer.h
@@ -1,7 +1,6 @@
-// A snapshot on its way to a member that lacks what the log begins with: its state in pieces, one out at a
-// time, beside the leader's rounds. A chunk goes out when the one before it is acknowledged, or when a later
-// round was answered without it. The receiver holds the pieces in memory; the store gets the whole, in one
-// write, or nothing.
+// Snapshot transfer to a member whose missing entries are no longer in the leader's log. The state is sent in
+// chunks, one at a time, alongside heartbeats. The receiver buffers the chunks in memory and writes the
+// complete snapshot to its store in one transaction.
 #pragma once
 
 #include <algorithm>
@@ -13,41 +12,45 @@
 
 namespace pearspar::raft {
 
-// What is out to a member, and how often it was in vain. One thing at a time, so at most one append's or one
-// chunk's bytes are out and unanswered, however long the member is silent.
+// Flow control for one peer: at most one message with entries or a chunk is unanswered, and the leader backs
+// off exponentially after repeated losses. Times are heartbeat rounds.
 struct InFlight {
-  bool waiting = false;     // for an answer
-  std::uint64_t round = 0;  // when it went out
-  Index through = 0;        // its last entry
-  int losses = 0;           // one after the other
-  std::uint64_t again = 0;  // not before this round
-
-  bool free(std::uint64_t now) const { return !waiting && now >= again; }
-  void send(std::uint64_t now, Index last) { waiting = true, round = now, through = last; }
-  // Links keep the order: what a later round's answer does not know of has not come, or was refused.
-  bool passed(std::uint64_t answered) const { return waiting && answered > round; }
-  void lost(std::uint64_t now) {
+  bool waiting = false;           // for a response
+  std::uint64_t round = 0;        // in which the message was sent
+  Index last_index = 0;           // last entry in the message
+  int losses = 0;                 // in a row
+  std::uint64_t retry_round = 0;  // first round in which the next message may be sent
+
+  bool can_send(std::uint64_t now) const { return !waiting && now >= retry_round; }
+  void send(std::uint64_t now, Index last) { waiting = true, round = now, last_index = last; }
+  // Links preserve order, so a response to a later round means that the message was lost or rejected.
+  bool overtaken_by(std::uint64_t answered) const { return waiting && answered > round; }
+  void record_loss(std::uint64_t now) {
     waiting = false;
     losses = std::min(losses + 1, 5);
-    again = losses > 1 ? now + (1u << (losses - 1)) : now;
+    retry_round = losses > 1 ? now + (1u << (losses - 1)) : now;
   }
 };
 
+// XXH3 of a snapshot's state.
 std::uint64_t state_digest(const std::string& state);
 
+// A transfer to one peer, on the leader.
 struct OutgoingSnapshot {
   std::shared_ptr<const Snapshot> snapshot;
   std::uint64_t digest = 0;
-  std::uint64_t held = 0;  // bytes, by the receiver
+  std::uint64_t received_bytes = 0;  // as reported by the receiver
 };
 
+// A transfer in progress, on the receiver.
 struct IncomingSnapshot {
-  Snapshot snapshot;  // its state: what has come
+  Snapshot snapshot;  // its state holds the bytes received so far
   std::uint64_t total = 0;
   std::uint64_t digest = 0;
-  Time retry{};  // of a write that the disk has refused
+  Time retry_at{};  // after a failed write to the store
 
-  bool of(const Message& chunk) const {
+  // Whether `chunk` belongs to this transfer.
+  bool matches(const Message& chunk) const {
     return snapshot.index == chunk.snapshot.index && snapshot.term == chunk.snapshot.term &&
            snapshot.membership == chunk.snapshot.membership && total == chunk.total && digest == chunk.digest;
   }
--- a/src/raft/store.h
+++ b/src/raft/store.h
@@ -1,5 +1,5 @@
-// What a member keeps on disk. Each call returns only when what it wrote is there to stay, or has failed
-// whole; after a failure the store holds what it held before, and may be asked again.
+// Durable storage of a member. Each call is atomic and returns only after its data has been synced to disk;
+// after a failure the store is unchanged and the call may be retried.
 #pragma once
 
 #include <optional>
@@ -10,25 +10,28 @@
 
 namespace pearspar::raft {
 
+// Everything that a member restores when it restarts.
 struct PersistentState {
-  MemberId self = 0;  // 0 = this disk is empty
+  MemberId self = 0;  // 0 = the store is empty
   Vote vote;
   Snapshot snapshot;
-  std::vector<Entry> entries;  // those behind the snapshot, without gaps
-  Index commit = 0;            // known to be committed; may lag
-  std::string note;            // the host's own, as it was last kept; nothing rests on it
+  std::vector<Entry> entries;  // the entries after the snapshot, without gaps
+  Index commit = 0;            // a lower bound of the commit index
+  std::string note;            // opaque data of the host; losing it is harmless
 };
 
+// Interface that the Raft core writes through.
 class Store {
  public:
   virtual ~Store() = default;
   virtual std::error_code load(PersistentState& stored) = 0;
   virtual std::error_code save_self(MemberId self) = 0;
   virtual std::error_code save_vote(const Vote& vote) = 0;
-  // Drops every entry from `from` on, then adds these (the first of which is `from`, if there is one).
+  // Removes all entries from `from` on and appends `entries`, the first of which has index `from`.
   virtual std::error_code replace_tail(Index from, const std::vector<Entry>& entries) = 0;
-  // Takes the place of all entries up to its index; where `drop_rest` is set, of those behind it too.
+  // Replaces all entries up to the snapshot's index; with `drop_rest` also removes the entries after it.
   virtual std::error_code save_snapshot(const Snapshot& snapshot, bool drop_rest) = 0;
+  // Stores the commit index and the host's opaque data.
   virtual std::error_code save_note(Index commit, const std::string& note) = 0;
 };
 
