--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -21,7 +21,7 @@
   return sync_directory(slash == folder.npos ? "." : folder.substr(0, slash + 1));
 }
 
-// Whatever cannot be looked at may be there: only what is surely none is made.
+// A file that cannot be inspected counts as existing, so that it is not overwritten.
 bool exists(const std::string& file) {
   struct stat found {};
   return ::stat(file.c_str(), &found) == 0 || errno != ENOENT;
@@ -37,7 +37,8 @@
 
 std::error_code sync_directory(const std::string& folder) {
   int fd = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  // Who may not read it, or cannot sync any, has to trust its names as they are.
+  // Without permission to open the directory, or on file systems that cannot sync one, names may not be
+  // durable.
   if (fd < 0) return errno == EACCES || errno == EPERM ? std::error_code() : last_error();
   std::error_code error;
   if (::fsync(fd) != 0 && errno != EINVAL) error = last_error();
--- a/src/storage/files.h
+++ b/src/storage/files.h
@@ -1,4 +1,4 @@
-// What a store asks of its folder beside LMDB: names that last, a file that is as long as it says.
+// File operations that a store needs besides LMDB, with durable names.
 #pragma once
 
 #include <cstddef>
@@ -7,14 +7,14 @@
 
 namespace pearspar::storage {
 
-// Made where it is not there; its name lasts then.
+// Creates a directory if it does not exist and syncs its parent.
 std::error_code make_directory(const std::string& folder);
 bool exists(const std::string& file);
-std::error_code remove_file(const std::string& file);  // none is no fault
+std::error_code remove_file(const std::string& file);  // no error if there is none
 std::error_code rename_file(const std::string& from, const std::string& to);
-// What was made, renamed or removed in it lasts only then.
+// Makes the creation, renaming and removal of files in the directory durable.
 std::error_code sync_directory(const std::string& folder);
-// Zeros behind its end up to there; 0, or the fault's number.
+// Appends zeros up to a size of `bytes`; returns 0 or an errno value.
 int extend_file(int fd, std::size_t bytes);
 
 }  // namespace pearspar::storage
--- a/src/storage/lmdb_store.cpp
+++ b/src/storage/lmdb_store.cpp
@@ -12,7 +12,7 @@
 using namespace raft;
 
 constexpr std::uint64_t format = 1;
-constexpr std::size_t least_allocation = 4096;  // that the library may have been refused: a page
+constexpr std::size_t min_allocation = 4096;  // one page, the least that LMDB may have failed to allocate
 
 class FaultCategory : public std::error_category {
  public:
@@ -58,7 +58,7 @@
   return std::string(packer.view());
 }
 
-// Drops the entries for whose index `drop` is true.
+// Removes entries from `from` on as long as `drop` is true for their index.
 template <typename Drop>
 int drop_entries(MDB_txn* txn, MDB_dbi dbi, Index from, Drop drop) {
   MDB_cursor* cursor = nullptr;
@@ -71,13 +71,15 @@
     for (char byte : view_of(key).substr(1)) index = index << 8 | static_cast<unsigned char>(byte);
     if (!drop(index)) break;
     if ((result = mdb_cursor_del(cursor, 0))) break;
-    result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT);  // after a removal: what came into its place
+    // After a deletion this returns the entry that took its place.
+    result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT);
   }
   mdb_cursor_close(cursor);
   return result == MDB_NOTFOUND ? MDB_SUCCESS : result;
 }
 
-// Without a format: nothing, or what an older program wrote before it. All else is somebody else's.
+// Whether a database without a format key is empty or was started by an older version; anything else belongs
+// to another program.
 bool is_unfinished_store(MDB_txn* txn, MDB_dbi dbi) {
   MDB_cursor* cursor = nullptr;
   if (mdb_cursor_open(txn, dbi, &cursor)) return false;
@@ -113,7 +115,7 @@
   if (!exists(file))
     if (auto error = make_file(file)) return error;
   if (int result = open_at(file)) return error_of(result);
-  // The names of what was made last only then.
+  // Makes the name of the data file durable.
   if (auto error = directory_synced_ ? std::error_code() : sync_directory(folder_)) {
     close();
     return error;
@@ -122,7 +124,7 @@
   return {};
 }
 
-// One process and one thread: no table of readers is needed.
+// Used by one thread of one process only, so LMDB's reader table is not needed.
 int LmdbStore::open_at(const std::string& file) {
   int result = mdb_env_create(&env_);
   if (result == MDB_SUCCESS) result = mdb_env_set_mapsize(env_, map_mb_ << 20);
@@ -134,13 +136,13 @@
   if (result == MDB_SUCCESS) result = mdb_env_info(env_, &info);
   if (result == MDB_SUCCESS) result = mdb_env_stat(env_, &stat);
   if (result == MDB_SUCCESS) result = mdb_env_get_fd(env_, &fd);
-  // To read a page behind the file's end would end the process; one of zeros is no page to LMDB.
+  // Reading a page beyond the end of a truncated file would raise SIGBUS; LMDB rejects a page of zeros.
   if (result == MDB_SUCCESS) result = extend_file(fd, (info.me_last_pgno + 1) * stat.ms_psize);
   if (result != MDB_SUCCESS) close();
   return result;
 }
 
-// A file has its name only once there is something whole in it: power that is lost before leaves none.
+// Renames the file only after its first commit, so that a power loss leaves no incomplete store.
 std::error_code LmdbStore::make_file(const std::string& file) {
   std::string fresh = folder_ + "/data.new";
   if (auto error = remove_file(fresh)) return error;
@@ -155,8 +157,8 @@
     std::error_code error = open();
     if (!error) error = commit(work);
     if (error != std::errc::not_enough_memory) return error;
-    // Nothing of it is on disk, and the file is closed: the whole goes again.
-    allocation::make_room(least_allocation);
+    // Nothing was written and the environment is closed, so the call can be repeated.
+    allocation::make_room(min_allocation);
   }
 }
 
@@ -179,15 +181,15 @@
 std::error_code LmdbStore::write_with_reserve(const std::function<int(MDB_txn*, MDB_dbi)>& work) {
   auto error = write(work);
   if (error != error_of(MDB_MAP_FULL)) return error;
-  if (auto closed = open()) return closed;
+  if (auto open_error = open()) return open_error;
   if (int result = mdb_env_set_mapsize(env_, max_map_mb_ << 20)) return error_of(result);
   error = write(work);
-  // What a transaction has freed is there for the second one after it, and a write that is refused is none:
-  // so one more now, while there is room.
+  // LMDB reuses pages freed by a transaction only in the second one after it, so commit one more while there
+  // is room.
   if (!error)
     static_cast<void>(
         write([](MDB_txn* txn, MDB_dbi dbi) { return put(txn, dbi, "format", pack_number(format)); }));
-  // Back to the usual bound, or to what is in use now.
+  // Back to the usual limit, or to the size in use.
   if (env_ && mdb_env_set_mapsize(env_, map_mb_ << 20) != MDB_SUCCESS) close();
   return error;
 }
@@ -248,12 +250,12 @@
            result == MDB_SUCCESS && key.mv_size == start.size() && view_of(key)[0] == 'e';
            result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
         auto entry = fanes::unpack_entry(view_of(value));
-        Index due = stored.snapshot.index + stored.entries.size() + 1;
-        if (!entry || (entry->index >= due && entry->index != due)) {
+        Index expected = stored.snapshot.index + stored.entries.size() + 1;
+        if (!entry || (entry->index >= expected && entry->index != expected)) {
           fault = StoreError::corrupt;
           break;
         }
-        if (entry->index == due) stored.entries.push_back(std::move(*entry));
+        if (entry->index == expected) stored.entries.push_back(std::move(*entry));
       }
       mdb_cursor_close(cursor);
       if (result == MDB_NOTFOUND) result = MDB_SUCCESS;
--- a/src/storage/lmdb_store.h
+++ b/src/storage/lmdb_store.h
@@ -1,8 +1,8 @@
-// A member's store in LMDB: one environment in one folder, one transaction a call, synced by its commit.
+// Raft store in LMDB: one environment per directory and one synced transaction per call.
 //
-// Layout, format 1 (key -> msgpack): "format" -> [1]; "self" -> [id]; "vote" -> [term, given to];
-// "note" -> [commit, bytes]; "snapshot" -> [[index, term, membership, state]]; 'e' and the index in 8 bytes,
-// greatest first -> [entry]. A store of another format is refused at the start, and left as it is.
+// Layout of format 1 (key -> msgpack): "format" -> [1]; "self" -> [id]; "vote" -> [term, voted for];
+// "note" -> [commit, bytes]; "snapshot" -> [[index, term, membership, state]]; 'e' followed by the index as 8
+// bytes, big-endian -> [entry]. A store of another format is rejected when it is opened and left unchanged.
 #pragma once
 
 #include <lmdb.h>
@@ -15,15 +15,16 @@
 
 namespace pearspar::storage {
 
+// Errors of the stored data itself; LMDB and the system have their own categories.
 enum class StoreError { unsupported_format = 1, corrupt };
 std::error_code make_error_code(StoreError fault);
 
+// Store of one Raft member.
 class LmdbStore : public raft::Store {
  public:
-  // `folder` is made where it is not there. `map_mb`: how far entries and notes may let the file grow, in MB;
-  // `max_map_mb`: how far anything may. What lies between is for votes and for a snapshot that takes the
-  // place of entries: a store that these have filled can still be folded. Beyond it a write is refused as by
-  // a full disk.
+  // Creates `folder` if it does not exist. Entries and notes may grow the file up to `map_mb` MB, votes and
+  // snapshots up to `max_map_mb` MB, so that a full store can still be compacted. A write beyond these limits
+  // fails as on a full disk.
   explicit LmdbStore(std::string folder, std::size_t map_mb = 64, std::size_t max_map_mb = 120);
   ~LmdbStore() override;
 
@@ -39,18 +40,18 @@
   int open_at(const std::string& file);
   std::error_code make_file(const std::string& file);
   void close();
-  // Opens the environment where it is closed; closes it after a failure, so that the next call starts from
-  // what the disk really holds.
+  // Runs `work` in a transaction, opening the environment if necessary. A failure closes it, so that the next
+  // call starts from what is on disk.
   std::error_code write(const std::function<int(MDB_txn*, MDB_dbi)>& work);
   std::error_code commit(const std::function<int(MDB_txn*, MDB_dbi)>& work);
-  // With all the room there is, where the usual does not do.
+  // Like write(), but with the larger limit if the usual one is exceeded.
   std::error_code write_with_reserve(const std::function<int(MDB_txn*, MDB_dbi)>& work);
 
   std::string folder_;
   std::size_t map_mb_;
   std::size_t max_map_mb_;
   MDB_env* env_ = nullptr;
-  bool directory_synced_ = false;  // its names are there to stay
+  bool directory_synced_ = false;
 };
 
 }  // namespace pearspar::storage
