--- a/tests/system/disk_rollback_test.cpp
+++ b/tests/system/disk_rollback_test.cpp
@@ -7,8 +7,8 @@
 
 class DiskRollbackTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DiskRollbackTest);
-  CPPUNIT_TEST(aFolderSetBackIsFoundOutBehindASnapshot);
-  CPPUNIT_TEST(whoWasAwayForLongKeepsItsId);
+  CPPUNIT_TEST(rollbackIsDetectedBehindASnapshot);
+  CPPUNIT_TEST(longAbsentMemberKeepsItsId);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr double let_go_after_s = 2;  // by then the leader keeps nothing for it
@@ -16,7 +16,7 @@
 
  public:
   // Its leader has folded beyond what it lacks, so that the first it hears of the log is a snapshot.
-  void aFolderSetBackIsFoundOutBehindASnapshot() {
+  void rollbackIsDetectedBehindASnapshot() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Band band(3, seed);
       const std::size_t leader = band.led(), member = (leader + 1) % 3;
@@ -41,7 +41,7 @@
   }
 
   // The same without the set back: a snapshot alone makes nobody another.
-  void whoWasAwayForLongKeepsItsId() {
+  void longAbsentMemberKeepsItsId() {
     Band band(3);
     const std::size_t leader = band.led(), member = (leader + 1) % 3;
     CPPUNIT_ASSERT(band.change(leader));
--- a/tests/system/log_store_test.cpp
+++ b/tests/system/log_store_test.cpp
@@ -22,16 +22,16 @@
 
 class LogStoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogStoreTest);
-  CPPUNIT_TEST(bytesOfTheFirstProgramRead);
-  CPPUNIT_TEST(aStoreOfTheFirstProgramReads);
-  CPPUNIT_TEST(aFoldIsPossibleWhereTheLogHasFilledTheStore);
-  CPPUNIT_TEST(aMemberFoldsWhereItsStoreIsFull);
-  CPPUNIT_TEST(theFileStaysUnderItsBound);
-  CPPUNIT_TEST(aStartReadsABoundedLog);
+  CPPUNIT_TEST(messagesOfFirstVersionAreDecoded);
+  CPPUNIT_TEST(storeOfFirstVersionIsLoaded);
+  CPPUNIT_TEST(fullStoreCanBeCompacted);
+  CPPUNIT_TEST(memberCompactsWhenStoreIsFull);
+  CPPUNIT_TEST(fileSizeStaysWithinLimit);
+  CPPUNIT_TEST(restartReadsABoundedLog);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void bytesOfTheFirstProgramRead() {
+  void messagesOfFirstVersionAreDecoded() {
     auto read = [](const char* hex) {
       auto message = fanes::unpack(from_hex(hex));
       CPPUNIT_ASSERT(message);
@@ -57,7 +57,7 @@
   }
 
   // The values that the first program put under each key.
-  void aStoreOfTheFirstProgramReads() {
+  void storeOfFirstVersionIsLoaded() {
     TempFolder folder;
     MDB_env* env = nullptr;
     MDB_txn* txn = nullptr;
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT_EQUAL(from_hex("9195080301c4066368616e6765920090"), fanes::pack_entry(stored.entries[0]));
   }
 
-  void aFoldIsPossibleWhereTheLogHasFilledTheStore() {
+  void fullStoreCanBeCompacted() {
     TempFolder folder;
     storage::LmdbStore store(folder.path(), 4, 12);
     std::string state(1500000, 's');
@@ -117,7 +117,7 @@
   }
 
   // A state that is not worth folding yet, and a store that takes no more: it is folded all the same.
-  void aMemberFoldsWhereItsStoreIsFull() {
+  void memberCompactsWhenStoreIsFull() {
     TempFolder folder;
     storage::LmdbStore store(folder.path(), 4, 12);
     CountingMachine book(3 * mb);
@@ -136,7 +136,7 @@
   }
 
   // A day in short: changes of all sizes, notes, folds of a state that grows and shrinks.
-  void theFileStaysUnderItsBound() {
+  void fileSizeStaysWithinLimit() {
     TempFolder folder;
     storage::LmdbStore store(folder.path());
     Day day(200, 3 * mb);
@@ -146,7 +146,7 @@
   }
 
   // What a restart reads: a snapshot, under 4096 applied entries, and under 4 MB of them and one change.
-  void aStartReadsABoundedLog() {
+  void restartReadsABoundedLog() {
     for (std::size_t state : {std::size_t{1000}, std::size_t{800000}}) {
       ReplicationHarness rig(1, state, 1e9);
       rig.lead();
--- a/tests/system/raft_core_test.cpp
+++ b/tests/system/raft_core_test.cpp
@@ -15,31 +15,31 @@
 
 class RaftCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RaftCoreTest);
-  CPPUNIT_TEST(anOldDiskThatComesBackMeetsAMajority);
-  CPPUNIT_TEST(theLeaderDiesBetweenShrinkAndGrowth);
-  CPPUNIT_TEST(twoOfFiveAreReplacedOneByOne);
-  CPPUNIT_TEST(whoStillAnswersIsNotReplaced);
-  CPPUNIT_TEST(aDiskFromThePastIsTakenInAnew);
-  CPPUNIT_TEST(aLeaverGoesAndTheFrozenOneStays);
-  CPPUNIT_TEST(aFounderThatReturnsIsWantedOnce);
-  CPPUNIT_TEST(aLeaverHoldsOnWhileItsSuccessorIsSentTheState);
-  CPPUNIT_TEST(aLeaverWaitsUntilOthersHoldAll);
-  CPPUNIT_TEST(aSilentOneStaysWhileSomebodyLeaves);
-  CPPUNIT_TEST(aLeaverStaysWhereItIsNeeded);
-  CPPUNIT_TEST(aLeaverThatLeadsHandsOver);
-  CPPUNIT_TEST(aLeaverThatHoldsMostLeadsAgainFirst);
-  CPPUNIT_TEST(aRestartWaitsForNobody);
-  CPPUNIT_TEST(aRestartBesideALossWaitsForNobody);
-  CPPUNIT_TEST(aNewLeadersFirstWordsReleaseNoLeaver);
-  CPPUNIT_TEST(aLeaverThatReturnsIsTakenInAnew);
-  CPPUNIT_TEST(whoIsNotCountedDoesNotStand);
-  CPPUNIT_TEST(aVoteFromOutsideDoesNotCount);
-  CPPUNIT_TEST(nothingIsServedBeforeTheTermHasCommitted);
-  CPPUNIT_TEST(clocksApartBreakNoLease);
-  CPPUNIT_TEST(aLeaseTooLongIsRefused);
-  CPPUNIT_TEST(cutOffForTwentySeconds);
-  CPPUNIT_TEST(frozenAtEachMoment);
-  CPPUNIT_TEST(anyOrderOfLossesLeavesAMajority);
+  CPPUNIT_TEST(returningOldDiskLosesNoCommittedEntry);
+  CPPUNIT_TEST(leaderFailsBetweenRemovalAndAddition);
+  CPPUNIT_TEST(twoOfFiveVotersAreReplacedOneByOne);
+  CPPUNIT_TEST(liveVoterIsNotReplaced);
+  CPPUNIT_TEST(rolledBackMemberRejoinsUnderNewId);
+  CPPUNIT_TEST(leavingVoterIsRemovedInsteadOfFrozenOne);
+  CPPUNIT_TEST(returningFounderRaisesTargetSizeOnce);
+  CPPUNIT_TEST(leavingVoterStaysWhileSuccessorsReceiveSnapshot);
+  CPPUNIT_TEST(leavingVoterWaitsUntilOthersHaveItsLog);
+  CPPUNIT_TEST(silentVoterIsKeptWhileAnotherLeaves);
+  CPPUNIT_TEST(leavingVoterStaysWhileNeededForMajority);
+  CPPUNIT_TEST(leavingLeaderTransfersLeadership);
+  CPPUNIT_TEST(leavingLeaderWithLongestLogIsReelectedFirst);
+  CPPUNIT_TEST(restartDoesNotWait);
+  CPPUNIT_TEST(restartBesideFailedVoterDoesNotWait);
+  CPPUNIT_TEST(firstMessagesOfNewLeaderDoNotReleaseLeavingVoter);
+  CPPUNIT_TEST(removedVoterIsAddedAgainAfterRestart);
+  CPPUNIT_TEST(nonVoterDoesNotStartElection);
+  CPPUNIT_TEST(voteOfNonVoterIsNotCounted);
+  CPPUNIT_TEST(noLeaseBeforeEntryOfOwnTermIsCommitted);
+  CPPUNIT_TEST(clockDriftDoesNotBreakLease);
+  CPPUNIT_TEST(unsafeLeaseIsRejected);
+  CPPUNIT_TEST(partitionForTwentySeconds);
+  CPPUNIT_TEST(leaderFrozenAtAnyTimeLosesItsLease);
+  CPPUNIT_TEST(groupStaysAvailableUnderRandomFailures);
   CPPUNIT_TEST_SUITE_END();
 
   // m3 stands in beside m0, m1, m2.
@@ -59,7 +59,7 @@
  public:
   // b hears nothing as c's machine comes up with an empty disk; then a is gone, and c's old disk is back: b
   // and c are a majority of what they know, and must hold all that was taken.
-  void anOldDiskThatComesBackMeetsAMajority() {
+  void returningOldDiskLosesNoCommittedEntry() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       Band band(3, seed);
       std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
@@ -87,7 +87,7 @@
 
   // Between the two entries two stand where three are wanted. With the leader gone nobody leads, as nobody
   // would have with the dead one in the count; with it back, the newcomer comes in.
-  void theLeaderDiesBetweenShrinkAndGrowth() {
+  void leaderFailsBetweenRemovalAndAddition() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Band band(3, seed);
       std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
@@ -107,7 +107,7 @@
     }
   }
 
-  void twoOfFiveAreReplacedOneByOne() {
+  void twoOfFiveVotersAreReplacedOneByOne() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Band band(5, seed);
       std::size_t a = band.led(), d = (a + 1) % 5, e = (a + 2) % 5;
@@ -128,7 +128,7 @@
   }
 
   // A second process at the address of a voter that lives.
-  void whoStillAnswersIsNotReplaced() {
+  void liveVoterIsNotReplaced() {
     Band band(3);
     std::size_t a = band.led(), b = other_than({a});
     Message word;
@@ -146,7 +146,7 @@
     }
   }
 
-  void aDiskFromThePastIsTakenInAnew() {
+  void rolledBackMemberRejoinsUnderNewId() {
     for (bool folded : {false, true}) {
       Band band(3);
       std::size_t a = band.led(), c = (a + 1) % 3;
@@ -176,7 +176,7 @@
 
   // Four stand where three are wanted. One freezes, one is asked to end: the one that was asked goes, and the
   // frozen one, longer silent, stays. In four with two away nobody would lead.
-  void aLeaverGoesAndTheFrozenOneStays() {
+  void leavingVoterIsRemovedInsteadOfFrozenOne() {
     for (double head_start : {0.0, 0.2, 1.0}) {
       Band band(3);
       stand_in(band);
@@ -198,7 +198,7 @@
 
   // Taken for gone while a successor stands, it thaws in the life in which the whole system started: three
   // are wanted as before, and of the four the next that falls silent goes.
-  void aFounderThatReturnsIsWantedOnce() {
+  void returningFounderRaisesTargetSizeOnce() {
     Band band(3);
     stand_in(band);
     std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b});
@@ -214,7 +214,7 @@
 
   // b is gone for good, its successor and c's are still being sent the state when c is told to end: as many
   // stand as are wanted, and yet a and c alone make up the majority.
-  void aLeaverHoldsOnWhileItsSuccessorIsSentTheState() {
+  void leavingVoterStaysWhileSuccessorsReceiveSnapshot() {
     Band band(3);
     std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b});
     // Newcomers need a snapshot, of many pieces; their disks refuse the whole until later.
@@ -243,7 +243,7 @@
   }
 
   // It knows of a newcomer only when that one has asked it.
-  void aNewLeadersFirstWordsReleaseNoLeaver() {
+  void firstMessagesOfNewLeaderDoNotReleaseLeavingVoter() {
     Band band(3);
     std::size_t a = band.led(), c = other_than({a});
     Message word;
@@ -265,7 +265,7 @@
   }
 
   // Nobody is coming: what is missing without it is missing whether it waits or not.
-  void aRestartBesideALossWaitsForNobody() {
+  void restartBesideFailedVoterDoesNotWait() {
     Band band(3);
     std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b});
     band.end(b);
@@ -276,7 +276,7 @@
   }
 
   // What the leaver holds is held by a majority of the others when it ends, also where one of them was away.
-  void aLeaverWaitsUntilOthersHoldAll() {
+  void leavingVoterWaitsUntilOthersHaveItsLog() {
     Band band(3);
     stand_in(band);
     std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b}), d = other_than({a, b, c});
@@ -301,7 +301,7 @@
 
   // b has been silent for nearly long enough as c asks to end, and d does not answer for a moment: c cannot
   // be let go yet. To drop b now would let c end as one of three, and two would be gone.
-  void aSilentOneStaysWhileSomebodyLeaves() {
+  void silentVoterIsKeptWhileAnotherLeaves() {
     Band band(3);
     stand_in(band);
     std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b}), d = other_than({a, b, c});
@@ -322,7 +322,7 @@
   }
 
   // Two are wanted, three stand, one is dead: without the leaver the other would be alone.
-  void aLeaverStaysWhereItIsNeeded() {
+  void leavingVoterStaysWhileNeededForMajority() {
     Band band(2);
     std::size_t c = band.add();
     band.start(c);
@@ -343,7 +343,7 @@
   }
 
   // What it wrote last is on no other disk yet, so nobody else can be elected without the frozen one.
-  void aLeaverThatHoldsMostLeadsAgainFirst() {
+  void leavingLeaderWithLongestLogIsReelectedFirst() {
     Band band(3);
     stand_in(band);
     std::size_t a = band.led(), b = other_than({a});
@@ -361,7 +361,7 @@
     band.good();
   }
 
-  void aLeaverThatLeadsHandsOver() {
+  void leavingLeaderTransfersLeadership() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       Band band(3, seed);
       stand_in(band);
@@ -378,7 +378,7 @@
   }
 
   // A roll of restarts, a second apart: nobody waits, nobody leaves the count.
-  void aRestartWaitsForNobody() {
+  void restartDoesNotWait() {
     Band band(3);
     for (std::size_t at = 0; at < 3; ++at) {
       band.led();
@@ -398,7 +398,7 @@
     band.good();
   }
 
-  void aLeaverThatReturnsIsTakenInAnew() {
+  void removedVoterIsAddedAgainAfterRestart() {
     Band band(3);
     stand_in(band);
     std::size_t a = band.led(), c = other_than({a});
@@ -417,7 +417,7 @@
   }
 
   // A word that reaches somebody who was never taken in, or is out.
-  void whoIsNotCountedDoesNotStand() {
+  void nonVoterDoesNotStartElection() {
     Band band(3);
     stand_in(band);
     std::size_t a = band.led(), c = other_than({a});
@@ -433,7 +433,7 @@
     CPPUNIT_ASSERT_EQUAL(word.term, band.core(c).term());
   }
 
-  void aVoteFromOutsideDoesNotCount() {
+  void voteOfNonVoterIsNotCounted() {
     Band band(3);
     std::size_t a = band.led(), b = other_than({a});
     Message word;
@@ -457,7 +457,7 @@
   }
 
   // Elected, its rounds answered, and yet not sure of what is committed: nothing is said.
-  void nothingIsServedBeforeTheTermHasCommitted() {
+  void noLeaseBeforeEntryOfOwnTermIsCommitted() {
     Band band(3);
     std::size_t a = band.led(), b = other_than({a});
     CPPUNIT_ASSERT(band.change(a));
@@ -482,7 +482,7 @@
   }
 
   // Leaders cut off, their clocks slow, all others' fast: by as much as Timing says.
-  void clocksApartBreakNoLease() {
+  void clockDriftDoesNotBreakLease() {
     auto play = [](std::uint64_t seed, Timing timing) {
       Band band(3, seed, timing);
       for (int i = 0; i < 6; ++i) {
@@ -506,7 +506,7 @@
     CPPUNIT_ASSERT(seen > 0);
   }
 
-  void aLeaseTooLongIsRefused() {
+  void unsafeLeaseIsRejected() {
     Timing timing;
     timing.lease = std::chrono::milliseconds(365);  // 383.3 of a fast clock's, 380 of a slow one's
     World world(1);
@@ -522,7 +522,7 @@
   }
 
   // 0 both ways, 1 in, 2 out, 3 from one follower.
-  void cutOffForTwentySeconds() {
+  void partitionForTwentySeconds() {
     for (std::size_t members : {3, 5})
       for (int way = 0; way < 4; ++way)
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -571,7 +571,7 @@
 
   // A leader that has just answered a change, proposed one, been answered by one: frozen for two seconds at
   // each millisecond of three heartbeats. It wakes with nothing to say.
-  void frozenAtEachMoment() {
+  void leaderFrozenAtAnyTimeLosesItsLease() {
     for (int moment = 0; moment < 240; moment += 3) {
       Band band(3, 7);
       std::size_t a = band.led();
@@ -592,7 +592,7 @@
     }
   }
 
-  void anyOrderOfLossesLeavesAMajority() {
+  void groupStaysAvailableUnderRandomFailures() {
     for (std::size_t members : {3, 5})
       for (std::uint64_t seed = 1; seed <= walks; ++seed) {
         Walk walk(members, seed);
--- a/tests/system/raft_message_test.cpp
+++ b/tests/system/raft_message_test.cpp
@@ -5,15 +5,15 @@
 
 class RaftMessageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RaftMessageTest);
-  CPPUNIT_TEST(anEntryOfAnEarlierTermIsNotCommittedByCount);
-  CPPUNIT_TEST(oneChangeOfTheMembershipAtATime);
-  CPPUNIT_TEST(noChangeOfTheMembershipBeforeTheTermHasCommitted);
-  CPPUNIT_TEST(aLeaseCountsFromTheSendingOfARound);
-  CPPUNIT_TEST(oneVoteInATermAlsoAfterAStart);
-  CPPUNIT_TEST(whoIsBehindGetsNoVote);
-  CPPUNIT_TEST(aMajorityElects);
-  CPPUNIT_TEST(aWordForAnEarlierIdIsNotTaken);
-  CPPUNIT_TEST(aPieceOfAnotherSnapshotBeginsAnew);
+  CPPUNIT_TEST(entryOfEarlierTermIsNotCommittedByReplicaCount);
+  CPPUNIT_TEST(oneMembershipChangeAtATime);
+  CPPUNIT_TEST(noMembershipChangeBeforeEntryOfOwnTermIsCommitted);
+  CPPUNIT_TEST(leaseStartsWhenRoundIsSent);
+  CPPUNIT_TEST(oneVotePerTermAcrossRestart);
+  CPPUNIT_TEST(candidateWithOlderLogGetsNoVote);
+  CPPUNIT_TEST(candidateNeedsMajority);
+  CPPUNIT_TEST(messageForEarlierIdIsIgnored);
+  CPPUNIT_TEST(chunkOfAnotherSnapshotRestartsTransfer);
   CPPUNIT_TEST_SUITE_END();
 
   static Message held(const Core& leader, MemberId by, Index index) {
@@ -71,7 +71,7 @@
  public:
   // "late" stands on b's disk alone. Once c has it too it is on a majority's, and yet a member whose last
   // entry is of a term in between would be elected without it: it counts only under an entry of b's own term.
-  void anEntryOfAnEarlierTermIsNotCommittedByCount() {
+  void entryOfEarlierTermIsNotCommittedByReplicaCount() {
     Band band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     CPPUNIT_ASSERT(band.change(a));
@@ -94,7 +94,7 @@
 
   // Two newcomers have caught up, and nobody has written down that the first is in: three and five would not
   // need to share a member.
-  void oneChangeOfTheMembershipAtATime() {
+  void oneMembershipChangeAtATime() {
     Band band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
@@ -110,7 +110,7 @@
 
   // A leader before it may have left an entry on a change that this one does not know: two changes that both
   // begin at three are not neighbours.
-  void noChangeOfTheMembershipBeforeTheTermHasCommitted() {
+  void noMembershipChangeBeforeEntryOfOwnTermIsCommitted() {
     Band band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
@@ -126,7 +126,7 @@
   }
 
   // Cut off, it is told by a slow link what was answered before the cut: that says nothing of now.
-  void aLeaseCountsFromTheSendingOfARound() {
+  void leaseStartsWhenRoundIsSent() {
     Band band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
@@ -141,7 +141,7 @@
     CPPUNIT_ASSERT(!band.speaks(a));
   }
 
-  void oneVoteInATermAlsoAfterAStart() {
+  void oneVotePerTermAcrossRestart() {
     Band band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     band.run(0.2);
@@ -155,7 +155,7 @@
     CPPUNIT_ASSERT(votes(band, b, of_c));
   }
 
-  void whoIsBehindGetsNoVote() {
+  void candidateWithOlderLogGetsNoVote() {
     Band band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     CPPUNIT_ASSERT(band.change(a));
@@ -173,7 +173,7 @@
     CPPUNIT_ASSERT(votes(band, b, good));
   }
 
-  void aMajorityElects() {
+  void candidateNeedsMajority() {
     Band band(5);
     std::size_t a = band.led(), b = (a + 1) % 5;
     Message word;
@@ -196,7 +196,7 @@
   }
 
   // Meant for who was there before its disk was lost: that one may have promised otherwise.
-  void aWordForAnEarlierIdIsNotTaken() {
+  void messageForEarlierIdIsIgnored() {
     Band band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     Message for_before = ask(band, c, b);
@@ -210,7 +210,7 @@
   }
 
   // Half of one and half of another are no snapshot.
-  void aPieceOfAnotherSnapshotBeginsAnew() {
+  void chunkOfAnotherSnapshotRestartsTransfer() {
     Band band(3);
     std::size_t a = band.led(), c = (a + 1) % 3;
     Message piece;
--- a/tests/system/replication_test.cpp
+++ b/tests/system/replication_test.cpp
@@ -8,29 +8,29 @@
 
 class ReplicationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicationTest);
-  CPPUNIT_TEST(aLargeSnapshotComesInPiecesBesideRounds);
-  CPPUNIT_TEST(aTransferGoesOnAfterLoss);
-  CPPUNIT_TEST(aTransferIsBrokenOffByPowerLoss);
-  CPPUNIT_TEST(aTransferIsBrokenOffByAChangeOfLeader);
-  CPPUNIT_TEST(aFullDiskTakesTheWholeLater);
-  CPPUNIT_TEST(aDeposedLeaderSendsNothingThatIsTaken);
-  CPPUNIT_TEST(aTooLargeSnapshotIsRefused);
-  CPPUNIT_TEST(aStormDoesNotMakeATransferStartAgain);
-  CPPUNIT_TEST(transfersUnderWaySendOneSnapshot);
-  CPPUNIT_TEST(beyondTheBoundANewSnapshotStarts);
-  CPPUNIT_TEST(aLateSnapshotDropsNothingAcknowledged);
-  CPPUNIT_TEST(restartsInTurnUnderAStorm);
-  CPPUNIT_TEST(aSilentMemberIsSentNoMoreThanOnce);
-  CPPUNIT_TEST(aMemberWithAFullDiskIsCaughtUpLater);
-  CPPUNIT_TEST(theWireIsNotTrusted);
-  CPPUNIT_TEST(aLeaderTrustsNoAnswerBeyondItsLog);
-  CPPUNIT_TEST(anOlderMemberIsSentTheWhole);
-  CPPUNIT_TEST(manySmallEntriesAreAnAppendThatReads);
+  CPPUNIT_TEST(largeSnapshotIsSentInChunksAlongsideHeartbeats);
+  CPPUNIT_TEST(transferContinuesAfterLoss);
+  CPPUNIT_TEST(transferRestartsAfterPowerLoss);
+  CPPUNIT_TEST(transferRestartsAfterLeaderChange);
+  CPPUNIT_TEST(receivedSnapshotIsInstalledOnceDiskHasRoom);
+  CPPUNIT_TEST(chunkFromDeposedLeaderIsIgnored);
+  CPPUNIT_TEST(oversizedSnapshotIsRejected);
+  CPPUNIT_TEST(transferIsNotRestartedUnderHeavyWrites);
+  CPPUNIT_TEST(concurrentTransfersShareOneSnapshot);
+  CPPUNIT_TEST(transferRestartsWhenRetainedEntriesExceedLimit);
+  CPPUNIT_TEST(delayedSnapshotKeepsAcknowledgedEntries);
+  CPPUNIT_TEST(rollingPowerLossUnderHeavyWrites);
+  CPPUNIT_TEST(silentMemberGetsOneUnansweredAppend);
+  CPPUNIT_TEST(memberWithFullDiskCatchesUpLater);
+  CPPUNIT_TEST(malformedMessagesDoNotCorruptTheLog);
+  CPPUNIT_TEST(leaderRejectsResponseBeyondItsLog);
+  CPPUNIT_TEST(memberWithoutChunkSupportGetsWholeSnapshot);
+  CPPUNIT_TEST(appendOfManySmallEntriesIsDecodable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // A state of 10 MB over 17 Mbit/s takes some 5 s: the leader keeps its lease and takes changes all along.
-  void aLargeSnapshotComesInPiecesBesideRounds() {
+  void largeSnapshotIsSentInChunksAlongsideHeartbeats() {
     LaggingMember behind(10 * mb);
     ReplicationHarness& rig = behind.rig;
     ReplicationHarness::Node& leads = rig.lead();
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT(rig.most_out < 600 << 10);
   }
 
-  void aTransferGoesOnAfterLoss() {
+  void transferContinuesAfterLoss() {
     LaggingMember behind(4 * mb);
     ReplicationHarness& rig = behind.rig;
     rig.lose = [&](const Message& word, const std::string&) {
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(rig.lead().core->counters().chunks_sent < 28);
   }
 
-  void aTransferIsBrokenOffByPowerLoss() {
+  void transferRestartsAfterPowerLoss() {
     LaggingMember behind(4 * mb);
     Index before = 0;
     for (int i = 0; i < 2; ++i) {
@@ -83,7 +83,7 @@
     behind.arrives(20);
   }
 
-  void aTransferIsBrokenOffByAChangeOfLeader() {
+  void transferRestartsAfterLeaderChange() {
     LaggingMember behind(4 * mb);
     ReplicationHarness& rig = behind.rig;
     behind.begin(2 * mb);
@@ -96,7 +96,7 @@
     rig.until(20, [&] { return rig.same(first); });
   }
 
-  void aFullDiskTakesTheWholeLater() {
+  void receivedSnapshotIsInstalledOnceDiskHasRoom() {
     LaggingMember behind(4 * mb);
     ReplicationHarness& rig = behind.rig;
     behind.begin(1 * mb);
@@ -113,7 +113,7 @@
     behind.arrives(2);
   }
 
-  void aDeposedLeaderSendsNothingThatIsTaken() {
+  void chunkFromDeposedLeaderIsIgnored() {
     SingleMember lone;
     Core& core = lone.core;
     core.step(lone.world.now(), piece(5, "abcdef", 0, 3));
@@ -130,7 +130,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("abcdef"), core.log().snapshot().state);
   }
 
-  void aTooLargeSnapshotIsRefused() {
+  void oversizedSnapshotIsRejected() {
     LaggingMember behind(17 * mb);  // over the bound: it is not begun, and everything else goes on
     ReplicationHarness& rig = behind.rig;
     behind.begin(1);
@@ -151,7 +151,7 @@
 
   // 200 configurations of 100 KB at gaps of 0.08 s fold every 64 entries; the transfer, begun under the
   // storm, is the only one, and ends in it or right after.
-  void aStormDoesNotMakeATransferStartAgain() {
+  void transferIsNotRestartedUnderHeavyWrites() {
     LaggingMember behind(8 * mb);
     ReplicationHarness& rig = behind.rig;
     behind.begin(1);
@@ -172,7 +172,7 @@
   }
 
   // However often the leader folds meanwhile: it holds one beside its newest.
-  void transfersUnderWaySendOneSnapshot() {
+  void concurrentTransfersShareOneSnapshot() {
     LaggingMember behind(600000, 5);
     ReplicationHarness& rig = behind.rig;
     ReplicationHarness::Node& second = rig.other(&rig.other() == behind.away ? 1 : 0);
@@ -195,7 +195,7 @@
     behind.arrives(10);
   }
 
-  void beyondTheBoundANewSnapshotStarts() {
+  void transferRestartsWhenRetainedEntriesExceedLimit() {
     LaggingMember behind(4 * mb);
     ReplicationHarness& rig = behind.rig;
     rig.lose = [&](const Message& word, const std::string& to) {
@@ -214,7 +214,7 @@
   }
 
   // Sent while the answer to the one before was on its way, held up in the net, and met by a longer log.
-  void aLateSnapshotDropsNothingAcknowledged() {
+  void delayedSnapshotKeepsAcknowledgedEntries() {
     SingleMember lone;
     Core& core = lone.core;
     core.step(lone.world.now(), piece(5, "ab", 0, 2));
@@ -235,7 +235,7 @@
   }
 
   // Each loses its power as soon as the one before it has all again; changes come all along.
-  void restartsInTurnUnderAStorm() {
+  void rollingPowerLossUnderHeavyWrites() {
     ReplicationHarness rig(3, 600000);
     rig.lead();
     int taken = 0;
@@ -260,7 +260,7 @@
   }
 
   // Its process stands still for 20 s in the middle of changes: one append is out, and small words.
-  void aSilentMemberIsSentNoMoreThanOnce() {
+  void silentMemberGetsOneUnansweredAppend() {
     ReplicationHarness rig(3, 1000);
     ReplicationHarness::Node& asleep = rig.other();
     rig.lead();
@@ -275,7 +275,7 @@
     rig.until(20, [&] { return rig.same(asleep); });
   }
 
-  void aMemberWithAFullDiskIsCaughtUpLater() {
+  void memberWithFullDiskCatchesUpLater() {
     ReplicationHarness rig(3, 1000);
     ReplicationHarness::Node& full = rig.other();
     rig.run(1);
@@ -292,7 +292,7 @@
   }
 
   // Whatever comes: what is committed stays, the log has no gap, and the store holds the same.
-  void theWireIsNotTrusted() {
+  void malformedMessagesDoNotCorruptTheLog() {
     std::mt19937_64 random(5);
     std::uint64_t refused = 0;
     for (int round = 0; round < 300; ++round) {
@@ -353,7 +353,7 @@
     CPPUNIT_ASSERT(refused > 1000);
   }
 
-  void aLeaderTrustsNoAnswerBeyondItsLog() {
+  void leaderRejectsResponseBeyondItsLog() {
     ReplicationHarness rig(3, 1000);
     ReplicationHarness::Node& leads = rig.lead();
     rig.change(100);
@@ -375,7 +375,7 @@
   }
 
   // It reads no pieces and does not say that it could: the whole in one word, as before, where that fits.
-  void anOlderMemberIsSentTheWhole() {
+  void memberWithoutChunkSupportGetsWholeSnapshot() {
     LaggingMember behind(2 * mb);
     behind.away->older = true;
     behind.rig.words.clear();
@@ -395,7 +395,7 @@
     large.arrives(20);
   }
 
-  void manySmallEntriesAreAnAppendThatReads() {
+  void appendOfManySmallEntriesIsDecodable() {
     biella::World world(1);
     biella::SimDisk disk(world);
     Log log(disk);
--- a/tests/system/store_folder_test.cpp
+++ b/tests/system/store_folder_test.cpp
@@ -47,10 +47,10 @@
 
 class StoreFolderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreFolderTest);
-  CPPUNIT_TEST(aNameLastsBeforeAnythingIsConfirmed);
-  CPPUNIT_TEST(whatWasBegunBeforeALossOfPowerIsNoStore);
-  CPPUNIT_TEST(aFileThatIsCutShortIsRefused);
-  CPPUNIT_TEST(aFileOfAnotherUseIsLeftAsItIs);
+  CPPUNIT_TEST(directoryIsSyncedBeforeWritesAreConfirmed);
+  CPPUNIT_TEST(unfinishedStoreFileIsDiscarded);
+  CPPUNIT_TEST(truncatedFileIsRejected);
+  CPPUNIT_TEST(foreignFileIsLeftUnchanged);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -59,7 +59,7 @@
     on_file_sync = nullptr;
   }
 
-  void aNameLastsBeforeAnythingIsConfirmed() {
+  void directoryIsSyncedBeforeWritesAreConfirmed() {
     TempFolder folder;
     LmdbStore store(folder.path());
     bool lasts = false;
@@ -82,7 +82,7 @@
   }
 
   // Until it is synced its pages may be there, missing or torn: it has no name of ours yet.
-  void whatWasBegunBeforeALossOfPowerIsNoStore() {
+  void unfinishedStoreFileIsDiscarded() {
     int syncs = 0;
     {
       TempFolder folder;
@@ -106,7 +106,7 @@
   }
 
   // By whoever copies it. Each cut is refused, or reads as it was: nothing of it was in use.
-  void aFileThatIsCutShortIsRefused() {
+  void truncatedFileIsRejected() {
     TempFolder folder;
     {
       LmdbStore store(folder.path());
@@ -130,7 +130,7 @@
     CPPUNIT_ASSERT(refused > 10);
   }
 
-  void aFileOfAnotherUseIsLeftAsItIs() {
+  void foreignFileIsLeftUnchanged() {
     TempFolder folder;
     {
       MDB_env* env = nullptr;
