--- a/tests/system/log_store_test.cpp
+++ b/tests/system/log_store_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 
 #include "fanes/agreement.h"
-#include "folder.h"
-#include "log_rig.h"
+#include "replication_harness.h"
 #include "storage/lmdb_store.h"
+#include "temp_folder.h"
 
 namespace pearspar::raft {
 namespace {
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -11,9 +11,9 @@
 #include "coldai/settings.h"
 #include "fanes/agreement.h"
 #include "fanes/messages.h"
-#include "folder.h"
 #include "sennes/state.h"
 #include "storage/lmdb_store.h"
+#include "temp_folder.h"
 #include "vazzoler/view.h"
 
 namespace pearspar {
--- a/tests/system/replication_test.cpp
+++ b/tests/system/replication_test.cpp
@@ -2,7 +2,7 @@
 #include <random>
 #include <set>
 
-#include "log_rig.h"
+#include "replication_harness.h"
 
 namespace pearspar::raft {
 
--- a/tests/system/store_folder_test.cpp
+++ b/tests/system/store_folder_test.cpp
@@ -10,8 +10,8 @@
 #include <fstream>
 #include <functional>
 
-#include "folder.h"
 #include "storage/lmdb_store.h"
+#include "temp_folder.h"
 
 namespace {
 
