--- a/tests/system/disk_rollback_test.cpp
+++ b/tests/system/disk_rollback_test.cpp
@@ -1,4 +1,5 @@
-// A member whose folder was set back to an older copy, by whatever word of the leader it first hears.
+// A member whose store was replaced by an older copy must detect it, whatever it receives first from the
+// leader.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "band.h"
@@ -11,27 +12,27 @@
   CPPUNIT_TEST(longAbsentMemberKeepsItsId);
   CPPUNIT_TEST_SUITE_END();
 
-  static constexpr double let_go_after_s = 2;  // by then the leader keeps nothing for it
-  static constexpr int folded = 100;           // changes
+  static constexpr double retention_s = 2;  // longer than the leader retains entries for a silent member
+  static constexpr int changes_per_snapshot = 100;
 
  public:
-  // Its leader has folded beyond what it lacks, so that the first it hears of the log is a snapshot.
+  // The leader has compacted the missing entries, so that the member receives a snapshot first.
   void rollbackIsDetectedBehindASnapshot() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Band band(3, seed);
       const std::size_t leader = band.led(), member = (leader + 1) % 3;
       CPPUNIT_ASSERT(band.change(leader));
       band.run(0.2);
-      const auto yesterday = band.copy(member);
+      const auto old_disk = band.copy(member);
       const MemberId before = band.core(member).self();
       CPPUNIT_ASSERT(band.change(leader));
-      band.run(0.2);  // which it acknowledges, and then forgets
-      band.put_disk(member, *yesterday);
-      for (int i = 0; i < folded; ++i) CPPUNIT_ASSERT(band.change(leader));
-      band.run(let_go_after_s);
-      for (int i = 0; i < folded; ++i) CPPUNIT_ASSERT(band.change(leader));
+      band.run(0.2);  // acknowledged by the member and lost by the rollback
+      band.put_disk(member, *old_disk);
+      for (int i = 0; i < changes_per_snapshot; ++i) CPPUNIT_ASSERT(band.change(leader));
+      band.run(retention_s);
+      for (int i = 0; i < changes_per_snapshot; ++i) CPPUNIT_ASSERT(band.change(leader));
       band.start(member);
-      CPPUNIT_ASSERT_MESSAGE("it is another from here on",
+      CPPUNIT_ASSERT_MESSAGE("the member has adopted a new id",
                              band.until(3, [&] { return band.core(member).self() != before; }));
       CPPUNIT_ASSERT(band.until(3, [&] { return band.counts(member); }));
       CPPUNIT_ASSERT(!band.count(leader).has(before));
@@ -40,7 +41,7 @@
     }
   }
 
-  // The same without the set back: a snapshot alone makes nobody another.
+  // Without a rollback, receiving a snapshot must not change the id.
   void longAbsentMemberKeepsItsId() {
     Band band(3);
     const std::size_t leader = band.led(), member = (leader + 1) % 3;
@@ -48,9 +49,9 @@
     band.run(0.2);
     const MemberId before = band.core(member).self();
     band.end(member);
-    for (int i = 0; i < folded; ++i) CPPUNIT_ASSERT(band.change(leader));
-    band.run(let_go_after_s);
-    for (int i = 0; i < folded; ++i) CPPUNIT_ASSERT(band.change(leader));
+    for (int i = 0; i < changes_per_snapshot; ++i) CPPUNIT_ASSERT(band.change(leader));
+    band.run(retention_s);
+    for (int i = 0; i < changes_per_snapshot; ++i) CPPUNIT_ASSERT(band.change(leader));
     band.start(member);
     CPPUNIT_ASSERT(band.until(3, [&] { return band.core(member).commit() == band.core(leader).commit(); }));
     CPPUNIT_ASSERT_EQUAL(before, band.core(member).self());
--- a/tests/system/log_store_test.cpp
+++ b/tests/system/log_store_test.cpp
@@ -1,4 +1,4 @@
-// The log on its disk: bounds of the store and of a start, and what the first program wrote.
+// The log in its LMDB store: size limits, and compatibility with data of the first version.
 #include <lmdb.h>
 
 #include <random>
@@ -45,18 +45,18 @@
     CPPUNIT_ASSERT(install.snapshot.index == 7 && install.snapshot.state == "state");
     CPPUNIT_ASSERT(install.snapshot.membership == members());
     CPPUNIT_ASSERT(read(appended_bytes).flag);
-    // What we send begins with the bytes that the first program knows, but for the length of the array, and
-    // holds more behind them; its reader passes over that.
-    Message ours = install;
-    ours.capabilities = supports_snapshot_chunks;
-    std::string bytes = fanes::pack(ours), theirs = from_hex(install_bytes);
-    CPPUNIT_ASSERT_EQUAL(theirs.substr(3), bytes.substr(3, theirs.size() - 3));
-    // An entry of a kind that nobody here knows is no entry.
+    // Except for the array length, a message starts with the fields of the first version, which skips the
+    // rest.
+    Message with_capabilities = install;
+    with_capabilities.capabilities = supports_snapshot_chunks;
+    std::string new_bytes = fanes::pack(with_capabilities), old_bytes = from_hex(install_bytes);
+    CPPUNIT_ASSERT_EQUAL(old_bytes.substr(3), new_bytes.substr(3, old_bytes.size() - 3));
+    // An entry of an unknown kind is rejected.
     std::string entry = fanes::pack_entry({8, 3, static_cast<EntryKind>(9), "", {}});
     CPPUNIT_ASSERT(!fanes::unpack_entry(entry));
   }
 
-  // The values that the first program put under each key.
+  // A database as the first version wrote it.
   void storeOfFirstVersionIsLoaded() {
     TempFolder folder;
     MDB_env* env = nullptr;
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT(stored.snapshot.index == 7 && stored.snapshot.state == "state");
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stored.entries.size());
     CPPUNIT_ASSERT(stored.entries[1].membership == members());
-    // And what we write are the same bytes.
+    // Entries are still encoded to the same bytes.
     CPPUNIT_ASSERT_EQUAL(from_hex("9195080301c4066368616e6765920090"), fanes::pack_entry(stored.entries[0]));
   }
 
@@ -105,7 +105,7 @@
     CPPUNIT_ASSERT(error && index > 50);
     PersistentState stored;
     CPPUNIT_ASSERT(!store.load(stored));
-    CPPUNIT_ASSERT_EQUAL(index - 1, stored.snapshot.index + stored.entries.size());  // nothing is lost
+    CPPUNIT_ASSERT_EQUAL(index - 1, stored.snapshot.index + stored.entries.size());  // no entry is lost
     CPPUNIT_ASSERT(!store.save_vote({9, 9}));
     CPPUNIT_ASSERT(!store.save_snapshot({index - 1, 1, members(), state + "t"}, false));
     for (Index i = 0; i < 20; ++i)
@@ -116,71 +116,71 @@
     CPPUNIT_ASSERT(folder.size() <= 12 * mb);
   }
 
-  // A state that is not worth folding yet, and a store that takes no more: it is folded all the same.
+  // A full store forces a compaction even if the log is still small compared with the state.
   void memberCompactsWhenStoreIsFull() {
     TempFolder folder;
     storage::LmdbStore store(folder.path(), 4, 12);
-    CountingMachine book(3 * mb);
+    CountingMachine machine(3 * mb);
     Options founder;
     founder.address = "m0";
     founder.founders = {"m0"};
     founder.first_start = true;
-    Core core(store, book, founder);
+    Core core(store, machine, founder);
     Time now{Duration(1000)};
     CPPUNIT_ASSERT(!core.start(now));
     while (!core.holds_lease(now)) core.tick(now += Duration(0.1));
     for (int i = 0; i < 120; ++i) CPPUNIT_ASSERT(core.propose(now, std::string(20000, 'c')));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{120}, book.count);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{120}, machine.count);
     CPPUNIT_ASSERT(core.counters().refused_writes > 0 && !core.store_failed());
     CPPUNIT_ASSERT(folder.size() <= 12 * mb);
   }
 
-  // A day in short: changes of all sizes, notes, folds of a state that grows and shrinks.
+  // Changes of all sizes, notes, and snapshots of a state that grows and shrinks.
   void fileSizeStaysWithinLimit() {
     TempFolder folder;
     storage::LmdbStore store(folder.path());
-    Day day(200, 3 * mb);
-    day.run(store);
+    Workload workload(200, 3 * mb);
+    workload.run(store);
     CPPUNIT_ASSERT(folder.size() < 128 * mb);
-    CPPUNIT_ASSERT_EQUAL(0, day.refused);
+    CPPUNIT_ASSERT_EQUAL(0, workload.failed_writes);
   }
 
-  // What a restart reads: a snapshot, under 4096 applied entries, and under 4 MB of them and one change.
+  // Besides the snapshot a restart reads at most 4096 entries and less than 4 MB of them.
   void restartReadsABoundedLog() {
     for (std::size_t state : {std::size_t{1000}, std::size_t{800000}}) {
-      ReplicationHarness rig(1, state, 1e9);
-      rig.lead();
-      std::size_t most = 0, bytes = 0;
+      ReplicationHarness harness(1, state, 1e9);
+      harness.wait_for_leader();
+      std::size_t max_entries = 0, bytes = 0;
       for (int i = 0; i < 5000; ++i) {
-        rig.change(20, static_cast<std::uint64_t>(i));
-        rig.nodes[0]->core->take_out();
-        const Log& log = rig.nodes[0]->core->log();
-        most = std::max<std::size_t>(most, log.last() - log.snapshot().index);
+        harness.propose(20, static_cast<std::uint64_t>(i));
+        harness.nodes[0]->core->take_out();
+        const Log& log = harness.nodes[0]->core->log();
+        max_entries = std::max<std::size_t>(max_entries, log.last() - log.snapshot().index);
         bytes = std::max(bytes, log.bytes());
-        if (i % 500 == 0) rig.run(0.1);
+        if (i % 500 == 0) harness.run_for(0.1);
       }
-      CPPUNIT_ASSERT(most <= (state > 1000 ? 4096u : 64u));
-      // Few and large: the bytes count, not the number.
+      CPPUNIT_ASSERT(max_entries <= (state > 1000 ? 4096u : 64u));
+      // Large entries: limited by their size instead of their number.
       for (std::uint64_t i = 0; i < 60; ++i) {
-        rig.change(200000, 5000 + i);
-        rig.nodes[0]->core->take_out();
-        bytes = std::max(bytes, rig.nodes[0]->core->log().bytes());
+        harness.propose(200000, 5000 + i);
+        harness.nodes[0]->core->take_out();
+        bytes = std::max(bytes, harness.nodes[0]->core->log().bytes());
       }
       CPPUNIT_ASSERT(bytes < 4 * mb);
-      ReplicationHarness::Node& node = *rig.nodes[0];
-      std::uint64_t digest = node.book.digest;
-      rig.kill(node, false);
-      rig.start(node);
-      rig.until(5, [&] { return node.book.digest == digest; });
+      ReplicationHarness::Node& node = *harness.nodes[0];
+      std::uint64_t digest = node.machine.digest;
+      harness.kill(node, false);
+      harness.start(node);
+      harness.run_until(5, [&] { return node.machine.digest == digest; });
     }
   }
 
  private:
-  struct Day {
-    Day(int changes, std::size_t state) : changes(changes), state(state) {}
+  struct Workload {
+    Workload(int changes, std::size_t state) : changes(changes), state(state) {}
     void run(Store& store) {
       std::mt19937_64 random(7);
-      Index index = 0, folded = 0;
+      Index index = 0, snapshot_index = 0;
       std::size_t bytes = 0;
       for (int i = 0; i < changes; ++i) {
         std::size_t size = random() % 4 ? random() % 2000 : random() % 200000;
@@ -188,17 +188,18 @@
         bytes += size;
         std::string data(size, static_cast<char>('a' + i % 26));
         if (store.replace_tail(index, {{index, 1, EntryKind::change, std::move(data), {}}}))
-          ++refused, --index;
-        if (i % 5 == 0 && store.save_note(index, std::string(random() % 30000, 'n'))) ++refused;
-        if (index - folded < 64 && bytes < 4 * mb) continue;
-        if (store.save_snapshot({index, 1, members(), std::string(random() % state, 's')}, false)) ++refused;
-        folded = index;
+          ++failed_writes, --index;
+        if (i % 5 == 0 && store.save_note(index, std::string(random() % 30000, 'n'))) ++failed_writes;
+        if (index - snapshot_index < 64 && bytes < 4 * mb) continue;
+        if (store.save_snapshot({index, 1, members(), std::string(random() % state, 's')}, false))
+          ++failed_writes;
+        snapshot_index = index;
         bytes = 0;
       }
     }
     int changes;
     std::size_t state;
-    int refused = 0;
+    int failed_writes = 0;
   };
 
   static Membership members() { return {{{11, "a:1"}, {12, "b:2"}, {13, "c:3"}}, 3}; }
--- a/tests/system/raft_core_test.cpp
+++ b/tests/system/raft_core_test.cpp
@@ -1,14 +1,14 @@
-// The agreement alone, by scripts.
+// Scripted scenarios for the Raft core: disk loss, membership changes, leases, partitions and freezes.
 #include "band.h"
 
 namespace pearspar::raft {
 namespace {
 
-// Sanitizers take eight times as long.
+// Fewer runs under AddressSanitizer, which is about eight times slower.
 #ifdef __SANITIZE_ADDRESS__
-constexpr std::uint64_t walks = 1;
+constexpr std::uint64_t random_runs = 1;
 #else
-constexpr std::uint64_t walks = 20;
+constexpr std::uint64_t random_runs = 20;
 #endif
 
 }  // namespace
@@ -42,23 +42,23 @@
   CPPUNIT_TEST(groupStaysAvailableUnderRandomFailures);
   CPPUNIT_TEST_SUITE_END();
 
-  // m3 stands in beside m0, m1, m2.
-  static void stand_in(Band& band) {
+  // Adds m3 as a fourth voter to m0, m1, m2.
+  static void add_surplus_voter(Band& band) {
     std::size_t newcomer = band.add();
     band.start(newcomer);
     CPPUNIT_ASSERT(band.until(3, [&] { return band.counts(newcomer); }));
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, band.voters(band.led()));
     band.run(0.2);
   }
-  static std::size_t other_than(std::initializer_list<std::size_t> those) {
+  static std::size_t member_except(std::initializer_list<std::size_t> excluded) {
     std::size_t at = 0;
-    while (std::find(those.begin(), those.end(), at) != those.end()) ++at;
+    while (std::find(excluded.begin(), excluded.end(), at) != excluded.end()) ++at;
     return at;
   }
 
  public:
-  // b hears nothing as c's machine comes up with an empty disk; then a is gone, and c's old disk is back: b
-  // and c are a majority of what they know, and must hold all that was taken.
+  // c restarts with an empty disk while b receives nothing; then a fails and c's old disk returns. b and c
+  // are a majority of the membership they know and must hold every committed change.
   void returningOldDiskLosesNoCommittedEntry() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       Band band(3, seed);
@@ -85,8 +85,8 @@
     }
   }
 
-  // Between the two entries two stand where three are wanted. With the leader gone nobody leads, as nobody
-  // would have with the dead one in the count; with it back, the newcomer comes in.
+  // After the removal there are two voters. Without the leader there is no majority; when it returns, the new
+  // member is added.
   void leaderFailsBetweenRemovalAndAddition() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Band band(3, seed);
@@ -119,7 +119,7 @@
       CPPUNIT_ASSERT(band.until(4, [&] { return band.counts(d) && band.counts(e); }));
       CPPUNIT_ASSERT_EQUAL(std::size_t{4}, band.least_count());
       CPPUNIT_ASSERT_EQUAL(std::size_t{5}, band.voters(band.led()));
-      // They bear two more losses.
+      // The group survives two more failures.
       band.end((a + 3) % 5);
       band.end((a + 4) % 5);
       CPPUNIT_ASSERT(band.change(band.led()));
@@ -127,19 +127,19 @@
     }
   }
 
-  // A second process at the address of a voter that lives.
+  // A second process with another id at the address of a live voter.
   void liveVoterIsNotReplaced() {
     Band band(3);
-    std::size_t a = band.led(), b = other_than({a});
-    Message word;
-    word.from = 4711;
-    word.from_address = band.place(b).address;
-    word.term = band.core(a).term();
+    std::size_t a = band.led(), b = member_except({a});
+    Message message;
+    message.from = 4711;
+    message.from_address = band.place(b).address;
+    message.term = band.core(a).term();
     for (int i = 0; i < 20; ++i) {
-      word.kind = i == 0 ? MessageKind::join : MessageKind::append_response;
-      word.index = band.core(a).commit();
-      word.flag = i > 0;
-      band.hand(a, word);
+      message.kind = i == 0 ? MessageKind::join : MessageKind::append_response;
+      message.index = band.core(a).commit();
+      message.flag = i > 0;
+      band.hand(a, message);
       band.run(0.05);
       CPPUNIT_ASSERT(band.count(a).has(band.core(b).self()));
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(a));
@@ -147,16 +147,16 @@
   }
 
   void rolledBackMemberRejoinsUnderNewId() {
-    for (bool folded : {false, true}) {
+    for (bool with_snapshot : {false, true}) {
       Band band(3);
       std::size_t a = band.led(), c = (a + 1) % 3;
       CPPUNIT_ASSERT(band.change(a));
       band.run(0.2);
-      auto yesterday = band.copy(c);
+      auto old_disk = band.copy(c);
       MemberId old = band.core(c).self();
-      for (int i = 0; i < (folded ? 100 : 5); ++i) CPPUNIT_ASSERT(band.change(a));
+      for (int i = 0; i < (with_snapshot ? 100 : 5); ++i) CPPUNIT_ASSERT(band.change(a));
       band.run(0.2);
-      band.put_disk(c, *yesterday);
+      band.put_disk(c, *old_disk);
       band.start(c);
       CPPUNIT_ASSERT(band.until(3, [&] {
         return band.core(c).self() != old && band.counts(c) && band.core(c).commit() == band.core(a).commit();
@@ -166,7 +166,7 @@
       band.end((a + 2) % 3);
       CPPUNIT_ASSERT(band.change(a));
       band.good();
-      // Its new id is on its disk.
+      // The new id is persistent.
       MemberId now = band.core(c).self();
       band.end(c);
       band.start(c);
@@ -174,13 +174,13 @@
     }
   }
 
-  // Four stand where three are wanted. One freezes, one is asked to end: the one that was asked goes, and the
-  // frozen one, longer silent, stays. In four with two away nobody would lead.
+  // Four voters for a target size of three. One freezes, another is asked to shut down: the latter is
+  // removed, since the group would have no majority if the frozen one were removed and it then left.
   void leavingVoterIsRemovedInsteadOfFrozenOne() {
     for (double head_start : {0.0, 0.2, 1.0}) {
       Band band(3);
-      stand_in(band);
-      std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b});
+      add_surplus_voter(band);
+      std::size_t a = band.led(), b = member_except({a}), c = member_except({a, b});
       band.freeze(b, 30);
       band.run(head_start);
       band.core(c).leave(band.now(c));
@@ -196,12 +196,12 @@
     }
   }
 
-  // Taken for gone while a successor stands, it thaws in the life in which the whole system started: three
-  // are wanted as before, and of the four the next that falls silent goes.
+  // A founder is removed while frozen and joins again without a restart: the target size stays three, so that
+  // the next silent one of four voters is removed.
   void returningFounderRaisesTargetSizeOnce() {
     Band band(3);
-    stand_in(band);
-    std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b});
+    add_surplus_voter(band);
+    std::size_t a = band.led(), b = member_except({a}), c = member_except({a, b});
     band.freeze(b, 2.5);
     band.run(2.4);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(a));
@@ -212,17 +212,17 @@
     band.good();
   }
 
-  // b is gone for good, its successor and c's are still being sent the state when c is told to end: as many
-  // stand as are wanted, and yet a and c alone make up the majority.
+  // b has failed, and its successor and c's are still receiving the snapshot when c is asked to shut down:
+  // the group is at its target size, but its majority needs both a and c.
   void leavingVoterStaysWhileSuccessorsReceiveSnapshot() {
     Band band(3);
-    std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b});
-    // Newcomers need a snapshot, of many pieces; their disks refuse the whole until later.
+    std::size_t a = band.led(), b = member_except({a}), c = member_except({a, b});
+    // The new members need a snapshot of many chunks; their full disks delay its installation.
     CPPUNIT_ASSERT(band.core(a).propose(band.now(a), std::string(5 << 20, 'x')));
     CPPUNIT_ASSERT(band.change(a));
     band.end(b);
-    std::size_t after_b = band.add(), after_c = band.add();
-    for (std::size_t fresh : {after_b, after_c}) {
+    std::size_t successor_b = band.add(), successor_c = band.add();
+    for (std::size_t fresh : {successor_b, successor_c}) {
       CPPUNIT_ASSERT(!band.start(fresh));
       CPPUNIT_ASSERT(band.until(1, [&] { return band.core(fresh).term() == band.core(a).term(); }));
       band.place(fresh).disk->set_full(true);
@@ -230,44 +230,44 @@
     band.run(1);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(a));
     band.core(c).leave(band.now(c));
-    // Longer than a restart waits.
+    // Longer than a restarting member would wait.
     for (int i = 0; i < 20; ++i) {
       band.run(0.1);
-      CPPUNIT_ASSERT_MESSAGE("the leaver goes on while it is needed", !band.core(c).may_shut_down());
+      CPPUNIT_ASSERT_MESSAGE("the leaving voter stays while it is needed", !band.core(c).may_shut_down());
     }
-    for (std::size_t fresh : {after_b, after_c}) band.place(fresh).disk->set_full(false);
+    for (std::size_t fresh : {successor_b, successor_c}) band.place(fresh).disk->set_full(false);
     CPPUNIT_ASSERT(band.until(4, [&] { return band.core(c).may_shut_down(); }));
     band.end(c);
     CPPUNIT_ASSERT(band.change(band.led()));
     band.good();
   }
 
-  // It knows of a newcomer only when that one has asked it.
+  // A new leader knows of joining members only after they have asked it.
   void firstMessagesOfNewLeaderDoNotReleaseLeavingVoter() {
     Band band(3);
-    std::size_t a = band.led(), c = other_than({a});
-    Message word;
-    word.kind = MessageKind::append_entries;
-    word.from = band.core(a).self();
-    word.from_address = band.place(a).address;
-    word.term = band.core(a).term();
-    word.index = band.core(c).log().last();
-    word.log_term = band.core(c).log().term_at(word.index);
-    word.commit = band.core(c).commit();
-    word.flag = true;
-    band.hand(c, word);
+    std::size_t a = band.led(), c = member_except({a});
+    Message message;
+    message.kind = MessageKind::append_entries;
+    message.from = band.core(a).self();
+    message.from_address = band.place(a).address;
+    message.term = band.core(a).term();
+    message.index = band.core(c).log().last();
+    message.log_term = band.core(c).log().term_at(message.index);
+    message.commit = band.core(c).commit();
+    message.flag = true;
+    band.hand(c, message);
     band.core(c).leave(band.now(c));
     CPPUNIT_ASSERT(!band.core(c).may_shut_down());
-    // Heartbeats without the word: the first of them change nothing.
+    // The first heartbeats without the flag change nothing.
     band.run(0.2);
     CPPUNIT_ASSERT(!band.core(c).may_shut_down());
     CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_shut_down(); }));
   }
 
-  // Nobody is coming: what is missing without it is missing whether it waits or not.
+  // No new member is joining, so waiting would not help.
   void restartBesideFailedVoterDoesNotWait() {
     Band band(3);
-    std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b});
+    std::size_t a = band.led(), b = member_except({a}), c = member_except({a, b});
     band.end(b);
     band.run(1);
     band.core(c).leave(band.now(c));
@@ -275,14 +275,15 @@
     CPPUNIT_ASSERT(band.core(c).may_shut_down());
   }
 
-  // What the leaver holds is held by a majority of the others when it ends, also where one of them was away.
+  // A majority of the others must have the leaving voter's entries, also after one of them was down.
   void leavingVoterWaitsUntilOthersHaveItsLog() {
     Band band(3);
-    stand_in(band);
-    std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b}), d = other_than({a, b, c});
+    add_surplus_voter(band);
+    std::size_t a = band.led(), b = member_except({a}), c = member_except({a, b}),
+                d = member_except({a, b, c});
     band.end(b);
     CPPUNIT_ASSERT(band.change(a));
-    // d hears nothing more: a and c alone are no majority of four, and c must not go.
+    // d receives nothing more: a and c are no majority of four, so c must stay.
     band.cut_off(d, true, false);
     auto index = band.core(a).propose(band.now(a), "late");
     CPPUNIT_ASSERT(index.has_value());
@@ -299,12 +300,14 @@
     band.good();
   }
 
-  // b has been silent for nearly long enough as c asks to end, and d does not answer for a moment: c cannot
-  // be let go yet. To drop b now would let c end as one of three, and two would be gone.
+  // b is about to time out as silent when c asks to leave, and c cannot be removed yet because d does not
+  // respond for a moment. If b were removed now, c could stop as one of three and two voters would be
+  // missing.
   void silentVoterIsKeptWhileAnotherLeaves() {
     Band band(3);
-    stand_in(band);
-    std::size_t a = band.led(), b = other_than({a}), c = other_than({a, b}), d = other_than({a, b, c});
+    add_surplus_voter(band);
+    std::size_t a = band.led(), b = member_except({a}), c = member_except({a, b}),
+                d = member_except({a, b, c});
     MemberId silent = band.core(b).self();
     band.end(b);
     band.run(1.0);
@@ -321,13 +324,13 @@
     band.good();
   }
 
-  // Two are wanted, three stand, one is dead: without the leaver the other would be alone.
+  // Target size two, three voters, one failed: without the leaving one the last would be alone.
   void leavingVoterStaysWhileNeededForMajority() {
     Band band(2);
     std::size_t c = band.add();
     band.start(c);
     CPPUNIT_ASSERT(band.until(3, [&] { return band.counts(c); }));
-    std::size_t a = band.led(), b = other_than({a, c});
+    std::size_t a = band.led(), b = member_except({a, c});
     CPPUNIT_ASSERT(a != c);
     band.end(b);
     band.run(0.5);
@@ -342,11 +345,12 @@
     band.good();
   }
 
-  // What it wrote last is on no other disk yet, so nobody else can be elected without the frozen one.
+  // The leader's last entries are on no other disk yet, so without the frozen voter nobody else can be
+  // elected.
   void leavingLeaderWithLongestLogIsReelectedFirst() {
     Band band(3);
-    stand_in(band);
-    std::size_t a = band.led(), b = other_than({a});
+    add_surplus_voter(band);
+    std::size_t a = band.led(), b = member_except({a});
     band.freeze(b, 30);
     CPPUNIT_ASSERT(band.change(a));
     band.core(a).propose(band.now(a), "sent");
@@ -364,7 +368,7 @@
   void leavingLeaderTransfersLeadership() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       Band band(3, seed);
-      stand_in(band);
+      add_surplus_voter(band);
       std::size_t a = band.led();
       CPPUNIT_ASSERT(band.change(a));
       band.core(a).leave(band.now(a));
@@ -377,7 +381,7 @@
     }
   }
 
-  // A roll of restarts, a second apart: nobody waits, nobody leaves the count.
+  // Rolling restart: no member waits and none is removed.
   void restartDoesNotWait() {
     Band band(3);
     for (std::size_t at = 0; at < 3; ++at) {
@@ -400,12 +404,12 @@
 
   void removedVoterIsAddedAgainAfterRestart() {
     Band band(3);
-    stand_in(band);
-    std::size_t a = band.led(), c = other_than({a});
+    add_surplus_voter(band);
+    std::size_t a = band.led(), c = member_except({a});
     band.core(c).leave(band.now(c));
-    // It is told when it asks again.
+    // The leader tells it when it asks again.
     CPPUNIT_ASSERT(band.until(0.15, [&] { return band.core(c).may_shut_down(); }));
-    // Alive for a while yet, it is not taken in again.
+    // While still running it is not added again.
     Index out = band.core(a).log().membership_index();
     band.run(0.4);
     CPPUNIT_ASSERT_EQUAL(out, band.core(a).log().membership_index());
@@ -416,32 +420,32 @@
     band.good();
   }
 
-  // A word that reaches somebody who was never taken in, or is out.
+  // A timeout_now message for a member that has been removed.
   void nonVoterDoesNotStartElection() {
     Band band(3);
-    stand_in(band);
-    std::size_t a = band.led(), c = other_than({a});
+    add_surplus_voter(band);
+    std::size_t a = band.led(), c = member_except({a});
     band.core(c).leave(band.now(c));
     CPPUNIT_ASSERT(band.until(1, [&] { return band.core(c).may_shut_down(); }));
-    Message word;
-    word.kind = MessageKind::timeout_now;
-    word.from = band.core(a).self();
-    word.to = band.core(c).self();
-    word.term = band.core(c).term();
-    band.hand(c, word);
+    Message message;
+    message.kind = MessageKind::timeout_now;
+    message.from = band.core(a).self();
+    message.to = band.core(c).self();
+    message.term = band.core(c).term();
+    band.hand(c, message);
     CPPUNIT_ASSERT(band.core(c).role() == Core::Role::follower);
-    CPPUNIT_ASSERT_EQUAL(word.term, band.core(c).term());
+    CPPUNIT_ASSERT_EQUAL(message.term, band.core(c).term());
   }
 
   void voteOfNonVoterIsNotCounted() {
     Band band(3);
-    std::size_t a = band.led(), b = other_than({a});
-    Message word;
-    word.kind = MessageKind::timeout_now;
-    word.from = band.core(a).self();
-    word.to = band.core(b).self();
-    word.term = band.core(b).term();
-    band.hand(b, word);
+    std::size_t a = band.led(), b = member_except({a});
+    Message message;
+    message.kind = MessageKind::timeout_now;
+    message.from = band.core(a).self();
+    message.to = band.core(b).self();
+    message.term = band.core(b).term();
+    band.hand(b, message);
     CPPUNIT_ASSERT(band.core(b).role() == Core::Role::candidate);
     Message vote;
     vote.kind = MessageKind::vote_response;
@@ -456,10 +460,10 @@
     CPPUNIT_ASSERT(band.core(b).role() == Core::Role::leader);
   }
 
-  // Elected, its rounds answered, and yet not sure of what is committed: nothing is said.
+  // A new leader whose heartbeats are answered does not yet know what is committed.
   void noLeaseBeforeEntryOfOwnTermIsCommitted() {
     Band band(3);
-    std::size_t a = band.led(), b = other_than({a});
+    std::size_t a = band.led(), b = member_except({a});
     CPPUNIT_ASSERT(band.change(a));
     band.end(a);
     CPPUNIT_ASSERT(band.until(5, [&] {
@@ -467,21 +471,21 @@
         if (band.up(at) && band.core(at).role() == Core::Role::leader) return b = at, true;
       return false;
     }));
-    std::size_t c = other_than({a, b});
-    Message answer;
-    answer.kind = MessageKind::append_response;
-    answer.from = band.core(c).self();
-    answer.to = band.core(b).self();
-    answer.term = band.core(b).term();
-    answer.round = 1;
+    std::size_t c = member_except({a, b});
+    Message response;
+    response.kind = MessageKind::append_response;
+    response.from = band.core(c).self();
+    response.to = band.core(b).self();
+    response.term = band.core(b).term();
+    response.round = 1;
     CPPUNIT_ASSERT(band.core(b).commit() < band.core(b).log().last());
-    for (; answer.round < 100; ++answer.round) band.hand(b, answer);  // heard, but it holds less
+    for (; response.round < 100; ++response.round) band.hand(b, response);  // responds, but lacks entries
     CPPUNIT_ASSERT(!band.speaks(b));
     CPPUNIT_ASSERT(band.until(1, [&] { return band.speaks(b); }));
     band.good();
   }
 
-  // Leaders cut off, their clocks slow, all others' fast: by as much as Timing says.
+  // Partitioned leaders with slow clocks and voters with fast clocks, within Timing::drift.
   void clockDriftDoesNotBreakLease() {
     auto play = [](std::uint64_t seed, Timing timing) {
       Band band(3, seed, timing);
@@ -497,7 +501,7 @@
       return band.fault();
     };
     for (std::uint64_t seed = 1; seed <= 10; ++seed) CPPUNIT_ASSERT_EQUAL(std::string(), play(seed, {}));
-    // With a lease for clocks that agree, the same clocks are seen to break it.
+    // A lease without allowance for drift is broken by the same clocks.
     Timing wrong;
     wrong.lease = std::chrono::milliseconds(398);
     wrong.drift = 0;
@@ -508,7 +512,7 @@
 
   void unsafeLeaseIsRejected() {
     Timing timing;
-    timing.lease = std::chrono::milliseconds(365);  // 383.3 of a fast clock's, 380 of a slow one's
+    timing.lease = std::chrono::milliseconds(365);  // 365 * 1.05 = 383.25 > 400 * 0.95 = 380
     World world(1);
     SimDisk disk(world);
     Place machine;
@@ -521,7 +525,7 @@
     CPPUNIT_ASSERT(!Core(disk, machine, options).start(world.now()));
   }
 
-  // 0 both ways, 1 in, 2 out, 3 from one follower.
+  // `way`: 0 both directions, 1 inbound, 2 outbound, 3 only between the leader and one follower.
   void partitionForTwentySeconds() {
     for (std::size_t members : {3, 5})
       for (int way = 0; way < 4; ++way)
@@ -538,15 +542,15 @@
           }
           double cut = band.seconds();
           if (way != 3) {
-            auto index = band.core(a).propose(band.now(a), "to the smaller side");
+            auto index = band.core(a).propose(band.now(a), "on the minority side");
             CPPUNIT_ASSERT(index.has_value());
             band.run(0.301);
-            CPPUNIT_ASSERT_MESSAGE("a lease is over", !band.speaks(a));
+            CPPUNIT_ASSERT_MESSAGE("the lease has ended", !band.speaks(a));
             CPPUNIT_ASSERT(band.until(3, [&] { return band.speaker() < members; }));
             band.run(0.7);
             CPPUNIT_ASSERT(band.core(a).role() != Core::Role::leader);
           } else {
-            // One follower's silence takes the lead from nobody, and its own tries raise no term.
+            // One unreachable follower neither deposes the leader nor raises the term.
             band.run(5);
             CPPUNIT_ASSERT(band.speaks(a));
             CPPUNIT_ASSERT_EQUAL(term, band.core(a).term());
@@ -557,7 +561,7 @@
           CPPUNIT_ASSERT((leader == a) == (way == 3));
           Term settled = band.core(leader).term();
           band.heal();
-          // Healing costs nothing: the leader goes on, and whoever was away follows it.
+          // After the partition the leader continues and the others follow it.
           for (int i = 0; i < 100; ++i) {
             band.run(0.01);
             CPPUNIT_ASSERT(band.speaks(leader));
@@ -569,8 +573,8 @@
         }
   }
 
-  // A leader that has just answered a change, proposed one, been answered by one: frozen for two seconds at
-  // each millisecond of three heartbeats. It wakes with nothing to say.
+  // A leader is frozen for two seconds at different times within three heartbeats; when it wakes it must not
+  // hold the lease.
   void leaderFrozenAtAnyTimeLosesItsLease() {
     for (int moment = 0; moment < 240; moment += 3) {
       Band band(3, 7);
@@ -582,7 +586,7 @@
       band.run(1.9);
       CPPUNIT_ASSERT(band.led() != a);
       CPPUNIT_ASSERT(band.change(band.led()));
-      // All that it knows as it wakes, before it has read a word.
+      // Before it has received any message.
       CPPUNIT_ASSERT(!band.core(a).holds_lease(band.now(a)));
       band.run(0.2);
       CPPUNIT_ASSERT(!band.speaks(a));
@@ -594,18 +598,19 @@
 
   void groupStaysAvailableUnderRandomFailures() {
     for (std::size_t members : {3, 5})
-      for (std::uint64_t seed = 1; seed <= walks; ++seed) {
+      for (std::uint64_t seed = 1; seed <= random_runs; ++seed) {
         Walk walk(members, seed);
-        std::string fault = walk.play(25, most_without);
+        std::string fault = walk.play(25, max_leaderless_s);
         if (fault.empty()) continue;
-        std::string told = std::to_string(members) + " members, seed " + std::to_string(seed) + ": " + fault;
-        for (const std::string& line : walk.story()) told += "\n  " + line;
-        CPPUNIT_FAIL(told);
+        std::string report =
+            std::to_string(members) + " members, seed " + std::to_string(seed) + ": " + fault;
+        for (const std::string& line : walk.story()) report += "\n  " + line;
+        CPPUNIT_FAIL(report);
       }
   }
 
  private:
-  static constexpr double most_without = 4;
+  static constexpr double max_leaderless_s = 4;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RaftCoreTest);
--- a/tests/system/raft_message_test.cpp
+++ b/tests/system/raft_message_test.cpp
@@ -1,4 +1,5 @@
-// What a member may promise, commit, count and say, by words handed to it.
+// Safety rules of the Raft core for voting, commits, membership changes and leases, tested with single
+// messages.
 #include "band.h"
 
 namespace pearspar::raft {
@@ -16,28 +17,28 @@
   CPPUNIT_TEST(chunkOfAnotherSnapshotRestartsTransfer);
   CPPUNIT_TEST_SUITE_END();
 
-  static Message held(const Core& leader, MemberId by, Index index) {
-    Message answer;
-    answer.kind = MessageKind::append_response;
-    answer.from = by;
-    answer.to = leader.self();
-    answer.term = leader.term();
-    answer.round = 1;
-    answer.index = index;
-    answer.flag = true;
-    return answer;
+  static Message append_response(const Core& leader, MemberId by, Index index) {
+    Message response;
+    response.kind = MessageKind::append_response;
+    response.from = by;
+    response.to = leader.self();
+    response.term = leader.term();
+    response.round = 1;
+    response.index = index;
+    response.flag = true;
+    return response;
   }
-  static Message join(const Core& leader, MemberId who, const std::string& address) {
+  static Message join(const Core& leader, MemberId id, const std::string& address) {
     Message message;
     message.kind = MessageKind::join;
-    message.from = who;
+    message.from = id;
     message.from_address = address;
     message.term = leader.term();
     message.index = leader.log().last();
     return message;
   }
-  // By whom the leader has handed the lead over to, so that it is looked at while the leader lives.
-  static Message ask(Band& band, std::size_t by, std::size_t of) {
+  // Marked as a leadership transfer, so that it is considered while the leader is alive.
+  static Message vote_request(Band& band, std::size_t by, std::size_t of) {
     Message message;
     message.kind = MessageKind::vote_request;
     message.from = band.core(by).self();
@@ -49,15 +50,15 @@
     message.flag = true;
     return message;
   }
-  static bool votes(Band& band, std::size_t at, const Message& message) {
+  static bool grants_vote(Band& band, std::size_t at, const Message& message) {
     static_cast<void>(band.core(at).take_out());
     band.hand(at, message);
     for (const OutgoingMessage& out : band.core(at).take_out())
       if (out.message.kind == MessageKind::vote_response && out.message.flag) return true;
     return false;
   }
-  // Just elected: nobody has answered yet.
-  static std::size_t elected(Band& band) {
+  // Returns a leader that has not received any response yet.
+  static std::size_t wait_for_new_leader(Band& band) {
     std::size_t at = 0;
     CPPUNIT_ASSERT(band.until(5, [&] {
       for (at = 0; at < band.places(); ++at)
@@ -69,8 +70,8 @@
   }
 
  public:
-  // "late" stands on b's disk alone. Once c has it too it is on a majority's, and yet a member whose last
-  // entry is of a term in between would be elected without it: it counts only under an entry of b's own term.
+  // An entry of an earlier term that reaches a majority could still be replaced by a leader of a term in
+  // between, so it is committed only together with an entry of the leader's own term.
   void entryOfEarlierTermIsNotCommittedByReplicaCount() {
     Band band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
@@ -84,48 +85,48 @@
     band.end(a);
     band.heal();
     CPPUNIT_ASSERT_EQUAL(*late, band.core(b).log().last());
-    CPPUNIT_ASSERT_EQUAL(b, elected(band));
+    CPPUNIT_ASSERT_EQUAL(b, wait_for_new_leader(band));
     MemberId other = band.core(c).self();
-    band.hand(b, held(band.core(b), other, *late));
+    band.hand(b, append_response(band.core(b), other, *late));
     CPPUNIT_ASSERT(band.core(b).commit() < *late);
-    band.hand(b, held(band.core(b), other, *late + 1));
+    band.hand(b, append_response(band.core(b), other, *late + 1));
     CPPUNIT_ASSERT_EQUAL(*late + 1, band.core(b).commit());
   }
 
-  // Two newcomers have caught up, and nobody has written down that the first is in: three and five would not
-  // need to share a member.
+  // Two members are ready to join. The second must wait until the first addition is committed, since
+  // majorities of three and of five voters need not overlap.
   void oneMembershipChangeAtATime() {
     Band band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
     Core& leader = band.core(a);
-    for (MemberId who : {4711, 4712}) {
+    for (MemberId id : {4711, 4712}) {
       std::string address = "m" + std::to_string(band.add());
-      band.hand(a, join(leader, who, address));
-      band.hand(a, held(leader, who, leader.log().last()));
+      band.hand(a, join(leader, id, address));
+      band.hand(a, append_response(leader, id, leader.log().last()));
       CPPUNIT_ASSERT_EQUAL(std::size_t{4}, band.voters(a));
       CPPUNIT_ASSERT(leader.commit() < leader.log().membership_index());
     }
   }
 
-  // A leader before it may have left an entry on a change that this one does not know: two changes that both
-  // begin at three are not neighbours.
+  // An earlier leader may have left an uncommitted membership change that this one does not know of; the two
+  // resulting memberships might have majorities that do not overlap.
   void noMembershipChangeBeforeEntryOfOwnTermIsCommitted() {
     Band band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
     band.end(a);
-    std::size_t b = elected(band), newcomer = band.add();
+    std::size_t b = wait_for_new_leader(band), newcomer = band.add();
     Core& leader = band.core(b);
     band.hand(b, join(leader, 4711, band.place(newcomer).address));
-    band.hand(b, held(leader, 4711, leader.log().last()));
+    band.hand(b, append_response(leader, 4711, leader.log().last()));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, band.voters(b));
     CPPUNIT_ASSERT(band.until(0.3, [&] { return band.speaks(b); }));
-    band.hand(b, held(leader, 4711, leader.log().last()));
+    band.hand(b, append_response(leader, 4711, leader.log().last()));
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, band.voters(b));
   }
 
-  // Cut off, it is told by a slow link what was answered before the cut: that says nothing of now.
+  // Responses that were sent before a partition and arrive late must not extend the lease.
   void leaseStartsWhenRoundIsSent() {
     Band band(3);
     std::size_t a = band.led();
@@ -134,7 +135,7 @@
     for (int i = 0; i < 31; ++i) {
       for (const Member& voter : Membership(band.count(a)).voters)
         if (voter.id != band.core(a).self())
-          band.hand(a, held(band.core(a), voter.id, band.core(a).commit()));
+          band.hand(a, append_response(band.core(a), voter.id, band.core(a).commit()));
       band.run(0.01);
     }
     CPPUNIT_ASSERT(band.core(a).role() == Core::Role::leader);
@@ -145,14 +146,14 @@
     Band band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     band.run(0.2);
-    Message of_a = ask(band, a, b), of_c = ask(band, c, b);
-    CPPUNIT_ASSERT(votes(band, b, of_c));
-    CPPUNIT_ASSERT(!votes(band, b, of_a));
-    CPPUNIT_ASSERT(votes(band, b, of_c));
+    Message of_a = vote_request(band, a, b), of_c = vote_request(band, c, b);
+    CPPUNIT_ASSERT(grants_vote(band, b, of_c));
+    CPPUNIT_ASSERT(!grants_vote(band, b, of_a));
+    CPPUNIT_ASSERT(grants_vote(band, b, of_c));
     band.end(b);
     CPPUNIT_ASSERT(!band.start(b));
-    CPPUNIT_ASSERT(!votes(band, b, of_a));
-    CPPUNIT_ASSERT(votes(band, b, of_c));
+    CPPUNIT_ASSERT(!grants_vote(band, b, of_a));
+    CPPUNIT_ASSERT(grants_vote(band, b, of_c));
   }
 
   void candidateWithOlderLogGetsNoVote() {
@@ -160,28 +161,28 @@
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     CPPUNIT_ASSERT(band.change(a));
     band.run(0.2);
-    Message behind = ask(band, c, b);
+    Message behind = vote_request(band, c, b);
     --behind.index;
-    CPPUNIT_ASSERT(!votes(band, b, behind));
-    Message older = ask(band, c, b);
-    older.index += 10;
-    --older.log_term;
-    older.term += 1;
-    CPPUNIT_ASSERT(!votes(band, b, older));
-    Message good = ask(band, c, b);
-    good.term += 2;
-    CPPUNIT_ASSERT(votes(band, b, good));
+    CPPUNIT_ASSERT(!grants_vote(band, b, behind));
+    Message older_term = vote_request(band, c, b);
+    older_term.index += 10;
+    --older_term.log_term;
+    older_term.term += 1;
+    CPPUNIT_ASSERT(!grants_vote(band, b, older_term));
+    Message current = vote_request(band, c, b);
+    current.term += 2;
+    CPPUNIT_ASSERT(grants_vote(band, b, current));
   }
 
   void candidateNeedsMajority() {
     Band band(5);
     std::size_t a = band.led(), b = (a + 1) % 5;
-    Message word;
-    word.kind = MessageKind::timeout_now;
-    word.from = band.core(a).self();
-    word.to = band.core(b).self();
-    word.term = band.core(b).term();
-    band.hand(b, word);
+    Message message;
+    message.kind = MessageKind::timeout_now;
+    message.from = band.core(a).self();
+    message.to = band.core(b).self();
+    message.term = band.core(b).term();
+    band.hand(b, message);
     Message vote;
     vote.kind = MessageKind::vote_response;
     vote.to = band.core(b).self();
@@ -195,47 +196,47 @@
     CPPUNIT_ASSERT(band.core(b).role() == Core::Role::leader);
   }
 
-  // Meant for who was there before its disk was lost: that one may have promised otherwise.
+  // The earlier id of a member that lost its disk may have voted differently.
   void messageForEarlierIdIsIgnored() {
     Band band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
-    Message for_before = ask(band, c, b);
+    Message for_old_id = vote_request(band, c, b);
     band.wipe(b);
     band.start(b);
-    CPPUNIT_ASSERT(for_before.to != band.core(b).self());
-    CPPUNIT_ASSERT(!votes(band, b, for_before));
-    Message for_now = for_before;
-    for_now.to = band.core(b).self();
-    CPPUNIT_ASSERT(votes(band, b, for_now));
+    CPPUNIT_ASSERT(for_old_id.to != band.core(b).self());
+    CPPUNIT_ASSERT(!grants_vote(band, b, for_old_id));
+    Message for_new_id = for_old_id;
+    for_new_id.to = band.core(b).self();
+    CPPUNIT_ASSERT(grants_vote(band, b, for_new_id));
   }
 
-  // Half of one and half of another are no snapshot.
+  // Chunks of two snapshots must not be combined.
   void chunkOfAnotherSnapshotRestartsTransfer() {
     Band band(3);
     std::size_t a = band.led(), c = (a + 1) % 3;
-    Message piece;
-    piece.kind = MessageKind::snapshot_chunk;
-    piece.from = band.core(a).self();
-    piece.from_address = band.place(a).address;
-    piece.to = band.core(c).self();
-    piece.term = band.core(a).term();
-    piece.snapshot.index = band.core(c).commit() + 100;
-    piece.snapshot.term = piece.term;
-    piece.snapshot.membership = band.count(c);
-    piece.total = 8;
-    auto held = [&](const std::string& bytes, std::uint64_t digest) {
-      piece.snapshot.state = bytes;
-      piece.digest = digest;
+    Message chunk;
+    chunk.kind = MessageKind::snapshot_chunk;
+    chunk.from = band.core(a).self();
+    chunk.from_address = band.place(a).address;
+    chunk.to = band.core(c).self();
+    chunk.term = band.core(a).term();
+    chunk.snapshot.index = band.core(c).commit() + 100;
+    chunk.snapshot.term = chunk.term;
+    chunk.snapshot.membership = band.count(c);
+    chunk.total = 8;
+    auto received_bytes = [&](const std::string& bytes, std::uint64_t digest) {
+      chunk.snapshot.state = bytes;
+      chunk.digest = digest;
       static_cast<void>(band.core(c).take_out());
-      band.hand(c, piece);
+      band.hand(c, chunk);
       for (const OutgoingMessage& out : band.core(c).take_out())
         if (out.message.kind == MessageKind::snapshot_chunk_response) return out.message.offset;
       return std::uint64_t{99};
     };
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, held("aaaa", 1));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, held("bb", 2));
-    ++piece.snapshot.index;
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, held("ccc", 2));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, received_bytes("aaaa", 1));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, received_bytes("bb", 2));
+    ++chunk.snapshot.index;
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, received_bytes("ccc", 2));
   }
 };
 
--- a/tests/system/replication_harness.h
+++ b/tests/system/replication_harness.h
@@ -1,4 +1,4 @@
-// Members of the agreement alone, on simulated disks and links of a given rate, through the codec in service.
+// Raft members on simulated disks and links of limited bandwidth, using the real message codec.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,7 +16,7 @@
 
 namespace pearspar::raft {
 
-// Counts what it was told and keeps so many bytes beside: a state of any size, the same everywhere.
+// State machine that counts and hashes the changes; its snapshots are padded to a given size.
 class CountingMachine : public StateMachine {
  public:
   explicit CountingMachine(std::size_t bytes) : bytes_(bytes) {}
@@ -41,20 +41,20 @@
   std::size_t bytes_;
 };
 
-// Members on links of so many bytes a second, in simulated time, through the codec in service.
+// A Raft group in simulated time.
 class ReplicationHarness {
  public:
   struct Node {
-    Node(biella::World& world, std::size_t bytes) : disk(world), book(bytes), state_bytes(bytes) {}
+    Node(biella::World& world, std::size_t bytes) : disk(world), machine(bytes), state_bytes(bytes) {}
     std::string address;
     biella::SimDisk disk;
-    CountingMachine book;
+    CountingMachine machine;
     std::size_t state_bytes;
     std::unique_ptr<Core> core;
-    std::uint64_t life = 0;
-    bool cut = false;    // from all
-    bool older = false;  // takes no pieces, and can't read them
-    Time awake{};
+    std::uint64_t incarnation = 0;
+    bool isolated = false;
+    bool without_chunks = false;  // an older version that does not know snapshot chunks
+    Time paused_until{};
   };
 
   explicit ReplicationHarness(std::size_t count, std::size_t state_bytes, double bytes_per_s = 17e6 / 8,
@@ -71,28 +71,28 @@
     return *nodes.back();
   }
   void start(Node& node, bool first = false) {
-    node.book = CountingMachine(node.state_bytes);
+    node.machine = CountingMachine(node.state_bytes);
     Options options;
     options.address = node.address;
     options.founders = options.seeds = founders_;
     options.first_start = first;
     options.fresh_id = options.seed = world.number() | 1;
-    node.core = std::make_unique<Core>(node.disk, node.book, options);
-    ++node.life;
+    node.core = std::make_unique<Core>(node.disk, node.machine, options);
+    ++node.incarnation;
     node.core->start(world.now());
     pump(node);
   }
   void kill(Node& node, bool power) {
     node.core.reset();
-    ++node.life;
+    ++node.incarnation;
     if (power) node.disk.lose_power();
   }
-  void run(double seconds) { world.run_until(world.now() + Duration(seconds)); }
-  // Until it is so, `within` at the longest; how long it took.
-  double until(double within, const std::function<bool()>& so) {
+  void run_for(double seconds) { world.run_until(world.now() + Duration(seconds)); }
+  // Runs until `done` holds, at most for `within` seconds, and returns the time it took in seconds.
+  double run_until(double within, const std::function<bool()>& done) {
     Time start = world.now();
-    while (!so() && world.now() - start < Duration(within)) run(0.01);
-    CPPUNIT_ASSERT(so());
+    while (!done() && world.now() - start < Duration(within)) run_for(0.01);
+    CPPUNIT_ASSERT(done());
     return (world.now() - start).count();
   }
   Node* leader() {
@@ -100,77 +100,78 @@
       if (node->core && node->core->holds_lease(world.now())) return node.get();
     return nullptr;
   }
-  Node& lead() {
-    until(10, [&] { return leader() != nullptr; });
+  Node& wait_for_leader() {
+    run_until(10, [&] { return leader() != nullptr; });
     return *leader();
   }
-  Node& other(std::size_t skip = 0) {
-    Node* leads = &lead();
+  Node& follower(std::size_t skip = 0) {
+    Node* leader_node = &wait_for_leader();
     for (auto& node : nodes)
-      if (node.get() != leads && skip-- == 0) return *node;
-    throw std::logic_error("no other");
+      if (node.get() != leader_node && skip-- == 0) return *node;
+    throw std::logic_error("no such follower");
   }
-  bool change(std::size_t bytes, std::uint64_t number = 0) {
+  bool propose(std::size_t bytes, std::uint64_t number = 0) {
     Node* node = leader();
     if (!node) return false;
-    bool taken =
+    bool accepted =
         node->core->propose(world.now(), std::string(bytes, 'c') + std::to_string(number)).has_value();
-    if (taken) ++taken_;
+    if (accepted) ++accepted_;
     pump(*node);
-    return taken;
+    return accepted;
   }
-  bool same(Node& node) {
-    Node* leads = leader();
-    return leads && node.core && node.core->applied() == leads->core->commit() &&
-           node.book.digest == leads->book.digest && node.book.count == leads->book.count;
+  bool in_sync(Node& node) {
+    Node* leader_node = leader();
+    return leader_node && node.core && node.core->applied() == leader_node->core->commit() &&
+           node.machine.digest == leader_node->machine.digest &&
+           node.machine.count == leader_node->machine.count;
   }
   void pump(Node& node) {
     if (!node.core) return;
-    if (world.now() < node.awake) return;
+    if (world.now() < node.paused_until) return;
     Time done = std::max(world.now(), node.disk.busy_until());
     node.core->tick(world.now());
     for (OutgoingMessage& out : node.core->take_out()) {
-      if (node.older) out.message.capabilities = 0;
+      if (node.without_chunks) out.message.capabilities = 0;
       send(node, out, done);
     }
-    std::uint64_t life = node.life;
-    world.at(std::max(node.core->due(), world.now() + Duration(0.002)), [this, &node, life] {
-      if (node.life == life) pump(node);
+    std::uint64_t incarnation = node.incarnation;
+    world.at(std::max(node.core->due(), world.now() + Duration(0.002)), [this, &node, incarnation] {
+      if (node.incarnation == incarnation) pump(node);
     });
   }
 
-  std::function<bool(const Message&, const std::string& to)> lose = [](const Message&, const std::string&) {
-    return false;
-  };
-  std::map<std::string, std::size_t> bytes_to;  // handed to the links
-  std::map<MessageKind, std::size_t> words;
-  std::size_t most_out = 0;  // bytes on one link at once
+  std::function<bool(const Message&, const std::string& to)> should_drop =
+      [](const Message&, const std::string&) { return false; };
+  std::map<std::string, std::size_t> bytes_sent_to;  // including dropped messages
+  std::map<MessageKind, std::size_t> messages_sent;
+  std::size_t max_queued_bytes = 0;  // most bytes queued on one link
 
  private:
   void send(Node& from, const OutgoingMessage& out, Time leaves) {
     std::string frame = fanes::pack(out.message);
     CPPUNIT_ASSERT(frame.size() <= fanes::most_frame);
-    bytes_to[out.address] += frame.size();
-    ++words[out.message.kind];
-    if (from.cut || lose(out.message, out.address)) return;
+    bytes_sent_to[out.address] += frame.size();
+    ++messages_sent[out.message.kind];
+    if (from.isolated || should_drop(out.message, out.address)) return;
     Time& free = free_[{from.address, out.address}];
     free = std::max(free, leaves) + Duration(static_cast<double>(frame.size()) / rate_);
-    most_out = std::max(most_out, static_cast<std::size_t>((free - world.now()).count() * rate_));
+    max_queued_bytes =
+        std::max(max_queued_bytes, static_cast<std::size_t>((free - world.now()).count() * rate_));
     world.at(free + Duration(0.001), [this, to = out.address, frame] { arrive(to, frame); });
   }
   void arrive(const std::string& to, const std::string& frame) {
     for (auto& node : nodes) {
-      if (node->address != to || !node->core || node->cut) continue;
-      Time due = std::max(node->awake, node->disk.busy_until());
+      if (node->address != to || !node->core || node->isolated) continue;
+      Time due = std::max(node->paused_until, node->disk.busy_until());
       if (due > world.now()) {
         world.at(due, [this, to, frame] { arrive(to, frame); });
         return;
       }
-      auto message = fanes::unpack(frame);
-      CPPUNIT_ASSERT(message);
-      const auto& word = std::get<Message>(*message);
-      if (node->older && word.kind > MessageKind::timeout_now) return;  // a frame that it can't read
-      node->core->step(world.now(), word);
+      auto decoded = fanes::unpack(frame);
+      CPPUNIT_ASSERT(decoded);
+      const auto& message = std::get<Message>(*decoded);
+      if (node->without_chunks && message.kind > MessageKind::timeout_now) return;  // unknown to that version
+      node->core->step(world.now(), message);
       pump(*node);
     }
   }
@@ -179,7 +180,7 @@
   std::size_t state_bytes_;
   std::vector<std::string> founders_;
   std::map<std::pair<std::string, std::string>, Time> free_;
-  std::uint64_t taken_ = 0;
+  std::uint64_t accepted_ = 0;
 
  public:
   biella::World world;
@@ -188,36 +189,38 @@
 
 constexpr std::size_t mb = 1 << 20;
 
-// A member that was away while the others folded all that it lacks.
+// A group with one stopped member that needs a snapshot to catch up.
 struct LaggingMember {
-  explicit LaggingMember(std::size_t state, std::size_t nodes = 3) : rig(nodes, state), away(&rig.other()) {
-    rig.kill(*away, true);
-    rig.run(3);
-    fill();
-  }
-  void fill() {
-    Index before = rig.lead().core->log().snapshot().index;
-    for (int i = 0; i < 64 || rig.lead().core->log().snapshot().index == before; ++i) {
-      if (rig.leader()) rig.change(128 << 10, static_cast<std::uint64_t>(i));
-      rig.run(0.15);
+  explicit LaggingMember(std::size_t state, std::size_t nodes = 3)
+      : harness(nodes, state), member(&harness.follower()) {
+    harness.kill(*member, true);
+    harness.run_for(3);
+    compact_leader();
+  }
+  // Proposes changes until the leader has taken another snapshot.
+  void compact_leader() {
+    Index before = harness.wait_for_leader().core->log().snapshot().index;
+    for (int i = 0; i < 64 || harness.wait_for_leader().core->log().snapshot().index == before; ++i) {
+      if (harness.leader()) harness.propose(128 << 10, static_cast<std::uint64_t>(i));
+      harness.run_for(0.15);
     }
-    rig.run(0.5);
+    harness.run_for(0.5);
   }
-  // So far that about so many bytes are on the other side.
-  void begin(std::size_t bytes) {
-    rig.bytes_to.clear();
-    rig.start(*away);
-    rig.until(20, [&] { return rig.bytes_to[away->address] >= bytes; });
+  // Starts the member and runs until that many bytes have been sent to it.
+  void receive(std::size_t bytes) {
+    harness.bytes_sent_to.clear();
+    harness.start(*member);
+    harness.run_until(20, [&] { return harness.bytes_sent_to[member->address] >= bytes; });
   }
-  void arrives(double within) {
-    rig.until(within, [&] { return rig.same(*away); });
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, away->core->counters().snapshots_installed);
+  void expect_caught_up(double within) {
+    harness.run_until(within, [&] { return harness.in_sync(*member); });
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, member->core->counters().snapshots_installed);
   }
-  ReplicationHarness rig;
-  ReplicationHarness::Node* away;
+  ReplicationHarness harness;
+  ReplicationHarness::Node* member;
 };
 
-// A member with an empty disk that hears only what it is handed.
+// A member with an empty store that receives only the messages passed to it.
 struct SingleMember {
   SingleMember() { core.start(world.now()); }
   static Options options() {
@@ -228,8 +231,8 @@
   }
   biella::World world{1};
   biella::SimDisk disk{world};
-  CountingMachine book{0};
-  Core core{disk, book, options()};
+  CountingMachine machine{0};
+  Core core{disk, machine, options()};
 };
 
 }  // namespace pearspar::raft
--- a/tests/system/store_folder_test.cpp
+++ b/tests/system/store_folder_test.cpp
@@ -1,5 +1,5 @@
-// A store's folder: what a loss of power leaves of a file that has just been made, and files that are cut
-// short, of another use, or not to be read. None of them ends the process.
+// Files of a store: power loss while a file is created, and truncated, foreign or unreadable files, none of
+// which may crash the process.
 #include <cppunit/extensions/HelperMacros.h>
 #include <lmdb.h>
 #include <sys/stat.h>
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::function<int()> on_folder_sync;  // none, or what a sync of a folder comes to
+std::function<int()> on_folder_sync;  // if set, returns the errno of a directory sync, 0 = success
 std::function<void()> on_file_sync;
 
 bool is_folder(int fd) {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// In place of the C library's, for this program's own calls.
+// Replace the C library's functions in this program.
 extern "C" int fsync(int fd) {
   if (on_folder_sync && is_folder(fd))
     if (int fault = on_folder_sync()) {
@@ -74,14 +74,14 @@
     CPPUNIT_ASSERT(!store.save_self(5));
     CPPUNIT_ASSERT(lasts);
     lasts = false;
-    LmdbStore again(folder.path());  // also of one that an older program made
+    LmdbStore again(folder.path());  // also when an existing store is opened
     PersistentState stored;
     CPPUNIT_ASSERT(!again.load(stored));
     CPPUNIT_ASSERT(lasts);
     CPPUNIT_ASSERT_EQUAL(raft::MemberId{5}, stored.self);
   }
 
-  // Until it is synced its pages may be there, missing or torn: it has no name of ours yet.
+  // Before the first sync pages may be missing or torn, so the file must not have its final name yet.
   void unfinishedStoreFileIsDiscarded() {
     int syncs = 0;
     {
@@ -105,7 +105,7 @@
     }
   }
 
-  // By whoever copies it. Each cut is refused, or reads as it was: nothing of it was in use.
+  // Each truncated file is rejected or, if only unused pages are missing, loaded completely.
   void truncatedFileIsRejected() {
     TempFolder folder;
     {
--- a/tests/system/temp_folder.h
+++ b/tests/system/temp_folder.h
@@ -1,4 +1,4 @@
-// A folder of a test's own, for a store.
+// Temporary directory for a store; removed at the end of the test.
 #pragma once
 
 #include <stdlib.h>
