--- a/src/raft/core.cpp
+++ b/src/raft/core.cpp
@@ -63,10 +63,10 @@
 }
 
 std::vector<std::string> Core::addresses() const {
-  std::vector<std::string> found;
-  for (const Member& voter : log_.membership().voters) found.push_back(voter.address);
-  if (found.empty()) found = options_.seeds;
-  return found;
+  std::vector<std::string> result;
+  for (const Member& voter : log_.membership().voters) result.push_back(voter.address);
+  if (result.empty()) result = options_.seeds;
+  return result;
 }
 
 bool Core::save_term(Term term, MemberId vote) {
--- a/src/raft/log.cpp
+++ b/src/raft/log.cpp
@@ -29,13 +29,14 @@
 }
 
 std::vector<Entry> Log::entries_from(Index from, std::size_t bytes) const {
-  std::vector<Entry> found;
+  std::vector<Entry> entries;
   std::size_t size = 0;
-  for (Index i = from; i <= last() && found.size() < max_entries && (found.empty() || size < bytes); ++i) {
-    found.push_back(at(i));
-    size += entry_size(found.back());
+  for (Index i = from; i <= last() && entries.size() < max_entries && (entries.empty() || size < bytes);
+       ++i) {
+    entries.push_back(at(i));
+    size += entry_size(entries.back());
   }
-  return found;
+  return entries;
 }
 
 const Membership& Log::membership_at(Index index) const {
--- a/src/raft/membership.cpp
+++ b/src/raft/membership.cpp
@@ -164,9 +164,9 @@
       if (nearly_caught_up(now, peer) && !has_voter_at(peer.address)) return std::nullopt;
   for (const auto& [id, peer] : peers_) {
     if (!caught_up(now, peer)) continue;
-    for (const auto& [old, before] : peers_)
-      if (before.voter && before.address == peer.address && !is_alive(now, before))
-        if (auto next = membership_without(now, old)) return next;
+    for (const auto& [old_id, old_peer] : peers_)
+      if (old_peer.voter && old_peer.address == peer.address && !is_alive(now, old_peer))
+        if (auto next = membership_without(now, old_id)) return next;
   }
   return std::nullopt;
 }
--- a/src/storage/files.cpp
+++ b/src/storage/files.cpp
@@ -23,8 +23,8 @@
 
 // A file that cannot be inspected counts as existing, so that it is not overwritten.
 bool exists(const std::string& file) {
-  struct stat found {};
-  return ::stat(file.c_str(), &found) == 0 || errno != ENOENT;
+  struct stat status {};
+  return ::stat(file.c_str(), &status) == 0 || errno != ENOENT;
 }
 
 std::error_code remove_file(const std::string& file) {
@@ -47,9 +47,9 @@
 }
 
 int extend_file(int fd, std::size_t bytes) {
-  struct stat found {};
-  if (::fstat(fd, &found) != 0) return errno;
-  if (static_cast<std::size_t>(found.st_size) >= bytes) return 0;
+  struct stat status {};
+  if (::fstat(fd, &status) != 0) return errno;
+  if (static_cast<std::size_t>(status.st_size) >= bytes) return 0;
   return ::ftruncate(fd, static_cast<off_t>(bytes)) == 0 ? 0 : errno;
 }
 
--- a/src/storage/lmdb_store.cpp
+++ b/src/storage/lmdb_store.cpp
@@ -93,9 +93,9 @@
 
 }  // namespace
 
-std::error_code make_error_code(StoreError fault) {
+std::error_code make_error_code(StoreError error) {
   static const FaultCategory category;
-  return {static_cast<int>(fault), category};
+  return {static_cast<int>(error), category};
 }
 
 LmdbStore::LmdbStore(std::string folder, std::size_t map_mb, std::size_t max_map_mb)
@@ -200,7 +200,7 @@
   MDB_txn* txn = nullptr;
   MDB_dbi dbi = 0;
   if (int result = mdb_txn_begin(env_, nullptr, MDB_RDONLY, &txn)) return error_of(result);
-  std::error_code fault;
+  std::error_code error;
   auto read = [&](std::string_view name, std::string& bytes) {
     MDB_val key = value_of(name), value{};
     int result = mdb_get(txn, dbi, &key, &value);
@@ -210,36 +210,36 @@
   auto number = [&](const std::string& bytes) {
     fanes::Unpacker unpacker(bytes);
     std::uint64_t value = unpacker.number();
-    if (!unpacker.whole()) fault = StoreError::corrupt;
+    if (!unpacker.whole()) error = StoreError::corrupt;
     return value;
   };
   int result = mdb_dbi_open(txn, nullptr, 0, &dbi);
   std::string bytes;
   if (result == MDB_SUCCESS) {
     if (read("format", bytes) ? number(bytes) != format : !is_unfinished_store(txn, dbi))
-      fault = StoreError::unsupported_format;
+      error = StoreError::unsupported_format;
   }
-  if (result == MDB_SUCCESS && !fault) {
+  if (result == MDB_SUCCESS && !error) {
     if (read("self", bytes)) stored.self = number(bytes);
     if (read("vote", bytes)) {
       auto vote = fanes::unpack_vote(bytes);
       if (vote)
         stored.vote = *vote;
       else
-        fault = StoreError::corrupt;
+        error = StoreError::corrupt;
     }
     if (read("note", bytes)) {
       fanes::Unpacker unpacker(bytes);
       stored.commit = unpacker.number();
       stored.note = unpacker.text();
-      if (!unpacker.whole()) fault = StoreError::corrupt;
+      if (!unpacker.whole()) error = StoreError::corrupt;
     }
     if (read("snapshot", bytes)) {
       auto snapshot = fanes::unpack_snapshot(bytes);
       if (snapshot)
         stored.snapshot = std::move(*snapshot);
       else
-        fault = StoreError::corrupt;
+        error = StoreError::corrupt;
     }
     MDB_cursor* cursor = nullptr;
     result = mdb_cursor_open(txn, dbi, &cursor);
@@ -252,7 +252,7 @@
         auto entry = fanes::unpack_entry(view_of(value));
         Index expected = stored.snapshot.index + stored.entries.size() + 1;
         if (!entry || (entry->index >= expected && entry->index != expected)) {
-          fault = StoreError::corrupt;
+          error = StoreError::corrupt;
           break;
         }
         if (entry->index == expected) stored.entries.push_back(std::move(*entry));
@@ -262,7 +262,7 @@
     }
   }
   mdb_txn_abort(txn);
-  if (fault) return fault;
+  if (error) return error;
   return error_of(result);
 }
 
--- a/src/storage/lmdb_store.h
+++ b/src/storage/lmdb_store.h
@@ -17,7 +17,7 @@
 
 // Errors of the stored data itself; LMDB and the system have their own categories.
 enum class StoreError { unsupported_format = 1, corrupt };
-std::error_code make_error_code(StoreError fault);
+std::error_code make_error_code(StoreError error);
 
 // Store of one Raft member.
 class LmdbStore : public raft::Store {
