--- a/tests/system/raft_core_test.cpp
+++ b/tests/system/raft_core_test.cpp
@@ -542,7 +542,7 @@
           }
           double cut = band.seconds();
           if (way != 3) {
-            auto index = band.core(a).propose(band.now(a), "on the minority side");
+            auto index = band.core(a).propose(band.now(a), "to the smaller side");
             CPPUNIT_ASSERT(index.has_value());
             band.run(0.301);
             CPPUNIT_ASSERT_MESSAGE("the lease has ended", !band.speaks(a));
