--- a/src/altavia/member.cpp
+++ b/src/altavia/member.cpp
@@ -32,21 +32,21 @@
   return options;
 }
 
-sennes::OfficeOptions office_options(const coldai::Settings& settings, std::uint64_t seed) {
-  sennes::OfficeOptions options;
+control_plane::ControllerOptions controller_options(const coldai::Settings& settings, std::uint64_t seed) {
+  control_plane::ControllerOptions options;
   options.pool = {settings.retry_slack, net::Duration(settings.retry_window_s)};
   options.inner_address = settings.inner_address();
   options.control_address = settings.control_port;
   options.life = seed;
   options.name = settings.node_name;
   options.zone = settings.zone;
-  options.beat = sennes::Duration(settings.beat_ms / 1000);
+  options.heartbeat_interval = control_plane::Duration(settings.beat_ms / 1000);
   return options;
 }
 
-sennes::Asker asker_of(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
-net::SlotId connection_of(sennes::Asker asker) {
-  return {static_cast<std::uint32_t>(asker >> 32), static_cast<std::uint32_t>(asker)};
+control_plane::CallerId asker_of(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
+net::SlotId connection_of(control_plane::CallerId caller) {
+  return {static_cast<std::uint32_t>(caller >> 32), static_cast<std::uint32_t>(caller)};
 }
 
 }  // namespace
@@ -61,7 +61,7 @@
              most_connections, *this, {net::Duration(10), net::Duration(5)}, {16 * 1024, most_body}),
       links_(loop, *this),
       store_(settings.data_dir),
-      member_(links_, store_, core_options(settings, seed), office_options(settings, seed)) {
+      member_(links_, store_, core_options(settings, seed), controller_options(settings, seed)) {
   front_.set_memory_bound(settings.memory_bytes(member_shares.clients));
   links_.set_memory_bound(settings.memory_bytes(member_shares.links));
   links_.listen(net::Address::of(settings.inner_address()));
@@ -103,7 +103,7 @@
   if (stopping_) {
     clients::Answer answer;
     answer.status = 503;
-    answer.retry_after_s = sennes::come_back_s;
+    answer.retry_after_s = control_plane::unavailable_retry_after_s;
     return front_.answer(connection, answer);
   }
   member_.call(loop_.read_clock(), asker_of(connection), message.method, message.target,
@@ -147,21 +147,22 @@
       {"altavia_edition", "newest configuration", n(member_.state().edition())},
       {"altavia_configuration_unread", "whether this program cannot read what was taken, and leads no more",
        member_.state().may_serve() ? 0.0 : 1.0},
-      {"altavia_calls_held", "control calls not answered yet", n(member_.office().room().calls())},
-      {"altavia_calls_held_bytes", "of those", n(member_.office().room().bytes())},
+      {"altavia_calls_held", "control calls not answered yet",
+       n(member_.controller().call_limiter().calls())},
+      {"altavia_calls_held_bytes", "of those", n(member_.controller().call_limiter().bytes())},
       {"altavia_calls_without_room_total", "control calls refused since too many waited",
-       n(member_.office().room().refused())},
-      {"altavia_nodes", "nodes known", n(member_.office().view().nodes().all().size())},
+       n(member_.controller().call_limiter().refused())},
+      {"altavia_nodes", "nodes known", n(member_.controller().view().nodes().all().size())},
       {"altavia_edges", "edges that hold a lease here",
-       n(member_.office().followers().edges(loop_.read_clock()))},
+       n(member_.controller().followers().edges(loop_.read_clock()))},
       {"altavia_tokens_granted_total", "of the budget that edges share",
-       n(member_.office().pool().granted())},
-      {"altavia_tokens_refused_total", "asked for and not there", n(member_.office().pool().refused())},
+       n(member_.controller().pool().granted())},
+      {"altavia_tokens_refused_total", "asked for and not there", n(member_.controller().pool().refused())},
       {"altavia_allowance_window", "of allowances, that runs", n(member_.state().accounts().window())},
       {"altavia_allowance_entries_total", "entries of the log on allowances, proposed here",
-       n(member_.office().bursar().counters().entries)},
+       n(member_.controller().bursar().counters().entries)},
       {"altavia_allowance_given_up_total", "edges whose tokens came back since they fell silent",
-       n(member_.office().bursar().counters().given_up)},
+       n(member_.controller().bursar().counters().given_up)},
       {"altavia_links", "links to other processes", n(links_.count())},
       {"altavia_frames_dropped_total", "frames for which there was no link, or no room", n(links_.dropped())},
       {"altavia_accept_failures_total", "links that waited, since no descriptor was free",
@@ -169,7 +170,7 @@
       {"altavia_link_bytes", "held for links to other processes", n(links_.held_bytes())},
       {"altavia_links_closed_for_memory_total", "links cut off since their bytes had reached their bound",
        n(links_.closed_for_memory())},
-      {"altavia_unread_total", "frames that could not be read", n(member_.unread())},
+      {"altavia_unread_total", "frames that could not be read", n(member_.unreadable_frames())},
       {"altavia_calls_total", "control calls", n(front_.counters().requests)},
       {"altavia_log_lines_dropped_total", "lines that would have waited, or were too many",
        n(logging::dropped_lines())},
@@ -187,13 +188,13 @@
     log(unread ? Level::error : Level::info, unread ? "configuration_not_read" : "configuration_read",
         {{"edition", member_.state().edition()}, {"why", member_.state().fault()}});
   unread_ = unread;
-  bool leads = member_.office().in_office();
+  bool leads = member_.controller().is_active();
   if (leads == led_) return;
   led_ = leads;
   log(Level::info, leads ? "leads" : "leads_no_more",
       {{"term", member_.core().term()},
        {"edition", member_.state().edition()},
-       {"nodes", member_.office().view().nodes().all().size()}});
+       {"nodes", member_.controller().view().nodes().all().size()}});
 }
 
 // Once as it begins, once as it is over.
@@ -213,8 +214,8 @@
     clients::Answer answer;
     answer.status = reply.status;
     answer.body = std::move(reply.body);
-    if (reply.status == 503) answer.retry_after_s = sennes::come_back_s;
-    front_.answer(connection_of(reply.asker), answer);
+    if (reply.status == 503) answer.retry_after_s = control_plane::unavailable_retry_after_s;
+    front_.answer(connection_of(reply.caller), answer);
   }
   tell_role();
   tell_disk();
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -1,5 +1,5 @@
 // A process of the core: the control port, the links to other members and to those that follow, the store,
-// around sennes::Member, which decides.
+// around control_plane::Member, which decides.
 #pragma once
 
 #include <memory>
@@ -7,9 +7,9 @@
 
 #include "clients/front.h"
 #include "coldai/settings.h"
+#include "control_plane/member.h"
 #include "metrics/metrics.h"
 #include "net/loop.h"
-#include "sennes/member.h"
 #include "storage/lmdb_store.h"
 #include "transport/links.h"
 
@@ -52,7 +52,7 @@
   clients::Front front_;
   transport::Links links_;
   storage::LmdbStore store_;
-  sennes::Member member_;
+  control_plane::Member member_;
   net::Time start_again_{};
   net::Timer timer_;
   bool led_ = false;
--- a/src/biella/cluster.cpp
+++ b/src/biella/cluster.cpp
@@ -74,7 +74,7 @@
 
 bool Cluster::core_up(std::size_t core) const { return cores_[core]->process != nullptr; }
 SimDisk& Cluster::disk(std::size_t core) { return cores_[core]->disk; }
-const sennes::Member* Cluster::member(std::size_t core) const {
+const control_plane::Member* Cluster::member(std::size_t core) const {
   return cores_[core]->process ? cores_[core]->process->member.get() : nullptr;
 }
 std::string Cluster::core_address(std::size_t core) const { return cores_[core]->address; }
--- a/src/biella/cluster.h
+++ b/src/biella/cluster.h
@@ -17,8 +17,8 @@
 #include "biella/net.h"
 #include "biella/streams.h"
 #include "biella/strikes.h"
+#include "control_plane/member.h"
 #include "pederu/desk.h"
-#include "sennes/member.h"
 #include "vandelli/station.h"
 #include "vazzoler/follower.h"
 
@@ -120,7 +120,7 @@
   // Something is done until then: to the core, so that its answers may take long; to edges.
   void disturbed(double until_s);
   void edges_disturbed(double until_s);
-  const sennes::Member* member(std::size_t core) const;
+  const control_plane::Member* member(std::size_t core) const;
   std::string core_address(std::size_t core) const;
 
   std::size_t edges() const { return edges_.size(); }
--- a/src/biella/cluster_ballast.cpp
+++ b/src/biella/cluster_ballast.cpp
@@ -11,10 +11,10 @@
 // A state as its own entries make it: one configuration, then reports of an edge on retrievals of so many
 // keys.
 std::string folded(const std::string& text, std::size_t bytes) {
-  sennes::State state;
+  control_plane::ReplicatedState state;
   raft::Entry entry;
   entry.kind = raft::EntryKind::change;
-  entry.data = sennes::State::change(0, 1, sennes::digest_of(text), text);
+  entry.data = control_plane::ReplicatedState::encode_change(0, 1, control_plane::digest_of(text), text);
   state.apply(entry);
   pramperet::Ask ask;
   ask.life = 1;
@@ -25,7 +25,8 @@
   settled.window = 1;
   for (std::size_t key = 1; key <= bytes / claim_bytes; ++key) settled.keys.push_back(key << 20);
   ask.settled.push_back(std::move(settled));
-  entry.data = sennes::State::allowance(fanes::pack_steps({fanes::Turn{1}, ask}));
+  entry.data =
+      control_plane::ReplicatedState::encode_quota_commands(fanes::pack_steps({fanes::Turn{1}, ask}));
   state.apply(entry);
   return state.fold();
 }
@@ -78,7 +79,7 @@
 }
 
 bool Cluster::caught_up(std::size_t core, raft::Index commit) const {
-  const sennes::Member* here = member(core);
+  const control_plane::Member* here = member(core);
   if (!here) return false;
   const raft::Log& log = here->core().log();
   return log.membership().has(here->core().self()) && log.last() >= commit;
--- a/src/biella/cluster_core.cpp
+++ b/src/biella/cluster_core.cpp
@@ -32,16 +32,16 @@
   agreement.founders = agreement.seeds = seeds();
   agreement.fresh_id = number;
   agreement.seed = number;
-  sennes::OfficeOptions office;
-  office.inner_address = core.address;
-  office.control_address = core.address;
-  office.life = number;
-  office.name = core.address;
-  office.beat = Duration(options_.beat_s);
-  office.pool = {options_.shared_budget ? options_.retry_slack : 0, std::chrono::seconds(10)};
+  control_plane::ControllerOptions controller;
+  controller.inner_address = core.address;
+  controller.control_address = core.address;
+  controller.life = number;
+  controller.name = core.address;
+  controller.heartbeat_interval = Duration(options_.beat_s);
+  controller.pool = {options_.shared_budget ? options_.retry_slack : 0, std::chrono::seconds(10)};
   core.first_start = false;
-  process.member =
-      std::make_unique<sennes::Member>(process.port, core.disk, std::move(agreement), std::move(office));
+  process.member = std::make_unique<control_plane::Member>(process.port, core.disk, std::move(agreement),
+                                                           std::move(controller));
   if (options_.clock_drift > 0)
     process.rate = 1 + world_.uniform(-options_.clock_drift / 2, options_.clock_drift / 2);
   process.step = core.clock_step;
@@ -68,21 +68,21 @@
       }
       return now;
     };
-    for (sennes::Reply& reply : process.member->advance(clock)) {
-      auto asker = process.askers.find(reply.asker);
-      if (asker == process.askers.end()) {
+    for (control_plane::Reply& reply : process.member->advance(clock)) {
+      auto caller = process.askers.find(reply.caller);
+      if (caller == process.askers.end()) {
         checker_.broken("ANSWER", core.address + " answers somebody who asks nothing");
         continue;
       }
-      checker_.call_answered(asker->second.call, reply.status, reply.body);
-      world_.at(ready(), [this, &core, from = asker->second.from, answer = asker->second.answer, reply,
+      checker_.call_answered(caller->second.call, reply.status, reply.body);
+      world_.at(ready(), [this, &core, from = caller->second.from, answer = caller->second.answer, reply,
                           alive = process.life.alive] {
         if (!*alive) return;  // it died before it could say so
         if (!core.callers_hear || (lost_answers_ > 0 && world_.chance(lost_answers_))) return;
         if (!net_.reaches(core.address, from)) return;
         world_.in(net_.delay(core.address, from), [answer, reply] { answer(reply.status, reply.body); });
       });
-      process.askers.erase(asker);
+      process.askers.erase(caller);
     }
     if (process.member->started() && process.member->core().may_speak(process.own(ready())))
       for (const auto& other : cores_)
--- a/src/biella/cluster_operators.cpp
+++ b/src/biella/cluster_operators.cpp
@@ -25,9 +25,9 @@
     Core::Process& process = *core.process;
     auto taken = [&process, from, method, path, if_match, body, answer] {
       if (process.stopping) return answer(503, {});
-      sennes::Asker asker = ++process.next;
-      process.askers[asker] = {from, answer, {method, path, body}};
-      process.member->call(process.look.value_or(process.now()), asker, method, path, if_match, body);
+      control_plane::CallerId caller = ++process.next;
+      process.askers[caller] = {from, answer, {method, path, body}};
+      process.member->call(process.look.value_or(process.now()), caller, method, path, if_match, body);
     };
     if (process.look)
       process.calls.push_back(std::move(taken));
--- a/src/biella/cluster_parts.h
+++ b/src/biella/cluster_parts.h
@@ -74,9 +74,9 @@
   struct Process : transport::LinksUser {
     Life life;
     Port port;
-    std::unique_ptr<sennes::Member> member;
-    std::map<sennes::Asker, Asked> askers;
-    sennes::Asker next = 0;
+    std::unique_ptr<control_plane::Member> member;
+    std::map<control_plane::CallerId, Asked> askers;
+    control_plane::CallerId next = 0;
     Time wake{};
     bool stopping = false;
     // Its clock: at what rate it runs, from when it started.
--- a/src/biella/schedule.cpp
+++ b/src/biella/schedule.cpp
@@ -51,7 +51,7 @@
   in(0.02, [this] { tell_core(); });
   std::string now;
   for (std::size_t i = 0; i < cluster_.cores(); ++i) {
-    const sennes::Member* member = cluster_.member(i);
+    const control_plane::Member* member = cluster_.member(i);
     if (!member) continue;
     const raft::Core& core = member->core();
     now += "  " + cluster_.core_address(i).substr(7, 2) + ":";
--- a/src/biella/schedule_losses.cpp
+++ b/src/biella/schedule_losses.cpp
@@ -101,7 +101,7 @@
   auto who = static_cast<std::size_t>(returned);
   int strikes = strikes_[returned];
   bool judged = !struck_before_;
-  auto life = std::make_shared<const sennes::Member*>(nullptr);
+  auto life = std::make_shared<const control_plane::Member*>(nullptr);
   in(in_s - 1, [this, commit, life, who] {
     *life = cluster_.member(who);
     if (int leads = cluster_.leader(); leads >= 0)
--- a/src/carestiato/commands.cpp
+++ b/src/carestiato/commands.cpp
@@ -10,8 +10,8 @@
 
 #include "averau/config.h"
 #include "averau/json.h"
+#include "control_plane/report.h"
 #include "net/socket.h"
-#include "sennes/report.h"
 
 namespace pearspar::carestiato {
 namespace {
@@ -417,7 +417,7 @@
   std::ofstream out(half, std::ios::binary | std::ios::trunc);
   std::string whole;
   for (const std::string& each : lines) whole += each + "\n";
-  auto digest = sennes::digest_of(whole);
+  auto digest = control_plane::digest_of(whole);
   out << whole
       << fmt::format(R"({{"signedOff":{{"term":{},"position":{},"window":{},)"
                      R"("lines":{},"digest":"{:016x}{:016x}"}}}})",
@@ -461,7 +461,7 @@
   const cJSON* configuration = cJSON_GetObjectItemCaseSensitive(o, "configuration");
   if (!cJSON_IsString(configuration)) return fail(bad_input, file + ": configuration: is no text");
   std::string whole = configuration->valuestring;
-  auto digest = sennes::digest_of(whole);
+  auto digest = control_plane::digest_of(whole);
   if (fmt::format("{:016x}{:016x}", digest.first, digest.second) != text_of(o, "digest"))
     return fail(bad_input, file + ": digest: does not fit the configuration");
   averau::ConfigurationPtr read;
--- /dev/null
+++ b/src/control_plane/change_history.cpp
@@ -0,0 +1,76 @@
+#include "control_plane/change_history.h"
+
+#include <xxhash.h>
+
+#include <algorithm>
+
+namespace pearspar::control_plane {
+namespace {
+
+constexpr std::size_t entry_bytes = 24;
+
+void put(std::string& out, std::uint64_t value) {
+  for (int shift = 0; shift < 64; shift += 8) out += static_cast<char>(value >> shift & 0xff);
+}
+
+std::uint64_t get(std::string_view bytes) {
+  std::uint64_t value = 0;
+  for (int i = 7; i >= 0; --i)
+    value = value << 8 | static_cast<unsigned char>(bytes[static_cast<std::size_t>(i)]);
+  return value;
+}
+
+}  // namespace
+
+Digest digest_of(std::string_view text) {
+  XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
+  return {hash.high64, hash.low64};
+}
+
+ChangeHistory::Status ChangeHistory::status(averau::Edition edition, const Digest& digest) const {
+  auto begin = entries_.begin() + static_cast<std::ptrdiff_t>(first_);
+  auto found = std::lower_bound(begin, entries_.end(), edition, [](const Entry& one, averau::Edition wanted) {
+    return one.edition < wanted;
+  });
+  if (found == entries_.end()) return Status::undecided;
+  if (found->edition == edition) return found->digest == digest ? Status::applied : Status::superseded;
+  return truncated_ && found == begin ? Status::forgotten : Status::superseded;
+}
+
+void ChangeHistory::add(const Entry& one) {
+  if (!empty() && one.edition <= newest().edition) return;
+  entries_.push_back(one);
+  if (size() <= max_entries) return;
+  ++first_;
+  truncated_ = true;
+  if (first_ < max_entries / 8) return;
+  entries_.erase(entries_.begin(), entries_.begin() + static_cast<std::ptrdiff_t>(first_));
+  first_ = 0;
+}
+
+std::string ChangeHistory::pack_oldest(std::size_t excluded) const {
+  std::string out;
+  if (size() <= excluded) return out;
+  out.reserve((size() - excluded) * entry_bytes);
+  for (std::size_t i = 0; i + excluded < size(); ++i) {
+    put(out, (*this)[i].edition);
+    put(out, (*this)[i].digest.first);
+    put(out, (*this)[i].digest.second);
+  }
+  return out;
+}
+
+bool ChangeHistory::unpack(std::string_view bytes) {
+  if (bytes.size() % entry_bytes != 0 || bytes.size() > max_entries * entry_bytes) return false;
+  averau::Edition before = 0;
+  for (std::size_t at = 0; at < bytes.size(); at += entry_bytes) {
+    averau::Edition edition = get(bytes.substr(at));
+    if (edition <= before) return false;
+    before = edition;
+  }
+  for (std::size_t at = 0; at < bytes.size(); at += entry_bytes)
+    add({get(bytes.substr(at)), {get(bytes.substr(at + 8)), get(bytes.substr(at + 16))}});
+  return true;
+}
+
+}  // namespace pearspar::control_plane
--- a/src/sennes/taken.h
+++ b/src/control_plane/change_history.h
@@ -12,38 +12,38 @@
 
 #include "averau/config.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 
 using Digest = std::pair<std::uint64_t, std::uint64_t>;
 Digest digest_of(std::string_view text);
 
-class Taken {
+class ChangeHistory {
  public:
   // A week at 2,300 changes a day is 16,100. 24 bytes each, in memory and in a snapshot.
-  static constexpr std::size_t most = 20000;
+  static constexpr std::size_t max_entries = 20000;
 
-  struct One {
+  struct Entry {
     averau::Edition edition = 0;
     Digest digest;
-    bool operator==(const One&) const = default;
+    bool operator==(const Entry&) const = default;
   };
 
-  enum class Word {
-    taken,     // that very text
-    never,     // and never will be: what stands is at this edition or past it
-    open,      // above all that was taken
-    forgotten  // older than what is remembered: may have been taken
+  enum class Status {
+    applied,     // that very text
+    superseded,  // and never will be: what stands is at this edition or past it
+    undecided,   // above all that was taken
+    forgotten    // older than what is remembered: may have been taken
   };
-  Word word(averau::Edition edition, const Digest& digest) const;
+  Status status(averau::Edition edition, const Digest& digest) const;
 
-  // Passed over where the edition does not rise.
-  void add(const One& one);
-  std::size_t size() const { return kept_.size() - first_; }
+  // Forwarded over where the edition does not rise.
+  void add(const Entry& one);
+  std::size_t size() const { return entries_.size() - first_; }
   bool empty() const { return size() == 0; }
-  const One& operator[](std::size_t place) const { return kept_[first_ + place]; }  // the oldest first
-  const One& newest() const { return kept_.back(); }
-  bool cut() const { return cut_; }
-  void set_cut() { cut_ = true; }
+  const Entry& operator[](std::size_t place) const { return entries_[first_ + place]; }  // the oldest first
+  const Entry& newest() const { return entries_.back(); }
+  bool truncated() const { return truncated_; }
+  void set_truncated() { truncated_ = true; }
 
   // All but the newest `but`, 24 bytes each.
   std::string pack_oldest(std::size_t but) const;
@@ -52,9 +52,9 @@
 
  private:
   // Dropped ones stay in front until they are as many as an eighth: nothing moves with every change.
-  std::vector<One> kept_;
+  std::vector<Entry> entries_;
   std::size_t first_ = 0;
-  bool cut_ = false;
+  bool truncated_ = false;
 };
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/sennes/office_calls.cpp
+++ b/src/control_plane/controller_calls.cpp
@@ -1,19 +1,19 @@
-// Calls on their way to an answer: taken in, settled here or passed on to the leader, refused when their time
-// is over.
+// Calls on their way to an answer: taken in, settled here or forwarded on to the leader, refused when their
+// time is over.
 #include <algorithm>
 #include <charconv>
 
-#include "sennes/office.h"
-#include "sennes/report.h"
+#include "control_plane/controller.h"
+#include "control_plane/report.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 namespace {
 
 using namespace std::chrono_literals;
 
 // Whoever passes a call on wants to hear the answer before its own time is over.
-constexpr Duration way_back = 50ms;
-constexpr std::size_t most_history = 200;  // told unasked
+constexpr Duration reply_margin = 50ms;
+constexpr std::size_t default_history_entries = 200;  // told unasked
 constexpr std::string_view config_path = "/pearspar/config";
 constexpr std::string_view status_path = "/pearspar/status";
 constexpr std::string_view list_path = "/pearspar/nodes";
@@ -28,7 +28,7 @@
 
 // How many are asked for: "/pearspar/history", or with "?newest=N" behind it.
 std::optional<std::size_t> history_asked(std::string_view path) {
-  if (path == history_path) return most_history;
+  if (path == history_path) return default_history_entries;
   constexpr std::string_view query = "?newest=";
   if (!path.starts_with(history_path)) return std::nullopt;
   path.remove_prefix(history_path.size());
@@ -41,7 +41,7 @@
 }
 
 // For people too; null = there is no such call.
-const char* methods_of(std::string_view path) {
+const char* allowed_methods(std::string_view path) {
   if (path == config_path) return "GET or PUT";
   if (is_node_path(path)) return "PUT or DELETE";
   bool read = path == status_path || path == list_path || path == snapshot_path || path == allowance_path ||
@@ -56,69 +56,70 @@
 
 }  // namespace
 
-void Office::reply(const Request& request, int status, std::string body, bool by_lease) {
+void Controller::reply(const Request& request, int status, std::string body, bool requires_lease) {
   // Only what was read out is long, and may be asked for again.
-  bool passed = !request.from.empty();
-  if (by_lease && (reply_bytes_ + body.size() > most_reply_bytes ||
-                   (passed && passed_bytes_ + body.size() > most_passed_bytes))) {
+  bool forwarded = !request.forwarded_by.empty();
+  if (requires_lease && (reply_bytes_ + body.size() > max_reply_bytes ||
+                         (forwarded && forwarded_reply_bytes_ + body.size() > max_forwarded_reply_bytes))) {
     status = 503;
-    body = fault_json("too much is asked for at once");
+    body = error_json("too much is asked for at once");
   }
   reply_bytes_ += body.size();
-  if (passed) passed_bytes_ += body.size();
-  if (request.from.empty())
-    replies_.push_back({request.asker, status, std::move(body), by_lease});
+  if (forwarded) forwarded_reply_bytes_ += body.size();
+  if (request.forwarded_by.empty())
+    replies_.push_back({request.caller, status, std::move(body), requires_lease});
   else
     messages_.push_back(
-        {request.from, fanes::CallAnswer{request.number, static_cast<std::uint32_t>(status), std::move(body)},
-         by_lease});
+        {request.forwarded_by,
+         fanes::CallAnswer{request.number, static_cast<std::uint32_t>(status), std::move(body)},
+         requires_lease});
 }
 
-void Office::reply_fault(const Request& request, int status, std::string_view what) {
-  reply(request, status, fault_json(what));
+void Controller::reply_error(const Request& request, int status, std::string_view what) {
+  reply(request, status, error_json(what));
 }
 
-std::vector<Reply> Office::take_replies() {
-  reply_bytes_ = passed_bytes_ = 0;
+std::vector<Reply> Controller::take_replies() {
+  reply_bytes_ = forwarded_reply_bytes_ = 0;
   return std::exchange(replies_, {});
 }
 
-void Office::call(Time now, Asker asker, std::string_view method, std::string_view path,
-                  std::string_view if_match, std::string_view body) {
+void Controller::call(Time now, CallerId caller, std::string_view method, std::string_view path,
+                      std::string_view if_match, std::string_view body) {
   Request request;
-  request.asker = asker;
+  request.caller = caller;
   request.method = method;
   request.path = path;
   request.if_match = if_match;
   request.body = body;
-  request.until = now + answer_within;
+  request.deadline = now + call_timeout;
   if (path == status_path && method == "GET")
     return reply(request, 200, status_json(now, options_.name, core_, state_, view_, followers_), false);
-  take_in(now, std::move(request));
+  accept(now, std::move(request));
 }
 
 // By HTTP or from a member, which may be of another edition of the program and know other calls.
-void Office::take_in(Time now, Request request) {
-  if (const char* wanted = methods_of(request.path); !wanted)
-    return reply(request, 404, fault_json("no such call"), false);
+void Controller::accept(Time now, Request request) {
+  if (const char* wanted = allowed_methods(request.path); !wanted)
+    return reply(request, 404, error_json("no such call"), false);
   else if (!is_method_of(request.method, wanted))
-    return reply(request, 405, fault_json(std::string(wanted) + " is wanted"), false);
-  if (request.path == status_path) return reply(request, 404, fault_json("each member tells its own"), false);
-  auto place = room_.take(request.bytes());
-  if (!place) return reply_fault(request, 503, "too many calls wait");
-  request.place = std::move(*place);
-  if (!settle(now, request)) waiting_.push_back(std::move(request));
+    return reply(request, 405, error_json(std::string(wanted) + " is wanted"), false);
+  if (request.path == status_path) return reply(request, 404, error_json("each member tells its own"), false);
+  auto place = call_limiter_.reserve(request.bytes());
+  if (!place) return reply_error(request, 503, "too many calls wait");
+  request.reservation = std::move(*place);
+  if (!try_handle(now, request)) waiting_.push_back(std::move(request));
 }
 
-bool Office::settle(Time now, Request& request) {
+bool Controller::try_handle(Time now, Request& request) {
   if (may_serve(now)) {
-    if (!in_office() || core_.term() != view_.at().term) return false;
+    if (!is_active() || core_.term() != view_.at().term) return false;
     if (request.path == config_path) {
-      if (request.method == "PUT") return settle_change(now, request);
-      if (state_.current())
+      if (request.method == "PUT") return handle_change(now, request);
+      if (state_.configuration())
         reply(request, 200, state_.text());
       else
-        reply_fault(request, 404, "no configuration was taken yet");
+        reply_error(request, 404, "no configuration was taken yet");
     } else if (request.path == list_path) {
       reply(request, 200, nodes_json(now, view_));
     } else if (auto newest = history_asked(request.path)) {
@@ -128,23 +129,24 @@
     } else if (request.path == snapshot_path) {
       reply(request, 200, snapshot_json(state_));
     } else if (request.method == "PUT") {
-      settle_beat(now, request);
+      handle_heartbeat(now, request);
     } else {
-      settle_leave(now, request);
+      handle_leave(now, request);
     }
     return true;
   }
-  // Passed on at most once: two members that take each other for the leader must not play ball.
-  if (core_.role() == raft::Core::Role::leader || core_.leader_address().empty() || !request.from.empty())
+  // Forwarded on at most once: two members that take each other for the leader must not play ball.
+  if (core_.role() == raft::Core::Role::leader || core_.leader_address().empty() ||
+      !request.forwarded_by.empty())
     return false;
-  pass_on(now, request);
+  forward(now, request);
   return true;
 }
 
 namespace {
 
 fanes::Call as_call(Time now, std::uint64_t number, const std::string& from, const Request& request) {
-  double left_ms = Duration(request.until - way_back - now).count() * 1000;
+  double left_ms = Duration(request.deadline - reply_margin - now).count() * 1000;
   return {number,
           from,
           request.method,
@@ -156,72 +158,72 @@
 
 }  // namespace
 
-void Office::pass_on(Time now, Request& request) {
+void Controller::forward(Time now, Request& request) {
   const std::string& to = core_.leader_address();
   fanes::Call call = as_call(now, 0, options_.inner_address, request);
-  call.number = passed_.add(std::move(request), to);
+  call.number = forwarded_.add(std::move(request), to);
   messages_.push_back({to, std::move(call), false});
 }
 
-// Whoever it was passed to leads no more: the same call goes to who does. Calls may be repeated unchanged.
-void Office::look_after_passed(Time now) {
-  if (passed_.size() == 0) return;
+// Whoever it was forwarded to leads no more: the same call goes to who does. Calls may be repeated unchanged.
+void Controller::redirect_forwarded(Time now) {
+  if (forwarded_.size() == 0) return;
   if (may_serve(now)) {
-    for (Request& request : passed_.take_all())
-      if (!settle(now, request)) waiting_.push_back(std::move(request));
+    for (Request& request : forwarded_.take_all())
+      if (!try_handle(now, request)) waiting_.push_back(std::move(request));
     return;
   }
   const std::string& leader = core_.leader_address();
   if (leader.empty() || core_.role() == raft::Core::Role::leader) return;
-  for (auto& [number, passed] : passed_.all())
-    if (passed.to != leader && passed_.again(passed, leader))
+  for (auto& [number, forwarded] : forwarded_.all())
+    if (forwarded.to != leader && forwarded_.retry(forwarded, leader))
       messages_.push_back(
-          {leader, as_call(now, passed.number, options_.inner_address, passed.request), false});
+          {leader, as_call(now, forwarded.number, options_.inner_address, forwarded.request), false});
 }
 
-void Office::link_opened(Time now, const std::string& address) {
-  for (auto& [number, passed] : passed_.all())
-    if (passed.to == address && passed_.again(passed, address))
+void Controller::link_opened(Time now, const std::string& address) {
+  for (auto& [number, forwarded] : forwarded_.all())
+    if (forwarded.to == address && forwarded_.retry(forwarded, address))
       messages_.push_back(
-          {address, as_call(now, passed.number, options_.inner_address, passed.request), false});
+          {address, as_call(now, forwarded.number, options_.inner_address, forwarded.request), false});
 }
 
-void Office::on_answer(Time now, const fanes::CallAnswer& answer) {
-  auto request = passed_.answered(answer.number, answer.status < 500);
+void Controller::on_answer(Time now, const fanes::CallAnswer& answer) {
+  auto request = forwarded_.complete(answer.number, answer.status < 500);
   if (!request) return;
-  if (now >= request->until)
-    reply_fault(*request, 503, "the leader did not answer in time");
+  if (now >= request->deadline)
+    reply_error(*request, 503, "the leader did not answer in time");
   else
     reply(*request, static_cast<int>(answer.status), answer.body, false);
 }
 
 // Before anything else: a member that stood still for seconds does not take up what nobody waits for.
-void Office::refuse_expired(Time now) {
+void Controller::reject_expired(Time now) {
   for (std::size_t left = waiting_.size(); left > 0; --left) {
     Request request = std::move(waiting_.front());
     waiting_.pop_front();
-    if (now < request.until)
+    if (now < request.deadline)
       waiting_.push_back(std::move(request));
-    else if (request.order && may_serve(now) && request.order->base > state_.edition())
-      reply_fault(
+    else if (request.change && may_serve(now) && request.change->base > state_.edition())
+      reply_error(
           request, 503,
           "edition " + std::to_string(state_.edition()) + " is in place: what this one builds on is not");
     else
-      reply_fault(request, 503, "nobody leads here");
+      reply_error(request, 503, "nobody leads here");
   }
-  for (const Request& request : passed_.take_expired(now))
-    reply_fault(request, 503, "the leader did not answer");
+  for (const Request& request : forwarded_.take_expired(now))
+    reply_error(request, 503, "the leader did not answer");
   if (proposal_)
     std::erase_if(proposal_->callers, [&](const Request& request) {
-      if (now < request.until) return false;
-      reply_fault(request, 503, "a majority has not written it yet");
+      if (now < request.deadline) return false;
+      reply_error(request, 503, "a majority has not written it yet");
       return true;
     });
-  std::erase_if(spreading_, [&](const Spreading& each) {
-    if (now < each.request.until) return false;
-    reply_fault(each.request, 503, "not all have acknowledged it yet");
+  std::erase_if(pending_updates_, [&](const PendingUpdate& each) {
+    if (now < each.request.deadline) return false;
+    reply_error(each.request, 503, "not all have acknowledged it yet");
     return true;
   });
 }
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/sennes/followers.cpp
+++ b/src/control_plane/followers.cpp
@@ -1,65 +1,68 @@
-#include "sennes/followers.h"
+#include "control_plane/followers.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "fanes/delta.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 namespace {
 
 using namespace std::chrono_literals;
 
-constexpr Duration ping_every = 1s;
+constexpr Duration ping_interval = 1s;
 // So long a change waits for others: many nodes that start at once are one piece of news to each edge.
-constexpr Duration gather_news = 10ms;
-constexpr Duration lease = 2500ms;  // two pings and a half without an answer end it
-// Of lists that were told whole and are not acknowledged: who follows is told in turn, so that neither memory
-// nor one turn's work grows with the number of followers. One is always told.
-constexpr std::size_t most_on_their_way = 4 << 20;
+constexpr Duration batch_delay = 10ms;
+constexpr Duration lease_duration = 2500ms;  // two pings and a half without an answer end it
+// Of lists that were told got_full_state and are not acknowledged: who follows is told in turn, so that
+// neither memory nor one turn's work grows with the number of followers. One is always told.
+constexpr std::size_t max_bytes_in_flight = 4 << 20;
 // Of nodes that are gone, told to those that have a list: what went in the last seconds before the term.
-constexpr std::size_t last_ended = 64;
-constexpr std::size_t most_tail =
+constexpr std::size_t max_recently_gone = 64;
+constexpr std::size_t max_batch_bytes =
     2 << 20;  // of changes' texts in one frame; who lacks more is told what stands
-constexpr Duration packed_for = 250ms;
-constexpr std::size_t neighbours_at_once = 256;  // edges whose neighbours are looked at with one ping
-constexpr Duration on_its_way = 2s;  // at the most: by then it is acknowledged, or its link has ended
+constexpr Duration encoded_state_lifetime = 250ms;
+constexpr std::size_t neighbour_checks_per_ping = 256;  // edges whose neighbours are looked at with one ping
+constexpr Duration transfer_timeout = 2s;  // at the most: by then it is acknowledged, or its link has ended
 
 }  // namespace
 
-std::uint32_t cold_ms(Time now, const averau::Node& node) {
+std::uint32_t remaining_cold_ms(Time now, const averau::Node& node) {
   return static_cast<std::uint32_t>(std::max(0.0, Duration(node.cold_until - now).count() * 1000));
 }
 
-bool Followers::lives(Time now, const Follower& follower) { return now - follower.heard < lease; }
+bool Followers::has_lease(Time now, const Follower& follower) {
+  return now - follower.last_heard < lease_duration;
+}
 
 void Followers::open(Time now, raft::Term term, bool complete) {
   open_ = true;
-  complete_ = complete;
+  list_complete_ = complete;
   term_ = term;
   first_ = 1;
-  configured_ = {};
-  news_due_ = Time::max();
+  configuration_position_ = {};
+  changes_due_ = Time::max();
   journal_.clear();
   journal_bytes_ = 0;
   digests_.clear();
-  packed_.clear();
+  encoded_states_.clear();
   for (auto& [link, follower] : followers_) {
-    follower.knows = follower.unproved = false, follower.telling = 0, follower.told = {};
+    follower.synced = follower.list_unverified = false, follower.full_state_bytes = 0,
+    follower.full_state_position = {};
     follower.neighbours_version = 0, follower.neighbours.clear();
   }
   ping_due_ = now;
-  all_told_ = false;
+  all_synced_ = false;
 }
 
 fanes::Position Followers::add(Time now, fanes::Change change) {
-  if (news_due_ == Time::max()) news_due_ = now + gather_news;
+  if (changes_due_ == Time::max()) changes_due_ = now + batch_delay;
   journal_bytes_ += change.text.size();
   journal_.push_back(std::move(change));
   view_.lead(now, end(), journal_.back());
   digests_.push_back(view_.nodes().digest());
   // Whoever is behind its front is told what stands instead.
-  while (journal_.size() > most_journal || (journal_bytes_ > most_journal_bytes && journal_.size() > 1)) {
+  while (journal_.size() > max_changes || (journal_bytes_ > max_journal_bytes && journal_.size() > 1)) {
     journal_bytes_ -= journal_.front().text.size();
     journal_.pop_front();
     digests_.pop_front();
@@ -80,22 +83,22 @@
       change.text = std::move(delta);
     }
   }
-  configured_ = add(now, std::move(change));
-  packed_.clear();
+  configuration_position_ = add(now, std::move(change));
+  encoded_states_.clear();
 }
 
-void Followers::complete(Time now) {
-  if (complete_) return;
-  complete_ = true;
+void Followers::complete_list(Time now) {
+  if (list_complete_) return;
+  list_complete_ = true;
   fanes::Change change;
   change.kind = fanes::ChangeKind::complete;
-  whole_ = add(now, std::move(change));
-  packed_.clear();
-  all_told_ = false;
+  list_complete_position_ = add(now, std::move(change));
+  encoded_states_.clear();
+  all_synced_ = false;
   // Edges have followed all along, and what they list proves it; a member also learns what is gone for good.
   for (auto& [link, follower] : followers_) {
-    follower.unproved = follower.knows && follower.kind == fanes::FollowerKind::edge;
-    follower.knows = follower.unproved;
+    follower.list_unverified = follower.synced && follower.kind == fanes::FollowerKind::edge;
+    follower.synced = follower.list_unverified;
   }
 }
 
@@ -105,9 +108,9 @@
                 [&](const auto& other) { return other.first != link && other.second.life == hello.life; });
   Follower& follower = followers_[link];
   // Said before what is on its way has come: it is not sent twice.
-  if (open_ && follower.life == hello.life && follower.telling > 0 && now - follower.told_at < on_its_way &&
-      hello.have < follower.told) {
-    follower.heard = now;
+  if (open_ && follower.life == hello.life && follower.full_state_bytes > 0 &&
+      now - follower.state_sent_at < transfer_timeout && hello.have < follower.full_state_position) {
+    follower.last_heard = now;
     return;
   }
   follower.life = hello.life;
@@ -115,157 +118,164 @@
   follower.name = hello.name;
   follower.zone = hello.zone;
   if (hello.kind == fanes::FollowerKind::edge) follower.address = hello.address;
-  neighbours_.came(link, follower.address, follower.zone);
+  neighbours_.add(link, follower.address, follower.zone);
   follower.edition = hello.edition;
-  follower.heard = now;
+  follower.last_heard = now;
   follower.sent = follower.acked = hello.have;
-  follower.again = {};
-  follower.knows = open_ && complete_ && hello.have.term == term_ && hello.have.number + 1 >= first_ &&
-                   hello.have <= end() && (hello.have < configured_ || hello.edition >= view_.edition());
-  if (!follower.knows) all_told_ = false;
-  follower.unproved = follower.knows && hello.kind == fanes::FollowerKind::edge;
-  if (follower.knows && follower.sent < end()) news_due_ = std::min(news_due_, now);
+  follower.retry_at = {};
+  follower.synced = open_ && list_complete_ && hello.have.term == term_ && hello.have.number + 1 >= first_ &&
+                    hello.have <= end() &&
+                    (hello.have < configuration_position_ || hello.edition >= view_.edition());
+  if (!follower.synced) all_synced_ = false;
+  follower.list_unverified = follower.synced && hello.kind == fanes::FollowerKind::edge;
+  if (follower.synced && follower.sent < end()) changes_due_ = std::min(changes_due_, now);
 }
 
 void Followers::on_ack(Time now, LinkId link, const fanes::Ack& ack) {
-  neighbours_.forget(now);
+  neighbours_.remove_expired(now);
   auto found = followers_.find(link);
   if (found == followers_.end() || found->second.life != ack.life) return;
-  found->second.heard = now;
+  found->second.last_heard = now;
   found->second.acked = std::max(found->second.acked, ack.at);
   found->second.edition = ack.edition;
   found->second.coverage = ack.coverage;
-  if (ack.at >= found->second.told) found->second.telling = 0;
-  if (found->second.unproved && open_ && ack.at.term == term_ && ack.at >= whole_ && ack.at <= end()) {
-    found->second.unproved = false;
-    if (ack.at.number < first_ || ack.list != digests_[ack.at.number - first_]) found->second.knows = false;
+  if (ack.at >= found->second.full_state_position) found->second.full_state_bytes = 0;
+  if (found->second.list_unverified && open_ && ack.at.term == term_ && ack.at >= list_complete_position_ &&
+      ack.at <= end()) {
+    found->second.list_unverified = false;
+    if (ack.at.number < first_ || ack.list != digests_[ack.at.number - first_]) found->second.synced = false;
   }
   // It has passed over a change that it could not read or fit to what it has. A delta is followed by the
-  // whole at once; who cannot read that either (another edition of the program) is told again with the pings.
-  if (open_ && configured_ != fanes::Position{} && ack.at >= configured_ && ack.at.term == term_ &&
-      ack.edition < view_.edition()) {
-    found->second.knows = false;
-    if (found->second.whole) found->second.again = found->second.told_at + ping_every;
+  // got_full_state at once; who cannot read that either (another edition of the program) is told again with
+  // the pings.
+  if (open_ && configuration_position_ != fanes::Position{} && ack.at >= configuration_position_ &&
+      ack.at.term == term_ && ack.edition < view_.edition()) {
+    found->second.synced = false;
+    if (found->second.got_full_state) found->second.retry_at = found->second.state_sent_at + ping_interval;
   }
-  if (!found->second.knows) all_told_ = false;
+  if (!found->second.synced) all_synced_ = false;
 }
 
 void Followers::on_closed(LinkId link) {
   auto found = followers_.find(link);
   if (found == followers_.end()) return;
-  neighbours_.went(link, found->second.address);
+  neighbours_.disconnect(link, found->second.address);
   followers_.erase(found);
 }
 
 // A few at a time, and only who has to know others than it was told.
-void Followers::tell_neighbours(Time now, std::vector<ToLink>& out) {
-  neighbours_.forget(now);
-  std::size_t left = neighbours_at_once;
+void Followers::add_neighbour_frames(Time now, std::vector<LinkFrame>& out) {
+  neighbours_.remove_expired(now);
+  std::size_t left = neighbour_checks_per_ping;
   for (auto& [link, follower] : followers_) {
-    if (follower.address.empty() || !follower.knows || follower.neighbours_version == neighbours_.version())
+    if (follower.address.empty() || !follower.synced || follower.neighbours_version == neighbours_.version())
       continue;
     if (left-- == 0) return;
     follower.neighbours_version = neighbours_.version();
-    auto edges = neighbours_.known_to(follower.address, follower.zone);
+    auto edges = neighbours_.neighbours_of(follower.address, follower.zone);
     if (edges == follower.neighbours) continue;
     follower.neighbours = edges;
     out.push_back({link, fanes::pack(fanes::Neighbours{std::move(edges)})});
   }
 }
 
-void Followers::list(Time now, fanes::Standing& standing) const {
-  for (const auto& [id, node] : view_.nodes().all()) standing.nodes.push_back({node, cold_ms(now, node)});
+void Followers::append_nodes(Time now, fanes::Standing& standing) const {
+  for (const auto& [id, node] : view_.nodes().all())
+    standing.nodes.push_back({node, remaining_cold_ms(now, node)});
   standing.ended.assign(view_.nodes().ended().begin(), view_.nodes().ended().end());
 }
 
-std::string Followers::provisional(Time now, const averau::ConfigurationPtr& configuration) const {
+std::string Followers::encode_provisional_state(Time now,
+                                                const averau::ConfigurationPtr& configuration) const {
   fanes::Standing standing;
   standing.complete = false;
   standing.edges = view_.edges();
   standing.edition = configuration->edition;
   standing.configuration = configuration->text;
-  list(now, standing);
+  append_nodes(now, standing);
   return fanes::pack(std::move(standing));
 }
 
 // While the list is being gathered, who has one from before is told what is on its way out: the rest stays as
 // it was with them in any case.
-std::string Followers::standing(Time now, averau::Edition known, bool has_list) const {
+std::string Followers::encode_full_state(Time now, averau::Edition known, bool has_list) const {
   fanes::Standing standing;
   standing.at = end();
-  standing.complete = complete_;
+  standing.complete = list_complete_;
   standing.edges = edges(now);
   standing.coverage = coverage(now);
   standing.edition = view_.edition();
   if (view_.edition() > known) standing.configuration = view_.configuration()->text;
-  list(now, standing);
+  append_nodes(now, standing);
   if (has_list) {
     std::erase_if(standing.nodes, [](const fanes::NodeNews& news) { return !news.node.closing; });
-    std::size_t old = standing.ended.size() - std::min(standing.ended.size(), last_ended);
+    std::size_t old = standing.ended.size() - std::min(standing.ended.size(), max_recently_gone);
     standing.ended.erase(standing.ended.begin(), standing.ended.begin() + static_cast<std::ptrdiff_t>(old));
   }
   return fanes::pack(std::move(standing));
 }
 
-const Followers::Packed& Followers::packed(Time now, const Follower& follower, bool has_list) {
+const Followers::EncodedState& Followers::full_state_for(Time now, const Follower& follower, bool has_list) {
   averau::Edition known = follower.edition;
   // Without the newest configuration it would not help whoever could not use the delta.
-  std::erase_if(packed_, [&](const auto& each) {
-    const Packed& packed = each.second;
-    return now - packed.when > packed_for || packed.at.number + 1 < first_ || packed.at < configured_;
+  std::erase_if(encoded_states_, [&](const auto& each) {
+    const EncodedState& packed = each.second;
+    return now - packed.when > encoded_state_lifetime || packed.at.number + 1 < first_ ||
+           packed.at < configuration_position_;
   });
-  Packed& packed = packed_[{std::min(known, view_.edition()), has_list}];
+  EncodedState& packed = encoded_states_[{std::min(known, view_.edition()), has_list}];
   if (packed.bytes.empty() || (follower.sent.term == term_ && packed.at < follower.sent))
-    packed = {standing(now, known, has_list), end(), now};
+    packed = {encode_full_state(now, known, has_list), end(), now};
   return packed;
 }
 
-std::size_t Followers::on_their_way(Time now) const {
+std::size_t Followers::bytes_in_flight(Time now) const {
   std::size_t bytes = 0;
   for (const auto& [link, follower] : followers_)
-    if (now - follower.told_at < on_its_way) bytes += follower.telling;
+    if (now - follower.state_sent_at < transfer_timeout) bytes += follower.full_state_bytes;
   return bytes;
 }
 
-std::vector<ToLink> Followers::take_out(Time now) {
-  std::vector<ToLink> out;
+std::vector<LinkFrame> Followers::take_frames(Time now) {
+  std::vector<LinkFrame> out;
   if (!open_) return out;
   bool ping = now >= ping_due_;
-  if (ping) ping_due_ = now + ping_every;
-  bool news = now >= news_due_;
-  if (news) news_due_ = Time::max();
-  if (!ping && !news && all_told_) return out;
-  all_told_ = true;
+  if (ping) ping_due_ = now + ping_interval;
+  bool news = now >= changes_due_;
+  if (news) changes_due_ = Time::max();
+  if (!ping && !news && all_synced_) return out;
+  all_synced_ = true;
   // One packing serves all that lack the same.
   std::map<std::uint64_t, std::string> tails;
   std::string ping_bytes;
-  std::size_t on_their_way = this->on_their_way(now);
+  std::size_t bytes_in_flight = this->bytes_in_flight(now);
   for (auto& [link, follower] : followers_) {
-    if (!follower.knows) {
-      if (now < follower.again) {
-        all_told_ = false;
+    if (!follower.synced) {
+      if (now < follower.retry_at) {
+        all_synced_ = false;
         continue;
       }
-      if (on_their_way >= most_on_their_way) {
-        all_told_ = false;
+      if (bytes_in_flight >= max_bytes_in_flight) {
+        all_synced_ = false;
         continue;
       }
-      bool has_list = !complete_ && follower.kind == fanes::FollowerKind::edge && follower.acked.term > 0;
-      const Packed& packed = this->packed(now, follower, has_list);
+      bool has_list =
+          !list_complete_ && follower.kind == fanes::FollowerKind::edge && follower.acked.term > 0;
+      const EncodedState& packed = this->full_state_for(now, follower, has_list);
       out.push_back({link, packed.bytes});
-      on_their_way += packed.bytes.size();
-      follower.knows = follower.whole = true;
-      follower.unproved = false;
-      follower.sent = follower.told = packed.at;
-      if (packed.at < end()) news_due_ = std::min(news_due_, now);
-      follower.telling = packed.bytes.size();
-      follower.told_at = now;
+      bytes_in_flight += packed.bytes.size();
+      follower.synced = follower.got_full_state = true;
+      follower.list_unverified = false;
+      follower.sent = follower.full_state_position = packed.at;
+      if (packed.at < end()) changes_due_ = std::min(changes_due_, now);
+      follower.full_state_bytes = packed.bytes.size();
+      follower.state_sent_at = now;
     } else if (follower.sent < end()) {
       if (!news) continue;
       // The journal begins behind it, or a frame does not hold what it lacks.
-      if (follower.sent.number + 1 < first_ || tail_bytes(follower.sent) > most_tail) {
-        follower.knows = all_told_ = false;
-        news_due_ = now;
+      if (follower.sent.number + 1 < first_ || backlog_bytes(follower.sent) > max_batch_bytes) {
+        follower.synced = all_synced_ = false;
+        changes_due_ = now;
         continue;
       }
       std::string& bytes = tails[follower.sent.number];
@@ -278,19 +288,19 @@
         bytes = fanes::pack(std::move(changes));
       }
       out.push_back({link, bytes});
-      follower.whole = false;
+      follower.got_full_state = false;
       follower.sent = end();
     } else if (ping) {
       if (ping_bytes.empty()) ping_bytes = fanes::pack(fanes::Ping{end(), edges(now), coverage(now)});
       out.push_back({link, ping_bytes});
     }
   }
-  if (ping) tell_neighbours(now, out);
+  if (ping) add_neighbour_frames(now, out);
   return out;
 }
 
-std::size_t Followers::tail_bytes(fanes::Position after) const {
-  if (journal_bytes_ <= most_tail) return journal_bytes_;
+std::size_t Followers::backlog_bytes(fanes::Position after) const {
+  if (journal_bytes_ <= max_batch_bytes) return journal_bytes_;
   std::size_t bytes = 0;
   for (std::size_t i = after.number + 1 - first_; i < journal_.size(); ++i) bytes += journal_[i].text.size();
   return bytes;
@@ -298,23 +308,23 @@
 
 bool Followers::acknowledged(Time now, fanes::Position at) const {
   return std::all_of(followers_.begin(), followers_.end(), [&](const auto& follower) {
-    return !lives(now, follower.second) || follower.second.acked >= at;
+    return !has_lease(now, follower.second) || follower.second.acked >= at;
   });
 }
 
 std::uint32_t Followers::edges(Time now) const {
   return static_cast<std::uint32_t>(
       std::count_if(followers_.begin(), followers_.end(), [&](const auto& follower) {
-        return follower.second.kind == fanes::FollowerKind::edge && lives(now, follower.second);
+        return follower.second.kind == fanes::FollowerKind::edge && has_lease(now, follower.second);
       }));
 }
 
 std::uint32_t Followers::coverage(Time now) const {
   double sum = 0, count = 0;
   for (const auto& [link, follower] : followers_)
-    if (follower.kind == fanes::FollowerKind::edge && follower.coverage > 0 && lives(now, follower))
+    if (follower.kind == fanes::FollowerKind::edge && follower.coverage > 0 && has_lease(now, follower))
       sum += follower.coverage, ++count;
   return count > 0 ? static_cast<std::uint32_t>(std::lround(sum / count)) : 100;
 }
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/sennes/followers.h
+++ b/src/control_plane/followers.h
@@ -10,23 +10,23 @@
 #include <utility>
 #include <vector>
 
+#include "control_plane/neighbour_ring.h"
 #include "fanes/messages.h"
-#include "sennes/neighbours.h"
 #include "vazzoler/view.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 
 using averau::Duration;
 using averau::Time;
 using LinkId = std::uint64_t;  // a held connection, as the host numbers them
 
-struct ToLink {
+struct LinkFrame {
   LinkId link;
   std::string bytes;  // packed
 };
 
 // What is left of a node's slow start.
-std::uint32_t cold_ms(Time now, const averau::Node& node);
+std::uint32_t remaining_cold_ms(Time now, const averau::Node& node);
 
 class Followers {
  public:
@@ -42,8 +42,8 @@
   void add_configuration(Time now, const averau::ConfigurationPtr& configuration);
   // One change more, in force here at once.
   fanes::Position add(Time now, fanes::Change change);
-  // The list of nodes is whole from here on: what stands is told anew.
-  void complete(Time now);
+  // The list of nodes is got_full_state from here on: what stands is told anew.
+  void complete_list(Time now);
 
   void on_hello(Time now, LinkId link, const fanes::Hello& hello);
   void on_ack(Time now, LinkId link, const fanes::Ack& ack);
@@ -51,20 +51,20 @@
   void on_closed(LinkId link);
 
   // What is due to be sent: news to whoever lacks them, pings.
-  std::vector<ToLink> take_out(Time now);
-  Time due() const { return open_ ? std::min(ping_due_, news_due_) : Time::max(); }
+  std::vector<LinkFrame> take_frames(Time now);
+  Time due() const { return open_ ? std::min(ping_due_, changes_due_) : Time::max(); }
 
-  // What this member knows without leading, for those that know nothing.
-  std::string provisional(Time now, const averau::ConfigurationPtr& configuration) const;
+  // What this member synced without leading, for those that know nothing.
+  std::string encode_provisional_state(Time now, const averau::ConfigurationPtr& configuration) const;
 
   // The nodes, into what is to be told or kept.
-  void list(Time now, fanes::Standing& standing) const;
+  void append_nodes(Time now, fanes::Standing& standing) const;
 
   std::size_t journal_bytes() const { return journal_bytes_; }
   // Whether all that hold a lease have acknowledged it.
   bool acknowledged(Time now, fanes::Position at) const;
   std::uint32_t edges(Time now) const;
-  // Mean of what edges that hold a lease ask of the weight, in percent; whole where none has told.
+  // Mean of what edges that hold a lease ask of the weight, in percent; got_full_state where none has told.
   std::uint32_t coverage(Time now) const;
   struct Follower {
     fanes::Life life = 0;
@@ -76,54 +76,55 @@
     fanes::Position acked;
     averau::Edition edition = 0;
     std::uint32_t coverage = 0;  // percent; 0 = not told
-    Time heard{};
-    bool knows = false;       // was told what stands in this term
-    bool whole = false;       // what stands is what it was told last
-    Time again{};             // not before then: it could not read what it was told
-    std::size_t telling = 0;  // bytes of it that may still be on their way
-    fanes::Position told;     // where it stood then
-    Time told_at{};
+    Time last_heard{};
+    bool synced = false;                  // was told what stands in this term
+    bool got_full_state = false;          // what stands is what it was told last
+    Time retry_at{};                      // not before then: it could not read what it was told
+    std::size_t full_state_bytes = 0;     // bytes of it that may still be on their way
+    fanes::Position full_state_position;  // where it stood then
+    Time state_sent_at{};
     std::uint64_t neighbours_version = 0;  // of which it was told, or had nothing to be told
     std::vector<std::string> neighbours;   // that it was told in this term
-    bool unproved = false;  // its list, since it was whole here: its next acknowledgement shows
+    bool list_unverified =
+        false;  // its list, since it was got_full_state here: its next acknowledgement shows
   };
   const std::map<LinkId, Follower>& all() const { return followers_; }
-  static bool lives(Time now, const Follower& follower);
+  static bool has_lease(Time now, const Follower& follower);
 
  private:
-  static constexpr std::size_t most_journal = 4096;
-  static constexpr std::size_t most_journal_bytes = std::size_t{8} << 20;
-  std::string standing(Time now, averau::Edition known, bool has_list) const;
+  static constexpr std::size_t max_changes = 4096;
+  static constexpr std::size_t max_journal_bytes = std::size_t{8} << 20;
+  std::string encode_full_state(Time now, averau::Edition known, bool has_list) const;
   // One packing serves all that are told within a while: the changes since then follow from the journal.
-  struct Packed {
+  struct EncodedState {
     std::string bytes;
     fanes::Position at;
     Time when{};
   };
   // Never older than what the follower has: it takes nothing that leads back.
-  const Packed& packed(Time now, const Follower& follower, bool has_list);
-  std::size_t on_their_way(Time now) const;
-  std::size_t tail_bytes(fanes::Position after) const;  // of the texts of the journal behind it, or more
-  void tell_neighbours(Time now, std::vector<ToLink>& out);
+  const EncodedState& full_state_for(Time now, const Follower& follower, bool has_list);
+  std::size_t bytes_in_flight(Time now) const;
+  std::size_t backlog_bytes(fanes::Position after) const;  // of the texts of the journal behind it, or more
+  void add_neighbour_frames(Time now, std::vector<LinkFrame>& out);
   fanes::Position end() const { return {term_, first_ + journal_.size() - 1}; }
 
   vazzoler::View& view_;
   bool open_ = false;
-  bool complete_ = false;
+  bool list_complete_ = false;
   raft::Term term_ = 0;
   std::uint64_t first_ = 1;  // number of the journal's front
   std::deque<fanes::Change> journal_;
-  std::size_t journal_bytes_ = 0;      // of its texts
-  std::deque<std::uint64_t> digests_;  // of the list of nodes, after each of them
-  fanes::Position whole_;              // since when it is whole in this term
-  fanes::Position configured_;         // where the newest configuration stands in it
+  std::size_t journal_bytes_ = 0;           // of its texts
+  std::deque<std::uint64_t> digests_;       // of the list of nodes, after each of them
+  fanes::Position list_complete_position_;  // since when it is got_full_state in this term
+  fanes::Position configuration_position_;  // where the newest configuration stands in it
   std::map<LinkId, Follower> followers_;
-  Neighbours neighbours_;
+  NeighbourRing neighbours_;
   // By the edition that the follower has, and whether it has a list from before.
-  std::map<std::pair<averau::Edition, bool>, Packed> packed_;
-  bool all_told_ = false;  // nobody waits for what stands: nothing to look for until something is due
+  std::map<std::pair<averau::Edition, bool>, EncodedState> encoded_states_;
+  bool all_synced_ = false;  // nobody waits for what stands: nothing to look for until something is due
   Time ping_due_{};
-  Time news_due_ = Time::max();  // of changes that wait for others to go with them
+  Time changes_due_ = Time::max();  // of changes that wait for others to go with them
 };
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/sennes/neighbours.h
+++ b/src/control_plane/neighbour_ring.h
@@ -11,34 +11,34 @@
 
 #include "averau/nodes.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 
 using averau::Duration;
 using averau::Time;
 
-class Neighbours {
+class NeighbourRing {
  public:
-  static constexpr std::size_t each_knows = 4;
+  static constexpr std::size_t neighbours_per_edge = 4;
 
   // An edge that listens there is here, by that link.
-  void came(std::uint64_t link, const std::string& address, const std::string& zone);
-  void went(std::uint64_t link, const std::string& address);
+  void add(std::uint64_t link, const std::string& address, const std::string& zone);
+  void disconnect(std::uint64_t link, const std::string& address);
   // Drops those that have been gone for long; to be called at least every few seconds.
-  void forget(Time now);
+  void remove_expired(Time now);
   // Rises when what some are to know may have changed.
   std::uint64_t version() const { return version_; }
-  std::vector<std::string> known_to(const std::string& address, const std::string& zone) const;
+  std::vector<std::string> neighbours_of(const std::string& address, const std::string& zone) const;
 
  private:
-  struct Place {
+  struct Entry {
     std::string address;
     std::string zone;
     std::uint64_t link = 0;   // 0 = gone
     Time gone = Time::max();  // seen to be
   };
-  std::map<std::uint64_t, Place> ring_;  // by a digest of the address
+  std::map<std::uint64_t, Entry> ring_;  // by a digest of the address
   std::uint64_t version_ = 1;
-  Time look_due_{};
+  Time next_check_{};
 };
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/sennes/state.h
+++ b/src/control_plane/replicated_state.h
@@ -13,79 +13,83 @@
 #include <utility>
 
 #include "averau/config.h"
+#include "control_plane/change_history.h"
 #include "pramperet/accounts.h"
 #include "raft/core.h"
-#include "sennes/taken.h"
 
 namespace pearspar::fanes {
 class Unpacker;
 }
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 
-class State : public raft::StateMachine {
+class ReplicatedState : public raft::StateMachine {
  public:
-  using Reader = averau::ConfigurationPtr (*)(std::string_view text, averau::Fault& fault);
+  using ConfigurationParser = averau::ConfigurationPtr (*)(std::string_view text, averau::Fault& fault);
   // `read` are the checks of this program; another edition's in tests.
-  explicit State(Reader read = averau::read_configuration) : read_(read) {}
+  explicit ReplicatedState(ConfigurationParser read = averau::read_configuration)
+      : parse_configuration_(read) {}
 
   void apply(const raft::Entry& change) override;
   std::string fold() const override;
   void restore(const std::string& state) override;
 
   // What an entry holds: steps of the allowance, or a configuration on top of the one it was checked against.
-  static std::string allowance(std::string_view steps);
-  static std::string change(averau::Edition on_top_of, averau::Edition edition, const Digest& digest,
-                            std::string_view text);
+  static std::string encode_quota_commands(std::string_view steps);
+  static std::string encode_change(averau::Edition base, averau::Edition edition, const Digest& digest,
+                                   std::string_view text);
 
   // What this program says to a text; asked by who proposes it, never by who applies it.
   averau::ConfigurationPtr check(std::string_view text, averau::Fault& fault) const {
-    return read_(text, fault);
+    return parse_configuration_(text, fault);
   }
   const pramperet::Accounts& accounts() const { return accounts_; }
-  const averau::Allowances* allowances() const { return current_ ? current_->allowances.get() : nullptr; }
-  averau::Edition edition() const { return taken_.empty() ? 0 : taken_.newest().edition; }
+  const averau::Allowances* quota_rules() const {
+    return configuration_ ? configuration_->allowances.get() : nullptr;
+  }
+  averau::Edition edition() const { return history_.empty() ? 0 : history_.newest().edition; }
   // As it was sent; empty = none was taken yet.
   const std::string& text() const { return text_; }
   // Null where none was taken yet, and where this program cannot read it.
-  const averau::ConfigurationPtr& current() const { return current_; }
+  const averau::ConfigurationPtr& configuration() const { return configuration_; }
   // Whether this program can read what stands, and has folded all behind it: else it must not lead.
-  bool may_serve() const { return unfolded_.empty() && !doubtful_; }
+  bool may_serve() const { return unapplied_.empty() && !incomplete_; }
   // Why not, for people.
   const std::string& fault() const { return fault_; }
-  const Taken& taken() const { return taken_; }
+  const ChangeHistory& history() const { return history_; }
   // Whether this very text was taken under this number.
-  bool took(averau::Edition edition, const Digest& digest) const {
-    return taken_.word(edition, digest) == Taken::Word::taken;
+  bool has_applied(averau::Edition edition, const Digest& digest) const {
+    return history_.status(edition, digest) == ChangeHistory::Status::applied;
   }
 
  private:
-  static constexpr std::size_t most_told_apart = 512;  // in a snapshot, in the form that older programs read
-  static constexpr std::size_t most_unfolded = 4 << 20;  // bytes
+  static constexpr std::size_t max_legacy_entries =
+      512;  // in a snapshot, in the form that older programs read
+  static constexpr std::size_t max_unapplied_bytes = 4 << 20;  // bytes
 
-  void take(const Taken::One& one, std::string text);
-  void apply_allowance(const std::string& steps);
+  void apply_configuration(const ChangeHistory::Entry& one, std::string text);
+  void apply_quota_commands(const std::string& steps);
   // One of those that wait to be folded into the accounts.
-  struct Unfolded {
+  struct UnappliedEntry {
     bool steps = false;  // else a configuration
     std::string text;
   };
-  void keep_unfolded(Unfolded entry);
-  void fold_on();
-  bool restore_more(fanes::Unpacker& in);  // false: it does not read
+  void defer(UnappliedEntry entry);
+  void apply_deferred();
+  bool restore_extension(fanes::Unpacker& in);  // false: it does not read
 
-  Reader read_;
+  ConfigurationParser parse_configuration_;
   std::string text_;
-  averau::ConfigurationPtr current_;
+  averau::ConfigurationPtr configuration_;
   std::string fault_;
   pramperet::Accounts accounts_;
-  Taken taken_;
+  ChangeHistory history_;
   // How steps are folded hangs on the rules of their configuration. From the first one on that cannot be read
-  // (it is the front) all waits here, for a program that can. Past the bound it is dropped: `doubtful_` until
-  // a snapshot of another member is installed.
-  std::deque<Unfolded> unfolded_;
-  std::size_t unfolded_bytes_ = 0;
-  bool doubtful_ = false;
+  // (it is the front) all waits here, for a program that can. Past the bound it is dropped: `incomplete_`
+  // until a snapshot of another member is installed.
+  std::deque<UnappliedEntry> unapplied_;
+  std::size_t unapplied_bytes_ = 0;
+  bool incomplete_ = false;
 };
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/sennes/report.cpp
+++ b/src/control_plane/report.cpp
@@ -1,10 +1,10 @@
-#include "sennes/report.h"
+#include "control_plane/report.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 namespace {
 
 using averau::quoted;
@@ -25,10 +25,11 @@
 
 }  // namespace
 
-std::string fault_json(std::string_view what) { return "{\"errorText\":" + quoted(what) + "}"; }
+std::string error_json(std::string_view what) { return "{\"errorText\":" + quoted(what) + "}"; }
 
-std::string status_json(Time now, const std::string& name, const raft::Core& core, const State& state,
-                        const vazzoler::View& view, const Followers& followers) {
+std::string status_json(Time now, const std::string& name, const raft::Core& core,
+                        const ReplicatedState& state, const vazzoler::View& view,
+                        const Followers& followers) {
   List members, edges;
   for (const auto& voter : core.log().membership().voters)
     members.add(fmt::format(R"({{"address":{},"id":"{:016x}","leads":{}}})", quoted(voter.address), voter.id,
@@ -36,7 +37,7 @@
   for (const auto& [link, follower] : followers.all())
     if (follower.kind == fanes::FollowerKind::edge)
       edges.add(fmt::format(R"({{"nodeName":{},"zoneName":{},"lease":{},"edition":{},"acknowledged":{}}})",
-                            quoted(follower.name), quoted(follower.zone), Followers::lives(now, follower),
+                            quoted(follower.name), quoted(follower.zone), Followers::has_lease(now, follower),
                             follower.edition, follower.acked.number));
   return fmt::format(
       R"({{"view":"local","nodeName":{},"leads":{},"leader":{},"term":{},"commit":{},"logEntries":{},)"
@@ -54,19 +55,19 @@
         R"({{"id":{},"depot":{},"address":{},"zoneName":{},"edition":{},"slotCount":{},"nodeState":"{}",)"
         R"("coldLeftMs":{},"callSeq":{}}})",
         quoted(id), quoted(node.depot), quoted(node.address), quoted(node.zone), quoted(node.edition),
-        node.slots, node.closing ? "closing_out" : "at_post", cold_ms(now, node), node.call));
+        node.slots, node.closing ? "closing_out" : "at_post", remaining_cold_ms(now, node), node.call));
   return "{\"nodes\":" + nodes.text() + "}";
 }
 
-std::string history_json(const State& state, std::size_t newest) {
+std::string history_json(const ReplicatedState& state, std::size_t newest) {
   List told;
-  const Taken& taken = state.taken();
+  const ChangeHistory& taken = state.history();
   for (std::size_t i = taken.size() - std::min(taken.size(), newest); i < taken.size(); ++i)
     told.add(fmt::format(R"({{"edition":{},"digest":"{}"}})", taken[i].edition, hex(taken[i].digest)));
   return fmt::format(R"({{"remembered":{},"taken":{}}})", taken.size(), told.text());
 }
 
-std::string allowance_json(const raft::Core& core, const State& state) {
+std::string allowance_json(const raft::Core& core, const ReplicatedState& state) {
   List lines;
   for (const auto& line : state.accounts().lines())
     lines.add(fmt::format(
@@ -80,10 +81,10 @@
                      core.applied(), state.accounts().window(), lines.text());
 }
 
-std::string snapshot_json(const State& state) {
+std::string snapshot_json(const ReplicatedState& state) {
   const std::string& text = state.text();
   return fmt::format(R"({{"format":1,"edition":{},"digest":"{}","history":{},"configuration":{}}})",
                      state.edition(), hex(digest_of(text)), history_json(state, kept_history), quoted(text));
 }
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/measure/allowance_measure.cpp
+++ b/src/measure/allowance_measure.cpp
@@ -131,8 +131,8 @@
   for (double drawn : at_edge) sum.wrongly_shared += static_cast<std::uint64_t>(std::max(0.0, drawn - mean));
   for (std::size_t core = 0; core < cluster.cores(); ++core)
     if (const auto* member = cluster.member(core)) {
-      sum.entries += member->office().bursar().counters().entries;
-      sum.given_up += member->office().bursar().counters().given_up;
+      sum.entries += member->controller().bursar().counters().entries;
+      sum.given_up += member->controller().bursar().counters().given_up;
     }
   return sum;
 }
--- a/src/measure/log_measure.cpp
+++ b/src/measure/log_measure.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <string>
 
-#include "sennes/state.h"
+#include "control_plane/replicated_state.h"
 #include "storage/lmdb_store.h"
 
 namespace {
@@ -57,7 +57,7 @@
   std::size_t most_entries = 0, most_bytes = 0, most_state = 0;
   {
     storage::LmdbStore store(folder);
-    sennes::State state;
+    control_plane::ReplicatedState state;
     Core core(store, state, founder());
     if (auto error = core.start(now)) return std::fprintf(stderr, "%s\n", error.message().c_str()), 1;
     while (!core.may_speak(now)) core.tick(now += Duration(0.1));
@@ -65,8 +65,9 @@
     double file = 0;
     for (int i = 1; i <= count; ++i) {
       std::string text = configuration(i, routes);
-      core.propose(now, sennes::State::change(state.edition(), static_cast<averau::Edition>(i),
-                                              sennes::digest_of(text), text));
+      core.propose(
+          now, control_plane::ReplicatedState::encode_change(state.edition(), static_cast<averau::Edition>(i),
+                                                             control_plane::digest_of(text), text));
       most_entries = std::max<std::size_t>(most_entries, core.log().last() - core.log().snapshot().index);
       most_bytes = std::max(most_bytes, core.log().bytes());
       most_state = std::max(most_state, core.log().snapshot().state.size());
@@ -83,7 +84,7 @@
   double heap = heap_mb();
   auto start = Clock::now();
   storage::LmdbStore store(folder);
-  sennes::State state;
+  control_plane::ReplicatedState state;
   Core core(store, state, founder());
   auto error = core.start(now);
   double read_ms = ms_since(start);
--- a/src/measure/system_bench.cpp
+++ b/src/measure/system_bench.cpp
@@ -5,11 +5,11 @@
 
 #include <deque>
 
+#include "control_plane/followers.h"
 #include "fanes/delta.h"
 #include "nuvolau/pool.h"
 #include "pederu/desk.h"
 #include "pederu/merge.h"
-#include "sennes/followers.h"
 
 namespace pearspar {
 namespace {
@@ -108,7 +108,7 @@
 struct Leader {
   Time now{Duration(100)};
   vazzoler::View view;
-  sennes::Followers followers{view};
+  control_plane::Followers followers{view};
   Leader(int edges, int nodes) {
     followers.open(now, 2, true);
     for (int i = 0; i < nodes; ++i) {
@@ -121,9 +121,9 @@
       followers.add(now, std::move(change));
     }
     for (int i = 0; i < edges; ++i)
-      followers.on_hello(now, static_cast<sennes::LinkId>(i + 1),
+      followers.on_hello(now, static_cast<control_plane::LinkId>(i + 1),
                          {static_cast<fanes::Life>(i + 1), fanes::FollowerKind::edge, "e", "z", {}, 0});
-    followers.take_out(now);
+    followers.take_frames(now);
   }
 };
 
@@ -139,7 +139,7 @@
     change.news.node.call = number;
     leader.followers.add(leader.now, std::move(change));
     leader.now += Duration(0.02);
-    benchmark::DoNotOptimize(leader.followers.take_out(leader.now));
+    benchmark::DoNotOptimize(leader.followers.take_frames(leader.now));
   }
 }
 BENCHMARK(change_pushed)->Arg(8)->Arg(89)->Arg(1000);
@@ -148,7 +148,7 @@
   Leader leader(1, static_cast<int>(state.range(0)));
   for (auto _ : state) {
     leader.followers.on_hello(leader.now, 1, {1, fanes::FollowerKind::edge, "e", "z", {}, 0});
-    benchmark::DoNotOptimize(leader.followers.take_out(leader.now));
+    benchmark::DoNotOptimize(leader.followers.take_frames(leader.now));
   }
 }
 BENCHMARK(everything_told)->Arg(84)->Arg(300)->Arg(10000);
--- a/tests/system/allowance_test.cpp
+++ b/tests/system/allowance_test.cpp
@@ -409,7 +409,7 @@
     int leader = cluster.leader();
     CPPUNIT_ASSERT_EQUAL(
         std::uint64_t{0},
-        cluster.member(static_cast<std::size_t>(leader))->office().bursar().counters().entries);
+        cluster.member(static_cast<std::size_t>(leader))->controller().bursar().counters().entries);
   }
 
   void countsEqualWhatRan() {
--- a/tests/system/office_test.cpp
+++ b/tests/system/controller_test.cpp
@@ -1,4 +1,4 @@
-// The control office, one member alone: what each call gets, and that the OpenAPI file says the same.
+// The control controller, one member alone: what each call gets, and that the OpenAPI file says the same.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
@@ -7,9 +7,9 @@
 
 #include "averau/json.h"
 #include "biella/disk.h"
-#include "sennes/member.h"
+#include "control_plane/member.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 
 namespace {
 
@@ -30,20 +30,20 @@
 
 }  // namespace
 
-class OfficeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(OfficeTest);
-  CPPUNIT_TEST(theSameChangeAgainIsStillTaken);
-  CPPUNIT_TEST(aChangeOnAnotherEditionLoses);
-  CPPUNIT_TEST(anInvalidChangeIsToldItsKey);
-  CPPUNIT_TEST(beforeAnybodyLeadsCallsWaitAndThenAreRefused);
-  CPPUNIT_TEST(leavingIsAcknowledgedWhenAllHaveIt);
-  CPPUNIT_TEST(anEdgeThatIsSilentHoldsNobodyUp);
-  CPPUNIT_TEST(aSilentNodeIsLostAndMayComeBack);
-  CPPUNIT_TEST(whoStoodStillRefusesFirst);
-  CPPUNIT_TEST(historyIsToldInBounds);
-  CPPUNIT_TEST(whatIsReadOutAtOnceIsBounded);
-  CPPUNIT_TEST(aCallThatIsUnknownHereIsNoLeave);
-  CPPUNIT_TEST(theFileOfCallsHolds);
+class ControllerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ControllerTest);
+  CPPUNIT_TEST(repeatedChangeIsAcknowledgedAgain);
+  CPPUNIT_TEST(changeOnStaleBaseIsRejected);
+  CPPUNIT_TEST(invalidChangeNamesTheFaultyKey);
+  CPPUNIT_TEST(callsWithoutLeaderWaitThenFail);
+  CPPUNIT_TEST(nodeLeaveIsAnsweredAfterAllEdgesAcknowledge);
+  CPPUNIT_TEST(silentEdgeDoesNotBlockNodeLeave);
+  CPPUNIT_TEST(silentNodeExpiresAndMayReturn);
+  CPPUNIT_TEST(expiredCallsAreRejectedFirst);
+  CPPUNIT_TEST(historyLengthIsBounded);
+  CPPUNIT_TEST(replyBytesPerTurnAreBounded);
+  CPPUNIT_TEST(unknownForwardedCallChangesNothing);
+  CPPUNIT_TEST(openApiFileMatchesTheCalls);
   CPPUNIT_TEST_SUITE_END();
 
   struct Fixture {
@@ -51,9 +51,9 @@
     biella::SimDisk disk{world};
     NoWire wire;
     Member member;
-    Asker next = 0;
-    std::map<Asker, Reply> replies;
-    Fixture() : member(wire, disk, agreement(), office()) { member.start(world.now()); }
+    CallerId next = 0;
+    std::map<CallerId, Reply> replies;
+    Fixture() : member(wire, disk, agreement(), controller()) { member.start(world.now()); }
     static raft::Options agreement() {
       raft::Options options;
       options.address = "a:1";
@@ -62,15 +62,15 @@
       options.fresh_id = 5;
       return options;
     }
-    static OfficeOptions office() {
-      OfficeOptions options;
+    static ControllerOptions controller() {
+      ControllerOptions options;
       options.inner_address = "a:1";
       options.control_address = "a:2";
       options.life = 5;
       return options;
     }
     void advance() {
-      for (Reply& reply : member.advance([this] { return world.now(); })) replies[reply.asker] = reply;
+      for (Reply& reply : member.advance([this] { return world.now(); })) replies[reply.caller] = reply;
     }
     void run(double seconds) {
       for (double t = 0; t < seconds; t += 0.01) {
@@ -78,13 +78,13 @@
         advance();
       }
     }
-    Asker call(const std::string& method, const std::string& path, const std::string& match = "",
-               const std::string& body = "") {
+    CallerId call(const std::string& method, const std::string& path, const std::string& match = "",
+                  const std::string& body = "") {
       member.call(world.now(), ++next, method, path, match, body);
       advance();
       return next;
     }
-    int status(Asker asker) { return replies.count(asker) ? replies[asker].status : 0; }
+    int status(CallerId caller) { return replies.count(caller) ? replies[caller].status : 0; }
     int put(int base, const std::string& text) {
       return status(call("PUT", "/pearspar/config", std::to_string(base), text));
     }
@@ -95,18 +95,18 @@
   };
 
  public:
-  void theSameChangeAgainIsStillTaken() {
+  void repeatedChangeIsAcknowledgedAgain() {
     Fixture f;
     f.run(2);
     CPPUNIT_ASSERT_EQUAL(200, f.put(0, config(3)));
     CPPUNIT_ASSERT_EQUAL(200, f.put(3, config(4)));
     CPPUNIT_ASSERT_EQUAL(200, f.put(0, config(3)));  // superseded, and still the answer is that it was taken
     CPPUNIT_ASSERT_EQUAL(412, f.put(0, config(3, "b")));
-    Asker read = f.call("GET", "/pearspar/config");
+    CallerId read = f.call("GET", "/pearspar/config");
     CPPUNIT_ASSERT_EQUAL(config(4), f.replies[read].body);
   }
 
-  void aChangeOnAnotherEditionLoses() {
+  void changeOnStaleBaseIsRejected() {
     Fixture f;
     f.run(2);
     CPPUNIT_ASSERT_EQUAL(200, f.put(0, config(3)));
@@ -115,24 +115,25 @@
     CPPUNIT_ASSERT_EQUAL(400, f.status(f.call("PUT", "/pearspar/config", "x", config(9))));
   }
 
-  void anInvalidChangeIsToldItsKey() {
+  void invalidChangeNamesTheFaultyKey() {
     Fixture f;
     f.run(2);
-    Asker asker = f.call("PUT", "/pearspar/config", "0", R"({"edition":1,"postalRoutes":[{}],"depots":[]})");
-    CPPUNIT_ASSERT_EQUAL(400, f.status(asker));
+    CallerId caller =
+        f.call("PUT", "/pearspar/config", "0", R"({"edition":1,"postalRoutes":[{}],"depots":[]})");
+    CPPUNIT_ASSERT_EQUAL(400, f.status(caller));
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"errorText":"postalRoutes[0].hostName: is missing"})"),
-                         f.replies[asker].body);
+                         f.replies[caller].body);
   }
 
-  void beforeAnybodyLeadsCallsWaitAndThenAreRefused() {
+  void callsWithoutLeaderWaitThenFail() {
     Fixture f;
-    Asker early = f.call("GET", "/pearspar/config");
+    CallerId early = f.call("GET", "/pearspar/config");
     CPPUNIT_ASSERT_EQUAL(0, f.status(early));
     f.run(2);
     CPPUNIT_ASSERT(f.status(early) == 404 || f.status(early) == 503);
     f.disk.set_full(true);
     CPPUNIT_ASSERT_EQUAL(503, f.put(0, config(3)));
-    Asker late = f.call("GET", "/pearspar/config");
+    CallerId late = f.call("GET", "/pearspar/config");
     f.run(0.8);
     CPPUNIT_ASSERT_EQUAL(0, f.status(late));
     f.run(0.1);
@@ -161,74 +162,74 @@
     acknowledge(f);
   }
 
-  void leavingIsAcknowledgedWhenAllHaveIt() {
+  void nodeLeaveIsAnsweredAfterAllEdgesAcknowledge() {
     Fixture f;
     f.run(2);
     follow(f);
     CPPUNIT_ASSERT_EQUAL(200, f.status(f.call("PUT", "/pearspar/nodes/n", "", f.beat(1, "at_post"))));
     acknowledge(f);
-    Asker leaving = f.call("PUT", "/pearspar/nodes/n", "", f.beat(2, "closing_out"));
+    CallerId leaving = f.call("PUT", "/pearspar/nodes/n", "", f.beat(2, "closing_out"));
     f.run(0.1);
     CPPUNIT_ASSERT_EQUAL(0, f.status(leaving));
     acknowledge(f);
     CPPUNIT_ASSERT_EQUAL(200, f.status(leaving));
     // A late word of its better days changes nothing.
     CPPUNIT_ASSERT_EQUAL(200, f.status(f.call("PUT", "/pearspar/nodes/n", "", f.beat(1, "at_post"))));
-    CPPUNIT_ASSERT(f.member.office().view().nodes().find("n")->closing);
-    Asker gone = f.call("DELETE", "/pearspar/nodes/n");
+    CPPUNIT_ASSERT(f.member.controller().view().nodes().find("n")->closing);
+    CallerId gone = f.call("DELETE", "/pearspar/nodes/n");
     f.run(0.02);
     acknowledge(f);
     CPPUNIT_ASSERT_EQUAL(200, f.status(gone));
     f.call("PUT", "/pearspar/nodes/n", "", f.beat(3, "at_post"));
-    CPPUNIT_ASSERT(!f.member.office().view().nodes().find("n"));
+    CPPUNIT_ASSERT(!f.member.controller().view().nodes().find("n"));
   }
 
-  void anEdgeThatIsSilentHoldsNobodyUp() {
+  void silentEdgeDoesNotBlockNodeLeave() {
     Fixture f;
     f.run(2);
     follow(f);
-    Asker leaving = f.call("PUT", "/pearspar/nodes/n", "", f.beat(1, "closing_out"));
+    CallerId leaving = f.call("PUT", "/pearspar/nodes/n", "", f.beat(1, "closing_out"));
     f.run(0.6);
     CPPUNIT_ASSERT_EQUAL(200, f.status(leaving));
     f.run(3);  // its lease is over
-    Asker second = f.call("PUT", "/pearspar/nodes/m", "", f.beat(1, "closing_out"));
+    CallerId second = f.call("PUT", "/pearspar/nodes/m", "", f.beat(1, "closing_out"));
     CPPUNIT_ASSERT_EQUAL(200, f.status(second));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, f.member.office().followers().edges(f.world.now()));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, f.member.controller().followers().edges(f.world.now()));
   }
 
-  void aSilentNodeIsLostAndMayComeBack() {
+  void silentNodeExpiresAndMayReturn() {
     Fixture f;
     f.run(2);
     f.call("PUT", "/pearspar/nodes/n", "", f.beat(1, "at_post"));
     f.run(5);
-    CPPUNIT_ASSERT(f.member.office().view().nodes().find("n"));
+    CPPUNIT_ASSERT(f.member.controller().view().nodes().find("n"));
     f.run(3);
-    CPPUNIT_ASSERT(!f.member.office().view().nodes().find("n"));
+    CPPUNIT_ASSERT(!f.member.controller().view().nodes().find("n"));
     f.call("PUT", "/pearspar/nodes/n", "", f.beat(2, "at_post"));
-    CPPUNIT_ASSERT(f.member.office().view().nodes().find("n"));
+    CPPUNIT_ASSERT(f.member.controller().view().nodes().find("n"));
   }
 
   // It wakes after twenty seconds, and leads in the same turn.
-  void whoStoodStillRefusesFirst() {
+  void expiredCallsAreRejectedFirst() {
     Fixture f;
-    Asker order = f.call("PUT", "/pearspar/config", "0", config(1));
+    CallerId order = f.call("PUT", "/pearspar/config", "0", config(1));
     f.world.run_until(f.world.now() + Duration(20));
     f.advance();
-    CPPUNIT_ASSERT(f.member.office().in_office());
+    CPPUNIT_ASSERT(f.member.controller().is_active());
     CPPUNIT_ASSERT_EQUAL(503, f.status(order));
     f.run(1);
     CPPUNIT_ASSERT_EQUAL(averau::Edition{0}, f.member.state().edition());
   }
 
-  void historyIsToldInBounds() {
+  void historyLengthIsBounded() {
     Fixture f;
     f.run(2);
     for (int e = 1; e <= 250; ++e) CPPUNIT_ASSERT_EQUAL(200, f.put(e - 1, config(e)));
     auto told = [&](const std::string& query) {
-      Asker asker = f.call("GET", "/pearspar/history" + query);
-      if (f.status(asker) != 200) return -f.status(asker);
+      CallerId caller = f.call("GET", "/pearspar/history" + query);
+      if (f.status(caller) != 200) return -f.status(caller);
       averau::Fault fault;
-      averau::Json json = averau::parse_json(f.replies[asker].body, fault);
+      averau::Json json = averau::parse_json(f.replies[caller].body, fault);
       CPPUNIT_ASSERT_EQUAL(250, cJSON_GetObjectItem(json.get(), "remembered")->valueint);
       const cJSON* taken = cJSON_GetObjectItem(json.get(), "taken");
       int count = cJSON_GetArraySize(taken);
@@ -245,7 +246,7 @@
   }
 
   // Sixty callers want a megabyte each in one turn of the loop: who goes past 32 of them comes back later.
-  void whatIsReadOutAtOnceIsBounded() {
+  void replyBytesPerTurnAreBounded() {
     Fixture f;
     f.run(2);
     CPPUNIT_ASSERT_EQUAL(200, f.put(0, config(1, std::string(1 << 20, 'x'))));
@@ -254,27 +255,27 @@
     f.advance();
     std::size_t bytes = 0;
     int told = 0;
-    for (const auto& [asker, reply] : f.replies) bytes += reply.body.size(), told += reply.status == 200;
+    for (const auto& [caller, reply] : f.replies) bytes += reply.body.size(), told += reply.status == 200;
     CPPUNIT_ASSERT_EQUAL(std::size_t{60}, f.replies.size());
     CPPUNIT_ASSERT(told >= 30 && bytes <= (std::size_t{32} << 20) + 60 * 100);
     CPPUNIT_ASSERT_EQUAL(200, f.status(f.call("GET", "/pearspar/config")));
   }
 
   // A member of another edition may pass on what it knows and we do not.
-  void aCallThatIsUnknownHereIsNoLeave() {
+  void unknownForwardedCallChangesNothing() {
     Fixture f;
     f.run(2);
     f.call("PUT", "/pearspar/nodes/n", "", f.beat(1, "at_post"));
-    auto before = f.member.office().list_changes();
+    auto before = f.member.controller().node_list_changes();
     for (const char* path : {"/pearspar/history?oldest=1", "/pearspar/nodeset/n", "/"})
       f.member.link_frame(f.world.now(), 7, fanes::pack(fanes::Call{1, "b:1", "POST", path, "", "", 0}));
     f.run(0.1);
-    CPPUNIT_ASSERT_EQUAL(before, f.member.office().list_changes());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, f.member.office().view().nodes().all().size());
+    CPPUNIT_ASSERT_EQUAL(before, f.member.controller().node_list_changes());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, f.member.controller().view().nodes().all().size());
   }
 
-  // Every call of the core in api/altavia.json is one that the office knows, and no other is.
-  void theFileOfCallsHolds() {
+  // Every call of the core in api/altavia.json is one that the controller knows, and no other is.
+  void openApiFileMatchesTheCalls() {
     std::ifstream file(PEARSPAR_ROOT "/api/altavia.json");
     std::ostringstream text;
     text << file.rdbuf();
@@ -316,6 +317,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(OfficeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ControllerTest);
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/tests/system/news_test.cpp
+++ b/tests/system/leader_updates_test.cpp
@@ -6,9 +6,9 @@
 #include <random>
 
 #include "biella/cluster.h"
+#include "control_plane/followers.h"
 #include "fanes/delta.h"
 #include "nuvolau/pool.h"
-#include "sennes/followers.h"
 
 namespace pearspar {
 
@@ -33,31 +33,31 @@
 
 }  // namespace
 
-class NewsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(NewsTest);
-  CPPUNIT_TEST(aDeltaMakesTheNewTextOutOfTheOld);
-  CPPUNIT_TEST(aSpoiltDeltaMakesNothing);
-  CPPUNIT_TEST(aChangeGoesOutAsADelta);
-  CPPUNIT_TEST(whoCannotUseADeltaIsToldEverything);
-  CPPUNIT_TEST(manyChangesGoAsOne);
-  CPPUNIT_TEST(whoComesBackBehindIsToldWithoutAnotherChange);
-  CPPUNIT_TEST(wholeListsGoInTurn);
-  CPPUNIT_TEST(whoIsFurtherThanWhatWasPackedIsToldAnew);
-  CPPUNIT_TEST(aHelloThatCrossesTheListIsNotAnsweredTwice);
-  CPPUNIT_TEST(whoIsBehindTheJournalIsToldEverything);
-  CPPUNIT_TEST(aNewLeaderTellsTheListOnlyToWhoLacksIt);
-  CPPUNIT_TEST(aCallPassedOnFollowsTheLead);
-  CPPUNIT_TEST(whoCannotReadWhatStandsIsNotFloodedWithIt);
-  CPPUNIT_TEST(theJournalIsBoundInBytesAndNobodyMissesAnything);
-  CPPUNIT_TEST(aMemberThatIsBehindDoesNotHideTheOthers);
-  CPPUNIT_TEST(tokensOfAnyWindowStayUnderTheShare);
-  CPPUNIT_TEST(aNewLeaderHandsOutNothingUntilTheOldTokensAreOver);
-  CPPUNIT_TEST(aBusyEdgeGetsOfTheShared);
-  CPPUNIT_TEST(anEdgeBeginsAtWhatItsNeighboursAsk);
+class LeaderUpdatesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LeaderUpdatesTest);
+  CPPUNIT_TEST(deltaReproducesTheNewText);
+  CPPUNIT_TEST(corruptDeltaIsRejected);
+  CPPUNIT_TEST(configurationChangeIsSentAsDelta);
+  CPPUNIT_TEST(unusableDeltaIsFollowedByFullState);
+  CPPUNIT_TEST(changesAreBatched);
+  CPPUNIT_TEST(reconnectedFollowerCatchesUpAtOnce);
+  CPPUNIT_TEST(fullStateBytesInFlightAreBounded);
+  CPPUNIT_TEST(cachedStateOlderThanFollowerIsNotSent);
+  CPPUNIT_TEST(helloCrossingFullStateIsNotAnsweredTwice);
+  CPPUNIT_TEST(followerBehindJournalGetsFullState);
+  CPPUNIT_TEST(newLeaderSendsListOnlyWhereDigestDiffers);
+  CPPUNIT_TEST(forwardedCallReachesTheNextLeader);
+  CPPUNIT_TEST(unreadableConfigurationIsResentAtPingRate);
+  CPPUNIT_TEST(journalIsBoundedInBytes);
+  CPPUNIT_TEST(laggingMemberDoesNotReplaceMemberList);
+  CPPUNIT_TEST(grantedTokensStayWithinShareOfEachWindow);
+  CPPUNIT_TEST(newLeaderGrantsNothingUntilOldTokensExpire);
+  CPPUNIT_TEST(busyEdgeUsesSharedBudget);
+  CPPUNIT_TEST(restartedEdgeStartsAtAverageCoverage);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void aDeltaMakesTheNewTextOutOfTheOld() {
+  void deltaReproducesTheNewText() {
     std::string before = configuration(3, 200);
     for (const std::string& after : {configuration(4, 200, 77), configuration(4, 190),
                                      configuration(9, 260, 3), std::string("{}"), before}) {
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(fanes::make_delta(before, configuration(4, 200, 77)).size() < before.size() / 20);
   }
 
-  void aSpoiltDeltaMakesNothing() {
+  void corruptDeltaIsRejected() {
     std::mt19937 random(3);
     std::string before = configuration(3, 20), after = configuration(4, 22, 5);
     std::string whole = fanes::make_delta(before, after);
@@ -85,7 +85,7 @@
   struct Leader {
     averau::Time now{averau::Duration(50)};
     vazzoler::View view;
-    sennes::Followers followers{view};
+    control_plane::Followers followers{view};
     vazzoler::View edge;
     std::size_t bytes = 0;
     Leader() {
@@ -97,7 +97,7 @@
     void exchange() {
       for (int rounds = 0; rounds < 3; ++rounds) {
         now += averau::Duration(0.02);
-        for (const sennes::ToLink& out : followers.take_out(now)) {
+        for (const control_plane::LinkFrame& out : followers.take_frames(now)) {
           bytes += out.bytes.size();
           auto message = fanes::unpack(out.bytes);
           CPPUNIT_ASSERT(message);
@@ -109,7 +109,7 @@
     }
   };
 
-  void aChangeGoesOutAsADelta() {
+  void configurationChangeIsSentAsDelta() {
     Leader leader;
     leader.followers.add_configuration(leader.now, read(configuration(3, 300)));
     leader.exchange();
@@ -125,7 +125,7 @@
   }
 
   // An older program passes over a change that it does not know; a text that differs does not take the delta.
-  void whoCannotUseADeltaIsToldEverything() {
+  void unusableDeltaIsFollowedByFullState() {
     Leader leader;
     leader.followers.add_configuration(leader.now, read(configuration(3, 30)));
     leader.exchange();
@@ -142,14 +142,14 @@
     // So too one that comes back with a position behind the change, and the edition before it.
     leader.followers.on_hello(leader.now, 8, {78, fanes::FollowerKind::edge, "f", "z", leader.edge.at(), 3});
     bool told = false;
-    for (const sennes::ToLink& out : leader.followers.take_out(leader.now))
+    for (const control_plane::LinkFrame& out : leader.followers.take_frames(leader.now))
       if (auto message = fanes::unpack(out.bytes); out.link == 8)
         if (const auto* all = std::get_if<fanes::Standing>(&*message)) told = !all->configuration.empty();
     CPPUNIT_ASSERT(told);
   }
 
   // An older program cannot read the new configuration: it says so with each acknowledgement.
-  void whoCannotReadWhatStandsIsNotFloodedWithIt() {
+  void unreadableConfigurationIsResentAtPingRate() {
     Leader leader;
     leader.followers.add_configuration(leader.now, read(configuration(3, 30)));
     leader.exchange();
@@ -157,7 +157,7 @@
     int told = 0;
     for (int i = 0; i < 500; ++i) {
       leader.now += averau::Duration(0.01);
-      for (const sennes::ToLink& out : leader.followers.take_out(leader.now)) {
+      for (const control_plane::LinkFrame& out : leader.followers.take_frames(leader.now)) {
         auto message = fanes::unpack(out.bytes);
         told += std::holds_alternative<fanes::Standing>(*message);
         leader.followers.on_ack(leader.now, 7, {77, {2, 3}, 3});
@@ -166,7 +166,7 @@
     CPPUNIT_ASSERT(told >= 4 && told <= 7);
   }
 
-  void theJournalIsBoundInBytesAndNobodyMissesAnything() {
+  void journalIsBoundedInBytes() {
     Leader leader;
     leader.exchange();
     // Nothing like the one before, so no delta helps; all within the time that news gather.
@@ -191,7 +191,7 @@
     bool send(transport::LinkId, std::string_view) override { return true; }
   };
 
-  void aMemberThatIsBehindDoesNotHideTheOthers() {
+  void laggingMemberDoesNotReplaceMemberList() {
     Kept wire;
     vazzoler::Follower follower(wire, {5, "e", "z", {"a", "b", "c"}});
     averau::Time now{averau::Duration(50)};
@@ -217,34 +217,34 @@
     return change;
   }
 
-  void manyChangesGoAsOne() {
+  void changesAreBatched() {
     Leader leader;
     leader.exchange();
     for (int i = 0; i < 50; ++i) {
       leader.followers.add(leader.now, node(i));
-      CPPUNIT_ASSERT(leader.followers.take_out(leader.now).empty());
+      CPPUNIT_ASSERT(leader.followers.take_frames(leader.now).empty());
       leader.now += averau::Duration(0.0001);
     }
     CPPUNIT_ASSERT(leader.followers.due() < leader.now + averau::Duration(0.01));
     leader.now = leader.followers.due();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leader.followers.take_out(leader.now).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leader.followers.take_frames(leader.now).size());
   }
 
   // However many follow, a few megabytes are on their way; each acknowledgement lets the next be told, and
   // who says nothing is not waited for.
-  void wholeListsGoInTurn() {
+  void fullStateBytesInFlightAreBounded() {
     averau::Time now{averau::Duration(50)};
     vazzoler::View view;
-    sennes::Followers followers(view);
+    control_plane::Followers followers(view);
     followers.open(now, 2, true);
     for (int i = 0; i < 2000; ++i) followers.add(now, node(i));
-    std::map<sennes::LinkId, vazzoler::View> edges;
-    for (sennes::LinkId link = 1; link <= 300; ++link)
+    std::map<control_plane::LinkId, vazzoler::View> edges;
+    for (control_plane::LinkId link = 1; link <= 300; ++link)
       followers.on_hello(now, link, {link, fanes::FollowerKind::edge, "e", "z", {}, 0});
     for (int round = 0; round < 400 && edges.size() < 299; ++round) {
       std::size_t bytes = 0, whole = 0;
-      std::vector<sennes::ToLink> sent = followers.take_out(now);
-      for (const sennes::ToLink& out : sent) {
+      std::vector<control_plane::LinkFrame> sent = followers.take_frames(now);
+      for (const control_plane::LinkFrame& out : sent) {
         auto message = fanes::unpack(out.bytes);
         CPPUNIT_ASSERT(message);
         if (const auto* standing = std::get_if<fanes::Standing>(&*message)) {
@@ -258,12 +258,12 @@
       CPPUNIT_ASSERT(bytes <= (4 << 20) + whole);
       followers.add(now, node(2000 + round));
       now += averau::Duration(0.02);
-      for (const sennes::ToLink& out : sent)
+      for (const control_plane::LinkFrame& out : sent)
         if (out.link != 1) followers.on_ack(now, out.link, {out.link, edges[out.link].at(), 0});
     }
     for (int i = 0; i < 3; ++i) {
       now += averau::Duration(0.02);
-      for (const sennes::ToLink& out : followers.take_out(now))
+      for (const control_plane::LinkFrame& out : followers.take_frames(now))
         if (auto message = fanes::unpack(out.bytes))
           if (const auto* changes = std::get_if<fanes::Changes>(&*message))
             edges[out.link].apply(now, *changes);
@@ -274,11 +274,11 @@
   }
 
   // A question that crosses the answer is not another one; past two seconds it is.
-  void aHelloThatCrossesTheListIsNotAnsweredTwice() {
+  void helloCrossingFullStateIsNotAnsweredTwice() {
     Leader leader;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leader.followers.take_out(leader.now).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leader.followers.take_frames(leader.now).size());
     leader.followers.on_hello(leader.now, 7, {77, fanes::FollowerKind::edge, "e", "z", {}, 0});
-    CPPUNIT_ASSERT(leader.followers.take_out(leader.now).empty());
+    CPPUNIT_ASSERT(leader.followers.take_frames(leader.now).empty());
     leader.now += averau::Duration(2.1);
     leader.followers.on_hello(leader.now, 7, {77, fanes::FollowerKind::edge, "e", "z", {}, 0});
     leader.exchange();
@@ -286,21 +286,21 @@
   }
 
   // What was packed a moment ago is behind one that followed since.
-  void whoIsFurtherThanWhatWasPackedIsToldAnew() {
+  void cachedStateOlderThanFollowerIsNotSent() {
     Leader leader;
     leader.exchange();
     leader.followers.add(leader.now, node(1));
     leader.exchange();
     leader.followers.on_hello(leader.now, 7, {77, fanes::FollowerKind::edge, "e", "z", leader.edge.at(), 0});
     leader.followers.on_ack(leader.now, 7, {77, leader.edge.at(), 0, 100, leader.edge.nodes().digest() ^ 2});
-    auto out = leader.followers.take_out(leader.now);
+    auto out = leader.followers.take_frames(leader.now);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, out.size());
     auto message = fanes::unpack(out[0].bytes);
     CPPUNIT_ASSERT(std::get<fanes::Standing>(*message).at >= leader.edge.at());
   }
 
   // More changes between two words than the journal holds.
-  void whoIsBehindTheJournalIsToldEverything() {
+  void followerBehindJournalGetsFullState() {
     Leader leader;
     leader.exchange();
     for (int i = 0; i < 5000; ++i) leader.followers.add(leader.now, node(i));
@@ -311,12 +311,12 @@
 
   // Three edges that followed the leader before: one lists the same, one lacks a node, one lists a node too
   // many.
-  void aNewLeaderTellsTheListOnlyToWhoLacksIt() {
+  void newLeaderSendsListOnlyWhereDigestDiffers() {
     averau::Time now{averau::Duration(50)};
     vazzoler::View view;
-    sennes::Followers followers(view);
-    std::map<sennes::LinkId, vazzoler::View> edges;
-    for (sennes::LinkId link : {1, 2, 3}) {
+    control_plane::Followers followers(view);
+    std::map<control_plane::LinkId, vazzoler::View> edges;
+    for (control_plane::LinkId link : {1, 2, 3}) {
       fanes::Standing before{{1, 9}, true, 3, 0, "", {}, {}, 100};
       for (int i = 0; i < 200; ++i)
         if (link != 2 || i != 7) before.nodes.push_back(node(i).news);
@@ -329,10 +329,10 @@
     view.apply(now, ours);
     followers.open(now, 2, false);
     followers.add(now, {});
-    std::map<sennes::LinkId, std::size_t> bytes;
+    std::map<control_plane::LinkId, std::size_t> bytes;
     auto exchange = [&] {
       for (int round = 0; round < 4; ++round) {
-        for (const sennes::ToLink& out : followers.take_out(now)) {
+        for (const control_plane::LinkFrame& out : followers.take_frames(now)) {
           bytes[out.link] += out.bytes.size();
           auto message = fanes::unpack(out.bytes);
           CPPUNIT_ASSERT(message);
@@ -354,7 +354,7 @@
     followers.add(now, leaves);
     exchange();
     for (auto& [link, edge] : edges) CPPUNIT_ASSERT(edge.nodes().find("n3")->closing);
-    followers.complete(now);
+    followers.complete_list(now);
     exchange();
     for (auto& [link, edge] : edges) CPPUNIT_ASSERT_EQUAL(view.nodes().digest(), edge.nodes().digest());
     CPPUNIT_ASSERT(!edges[3].nodes().find("n300") && edges[2].nodes().find("n7"));
@@ -362,7 +362,7 @@
     CPPUNIT_ASSERT(bytes[2] > 5000 && bytes[3] > 5000);
   }
 
-  void whoComesBackBehindIsToldWithoutAnotherChange() {
+  void reconnectedFollowerCatchesUpAtOnce() {
     Leader leader;
     leader.exchange();
     leader.followers.add(leader.now, node(1));
@@ -373,12 +373,13 @@
     leader.followers.on_hello(leader.now, 9, {77, fanes::FollowerKind::edge, "e", "z", before, 0});
     CPPUNIT_ASSERT(leader.followers.due() <= leader.now);
     bool told = false;
-    for (const sennes::ToLink& out : leader.followers.take_out(leader.now)) told = told || out.link == 9;
+    for (const control_plane::LinkFrame& out : leader.followers.take_frames(leader.now))
+      told = told || out.link == 9;
     CPPUNIT_ASSERT(told);
   }
 
   // The member that is asked has passed the call to a leader that died without a word; the next one gets it.
-  void aCallPassedOnFollowsTheLead() {
+  void forwardedCallReachesTheNextLeader() {
     for (unsigned seed = 1; seed <= 6; ++seed) {
       biella::ClusterOptions options;
       options.seed = seed;
@@ -399,7 +400,7 @@
 
   // Edges ask, get and spend at moments of their own, with what is on its way between; in no window of the
   // rule is more spent than the leader may hand out.
-  void tokensOfAnyWindowStayUnderTheShare() {
+  void grantedTokensStayWithinShareOfEachWindow() {
     using nuvolau::Duration;
     using nuvolau::Time;
     for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -429,7 +430,7 @@
     }
   }
 
-  void aNewLeaderHandsOutNothingUntilTheOldTokensAreOver() {
+  void newLeaderGrantsNothingUntilOldTokensExpire() {
     nuvolau::Pool pool;
     pool.set({56, std::chrono::seconds(10)});
     nuvolau::Time now{nuvolau::Duration(100)};
@@ -443,7 +444,7 @@
 
   // Most requests come to one edge, and nodes crash: with the shared part it may send more again, and the
   // judge finds the rule kept.
-  void aBusyEdgeGetsOfTheShared() {
+  void busyEdgeUsesSharedBudget() {
     std::map<bool, std::uint64_t> withheld, second;
     for (unsigned run = 0; run < 12; ++run) {
       bool shared = run % 2 == 1;
@@ -474,7 +475,7 @@
   }
 
   // Under an overload all edges have narrowed. One dies: its next life does not begin whole.
-  void anEdgeBeginsAtWhatItsNeighboursAsk() {
+  void restartedEdgeStartsAtAverageCoverage() {
     biella::ClusterOptions options;
     options.edges = 4;
     options.nodes_per_shard = 1;
@@ -495,6 +496,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NewsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeaderUpdatesTest);
 
 }  // namespace pearspar
--- a/tests/system/strange_calls_test.cpp
+++ b/tests/system/malformed_calls_test.cpp
@@ -1,14 +1,14 @@
 // What nobody should send and somebody may: calls, orders and frames at the edges of what is spoken, and
-// moments at which the office could take the past for the present. One member alone.
+// moments at which the controller could take the past for the present. One member alone.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
 
 #include "biella/disk.h"
+#include "control_plane/member.h"
 #include "fanes/messages.h"
-#include "sennes/member.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 namespace {
 
 struct KeptWire : transport::Wire {
@@ -42,10 +42,10 @@
   biella::SimDisk disk{world};
   KeptWire wire;
   Member member;
-  Asker next = 0;
-  std::map<Asker, Reply> replies;
+  CallerId next = 0;
+  std::map<CallerId, Reply> replies;
 
-  explicit Alone(bool start = true) : member(wire, disk, agreement(), office()) {
+  explicit Alone(bool start = true) : member(wire, disk, agreement(), controller()) {
     if (start) lead();
   }
   static raft::Options agreement() {
@@ -56,8 +56,8 @@
     options.fresh_id = 5;
     return options;
   }
-  static OfficeOptions office() {
-    OfficeOptions options;
+  static ControllerOptions controller() {
+    ControllerOptions options;
     options.inner_address = "a:1";
     options.control_address = "a:2";
     options.life = 5;
@@ -66,10 +66,10 @@
   void lead() {
     CPPUNIT_ASSERT(!member.start(world.now()));
     run(2);
-    CPPUNIT_ASSERT(member.office().in_office());
+    CPPUNIT_ASSERT(member.controller().is_active());
   }
   void advance() {
-    for (Reply& reply : member.advance([this] { return world.now(); })) replies[reply.asker] = reply;
+    for (Reply& reply : member.advance([this] { return world.now(); })) replies[reply.caller] = reply;
   }
   void run(double seconds) {
     for (double t = 0; t < seconds; t += 0.01) {
@@ -95,25 +95,25 @@
     member.link_frame(world.now(), link, fanes::pack(message));
     advance();
   }
-  const averau::Node* node(const char* id) const { return member.office().view().nodes().find(id); }
+  const averau::Node* node(const char* id) const { return member.controller().view().nodes().find(id); }
 };
 
 }  // namespace
 
-class StrangeCallsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StrangeCallsTest);
-  CPPUNIT_TEST(onlyWholeMethodsAreKnown);
-  CPPUNIT_TEST(statusOverALinkIsNoLeave);
-  CPPUNIT_TEST(ordersOfEveryShape);
-  CPPUNIT_TEST(aNodeThatClosedAndFellSilentNeverOpens);
-  CPPUNIT_TEST(whoStoodStillLosesNoNodes);
-  CPPUNIT_TEST(whoWasHeardBeforeTheStoreOpenedIsTold);
-  CPPUNIT_TEST(aLongAnswerIsNotPassedOn);
-  CPPUNIT_TEST(aStateThatDoesNotReadLeadsNowhere);
+class MalformedCallsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(MalformedCallsTest);
+  CPPUNIT_TEST(methodFragmentsAreRejected);
+  CPPUNIT_TEST(forwardedStatusCallIsRejected);
+  CPPUNIT_TEST(malformedConfigurationChangesAreRejected);
+  CPPUNIT_TEST(closingNodeThatExpiredStaysGone);
+  CPPUNIT_TEST(stalledLeaderKeepsItsNodes);
+  CPPUNIT_TEST(hellosBeforeStoreOpensAreAnswered);
+  CPPUNIT_TEST(oversizedAnswerIsNotForwarded);
+  CPPUNIT_TEST(unreadableStateDoesNotServe);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void onlyWholeMethodsAreKnown() {
+  void methodFragmentsAreRejected() {
     Alone one;
     one.beat("n", 1, "at_post");
     for (const char* method : {"", "D", "DEL", "or", "P", "PU", " ", "delete", "E"})
@@ -128,18 +128,18 @@
   }
 
   // A member's status is its own, and another edition of the program may pass such a call on.
-  void statusOverALinkIsNoLeave() {
+  void forwardedStatusCallIsRejected() {
     Alone one;
-    auto before = one.member.office().view().at();
+    auto before = one.member.controller().view().at();
     one.frame(7, fanes::Call{1, "b:1", "GET", "/pearspar/status", "", "", 500});
-    CPPUNIT_ASSERT(before == one.member.office().view().at());
+    CPPUNIT_ASSERT(before == one.member.controller().view().at());
     one.run(0.1);
     auto answers = one.wire.told<fanes::CallAnswer>(one.wire.to_members);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answers.size());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{404}, answers[0].status);
   }
 
-  void ordersOfEveryShape() {
+  void malformedConfigurationChangesAreRejected() {
     Alone one;
     for (const char* match : {"", "x", "-1", "1.0", "0x0", "18446744073709551616", "\"", "0,0", "*"})
       CPPUNIT_ASSERT_EQUAL_MESSAGE(match, 400, one.order(match, config("5")));
@@ -160,7 +160,7 @@
   }
 
   // A word of its better days comes in late, after its silence has taken it off the list.
-  void aNodeThatClosedAndFellSilentNeverOpens() {
+  void closingNodeThatExpiredStaysGone() {
     Alone one;
     one.beat("n", 1, "at_post");
     one.beat("n", 9, "closing_out");
@@ -183,7 +183,7 @@
   }
 
   // Its clock runs on while it stands still: that nothing was heard says nothing about the nodes.
-  void whoStoodStillLosesNoNodes() {
+  void stalledLeaderKeepsItsNodes() {
     Alone one;
     one.run(4);
     one.beat("n", 1, "at_post");
@@ -200,7 +200,7 @@
   }
 
   // An edge says hello once on each link, and the disk takes nothing yet.
-  void whoWasHeardBeforeTheStoreOpenedIsTold() {
+  void hellosBeforeStoreOpensAreAnswered() {
     Alone one(false);
     one.disk.set_full(true);
     CPPUNIT_ASSERT(one.member.start(one.world.now()));
@@ -215,7 +215,7 @@
   }
 
   // A frame over the bound ends the link that it goes on, and the agreement's words with it.
-  void aLongAnswerIsNotPassedOn() {
+  void oversizedAnswerIsNotForwarded() {
     Alone one;
     CPPUNIT_ASSERT_EQUAL(200, one.order("0", config("1", std::string(1'000'000, '\x01'))));
     one.frame(7, fanes::Call{1, "b:1", "GET", "/pearspar/snapshot", "", "", 500});
@@ -236,16 +236,17 @@
 
   // Bytes of a snapshot that end too soon, or that are of a later program: nobody is told of an empty state,
   // and no order is taken on top of it.
-  void aStateThatDoesNotReadLeadsNowhere() {
-    State state;
+  void unreadableStateDoesNotServe() {
+    ReplicatedState state;
     std::string text = config("3");
-    state.apply({1, 1, raft::EntryKind::change, State::change(0, 3, digest_of(text), text), {}});
+    state.apply(
+        {1, 1, raft::EntryKind::change, ReplicatedState::encode_change(0, 3, digest_of(text), text), {}});
     std::string whole = state.fold();
     for (std::size_t size = 1; size < whole.size(); ++size) {
-      State other;
+      ReplicatedState other;
       other.restore(whole.substr(0, size));
       CPPUNIT_ASSERT_MESSAGE(std::to_string(size), !other.may_serve());
-      State third;
+      ReplicatedState third;
       third.restore(other.fold());
       CPPUNIT_ASSERT_MESSAGE(std::to_string(size), !third.may_serve());
       other.restore(whole);
@@ -254,6 +255,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StrangeCallsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(MalformedCallsTest);
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/tests/system/neighbours_test.cpp
+++ b/tests/system/neighbour_discovery_test.cpp
@@ -1,12 +1,11 @@
 // Edges that have lost the whole core and find it by other edges; what such a word may do and may not.
-#include "sennes/neighbours.h"
-
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
 #include <set>
 
 #include "biella/cluster.h"
+#include "control_plane/neighbour_ring.h"
 #include "fanes/pack.h"
 #include "transport/links.h"
 
@@ -64,20 +63,20 @@
 
 }  // namespace
 
-class NeighboursTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(NeighboursTest);
-  CPPUNIT_TEST(anEdgeThatLostAllMembersFindsTheCore);
-  CPPUNIT_TEST(oneThatStartsTellsThoseThatAllLostTheCore);
-  CPPUNIT_TEST(aWordOfAnEdgeIsOnlyTried);
-  CPPUNIT_TEST(nobodyElseIsBelieved);
-  CPPUNIT_TEST(askingIsBoundedAndSpread);
-  CPPUNIT_TEST(edgesKnowEdgesOfOtherZonesAndThatChangesRarely);
-  CPPUNIT_TEST(programsOfTwoEditionsUnderstandEachOther);
+class NeighbourDiscoveryTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(NeighbourDiscoveryTest);
+  CPPUNIT_TEST(edgeFindsReplacedMembersThroughOtherEdges);
+  CPPUNIT_TEST(restartedEdgeTellsOthersTheNewMembers);
+  CPPUNIT_TEST(memberAddressesFromEdgesAreOnlyDialled);
+  CPPUNIT_TEST(onlyMembersAreTrusted);
+  CPPUNIT_TEST(askingIsBoundedAndSpreadOverTime);
+  CPPUNIT_TEST(neighboursSpanZonesAndAreStable);
+  CPPUNIT_TEST(olderProgramsGetNoNeighbours);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Cut off; three replaced, one after the other; healed: within configWithinMs it has what stands.
-  void anEdgeThatLostAllMembersFindsTheCore() {
+  void edgeFindsReplacedMembersThroughOtherEdges() {
     for (unsigned seed = 1; seed <= 6; ++seed) {
       biella::ClusterOptions options;
       options.seed = seed;
@@ -110,7 +109,7 @@
 
   // All cut off from the core until all members were replaced: nobody knows. One that starts anew has the
   // seeds of that moment, and the others hear of it.
-  void oneThatStartsTellsThoseThatAllLostTheCore() {
+  void restartedEdgeTellsOthersTheNewMembers() {
     biella::ClusterOptions options;
     options.edges = 4;
     options.plain_nodes = 2;
@@ -139,7 +138,7 @@
 
   // Of an older term than the news that we have: nothing. Else a few more dials, until a leader speaks; our
   // own members are tried all the while.
-  void aWordOfAnEdgeIsOnlyTried() {
+  void memberAddressesFromEdgesAreOnlyDialled() {
     Following edge;
     edge.lose();
     edge.hear(9, fanes::There{3, {"gone"}});
@@ -160,7 +159,7 @@
   }
 
   // Neither edges that we ask nor whoever opens a link to us is a source of news, members or neighbours.
-  void nobodyElseIsBelieved() {
+  void onlyMembersAreTrusted() {
     Following edge;
     edge.follower.link_up(2, "m2");  // does not lead
     edge.hear(2, fanes::Neighbours{{"liar"}});
@@ -184,7 +183,7 @@
   }
 
   // The whole core is gone for 400 edges at once.
-  void askingIsBoundedAndSpread() {
+  void askingIsBoundedAndSpreadOverTime() {
     std::map<int, int> begun;  // by tenth of a second
     int asks = 0;
     for (fanes::Life life = 1; life <= 400; ++life) {
@@ -210,16 +209,16 @@
     CPPUNIT_ASSERT(asks > 400 * 6 && asks < 400 * 12);
   }
 
-  void edgesKnowEdgesOfOtherZonesAndThatChangesRarely() {
-    sennes::Neighbours ring;
+  void neighboursSpanZonesAndAreStable() {
+    control_plane::NeighbourRing ring;
     auto address = [](std::uint64_t i) { return "10.1." + std::to_string(i) + ":7135"; };
     auto zone = [](std::uint64_t i) { return "z" + std::to_string(i % 5); };
     auto known = [&] {
       std::vector<std::vector<std::string>> all;
-      for (std::uint64_t i = 1; i <= 300; ++i) all.push_back(ring.known_to(address(i), zone(i)));
+      for (std::uint64_t i = 1; i <= 300; ++i) all.push_back(ring.neighbours_of(address(i), zone(i)));
       return all;
     };
-    for (std::uint64_t i = 1; i <= 300; ++i) ring.came(i, address(i), zone(i));
+    for (std::uint64_t i = 1; i <= 300; ++i) ring.add(i, address(i), zone(i));
     auto before = known();
     std::map<std::string, int> known_by;
     for (std::uint64_t i = 1; i <= 300; ++i) {
@@ -234,15 +233,15 @@
     // A restart changes nothing; one that is gone for good, what those that knew it are to know.
     Time now{Duration(50)};
     std::uint64_t version = ring.version();
-    for (int second = 0; second < 20; ++second) ring.forget(now += Duration(1));
-    ring.went(7, address(7));
-    for (int second = 0; second < 20; ++second) ring.forget(now += Duration(1));
-    ring.came(1007, address(7), zone(7));
-    ring.went(7, address(7));  // its old link, late
-    for (int second = 0; second < 90; ++second) ring.forget(now += Duration(1));
+    for (int second = 0; second < 20; ++second) ring.remove_expired(now += Duration(1));
+    ring.disconnect(7, address(7));
+    for (int second = 0; second < 20; ++second) ring.remove_expired(now += Duration(1));
+    ring.add(1007, address(7), zone(7));
+    ring.disconnect(7, address(7));  // its old link, late
+    for (int second = 0; second < 90; ++second) ring.remove_expired(now += Duration(1));
     CPPUNIT_ASSERT(version == ring.version() && before == known());
-    ring.went(1007, address(7));
-    for (int second = 0; second < 90; ++second) ring.forget(now += Duration(1));
+    ring.disconnect(1007, address(7));
+    for (int second = 0; second < 90; ++second) ring.remove_expired(now += Duration(1));
     auto after = known();
     int changed = 0;
     for (std::size_t i = 0; i < 300; ++i)
@@ -252,7 +251,7 @@
   }
 
   // An older program tells no address and is told no neighbours; what it does not know it passes over.
-  void programsOfTwoEditionsUnderstandEachOther() {
+  void olderProgramsGetNoNeighbours() {
     fanes::Packer older;
     older.array(8);
     older.number(2);
@@ -265,19 +264,19 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), hello.address);
     CPPUNIT_ASSERT_EQUAL(std::string("z"), hello.zone);
     vazzoler::View view;
-    sennes::Followers followers(view);
+    control_plane::Followers followers(view);
     Time now{Duration(50)};
     followers.open(now, 2, true);
     followers.add(now, {});
-    std::map<sennes::LinkId, int> told;
-    for (sennes::LinkId link = 1; link <= 20; ++link) {
+    std::map<control_plane::LinkId, int> told;
+    for (control_plane::LinkId link = 1; link <= 20; ++link) {
       hello.life = link;
       hello.address = link == 1 ? "" : "e" + std::to_string(link);
       followers.on_hello(now, link, hello);
     }
     auto run = [&] {
       for (int i = 0; i < 30; ++i, now += Duration(0.1))
-        for (const sennes::ToLink& out : followers.take_out(now))
+        for (const control_plane::LinkFrame& out : followers.take_frames(now))
           told[out.link] += std::holds_alternative<fanes::Neighbours>(*fanes::unpack(out.bytes));
     };
     run();
@@ -293,6 +292,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(NeighboursTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(NeighbourDiscoveryTest);
 
 }  // namespace pearspar
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -9,10 +9,10 @@
 #include "averau/config.h"
 #include "averau/nodes.h"
 #include "coldai/settings.h"
+#include "control_plane/replicated_state.h"
 #include "fanes/agreement.h"
 #include "fanes/messages.h"
 #include "folder.h"
-#include "sennes/state.h"
 #include "storage/lmdb_store.h"
 #include "vazzoler/view.h"
 
@@ -355,13 +355,14 @@
   }
 
   void aChangeThatDoesNotFollowChangesNothing() {
-    sennes::State state;
+    control_plane::ReplicatedState state;
     auto apply = [&](averau::Edition base, const std::string& text) {
       raft::Entry change;
       change.kind = raft::EntryKind::change;
       averau::Fault fault;
       auto read = averau::read_configuration(text, fault);
-      change.data = sennes::State::change(base, read->edition, sennes::digest_of(text), text);
+      change.data = control_plane::ReplicatedState::encode_change(base, read->edition,
+                                                                  control_plane::digest_of(text), text);
       state.apply(change);
     };
     apply(0, good_config);
@@ -370,11 +371,11 @@
     apply(7, with(good_config, "\"edition\":7", "\"edition\":6"));
     CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, state.edition());
     CPPUNIT_ASSERT_EQUAL(good_config, state.text());
-    sennes::State other;
+    control_plane::ReplicatedState other;
     other.restore(state.fold());
     CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, other.edition());
-    CPPUNIT_ASSERT(other.took(7, sennes::digest_of(good_config)));
-    CPPUNIT_ASSERT(!other.took(7, sennes::digest_of(good_config + " ")));
+    CPPUNIT_ASSERT(other.has_applied(7, control_plane::digest_of(good_config)));
+    CPPUNIT_ASSERT(!other.has_applied(7, control_plane::digest_of(good_config + " ")));
   }
 };
 
--- a/tests/system/state_test.cpp
+++ b/tests/system/replicated_state_test.cpp
@@ -7,11 +7,11 @@
 #include <random>
 
 #include "biella/disk.h"
+#include "control_plane/member.h"
 #include "fanes/allowance.h"
 #include "fanes/pack.h"
-#include "sennes/member.h"
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 namespace {
 
 using namespace std::chrono_literals;
@@ -44,7 +44,7 @@
   return made;
 }
 raft::Entry change(averau::Edition base, averau::Edition edition, const std::string& text) {
-  return entry(State::change(base, edition, digest_of(text), text));
+  return entry(ReplicatedState::encode_change(base, edition, digest_of(text), text));
 }
 raft::Entry steps(std::uint64_t number, std::uint64_t wanted, pramperet::Window turn = 0) {
   std::vector<fanes::AllowanceStep> made;
@@ -55,7 +55,7 @@
   ask.window = 1;
   ask.wants.push_back({{"f", "pull"}, wanted});
   made.push_back(ask);
-  return entry(State::allowance(fanes::pack_steps(made)));
+  return entry(ReplicatedState::encode_quota_commands(fanes::pack_steps(made)));
 }
 
 std::string bytes_of(std::string_view hex) {
@@ -96,14 +96,14 @@
 
   biella::World world;
   std::function<bool(int from, int to, const fanes::Message&)> passes;  // unset: all do
-  std::function<State::Reader(int)> reader;
+  std::function<ReplicatedState::ConfigurationParser(int)> reader;
   struct Answer {
     int status = 0;
     double after = 0;
     int count = 0;
     std::string body;
   };
-  std::map<Asker, Answer> answers;
+  std::map<CallerId, Answer> answers;
 
   void start(int i, bool first = false) {
     Seat& seat = seats_[static_cast<std::size_t>(i)];
@@ -114,11 +114,11 @@
     options.founders = options.seeds = {address(0), address(1), address(2)};
     options.first_start = first;
     options.fresh_id = options.seed = world.number() | 1;
-    OfficeOptions office;
-    office.inner_address = options.address;
-    office.life = options.seed;
-    if (reader) office.read = reader(i);
-    seat.member = std::make_unique<Member>(seat.wire, seat.disk, options, office);
+    ControllerOptions controller;
+    controller.inner_address = options.address;
+    controller.life = options.seed;
+    if (reader) controller.parse_configuration = reader(i);
+    seat.member = std::make_unique<Member>(seat.wire, seat.disk, options, controller);
     CPPUNIT_ASSERT(!seat.member->start(world.now()));
     for (int other = 0; other < 3; ++other)
       if (other != i && up(other)) {
@@ -141,7 +141,7 @@
   Member& member(int i) { return *seats_[static_cast<std::size_t>(i)].member; }
   int leader() {
     for (int i = 0; i < 3; ++i)
-      if (up(i) && member(i).core().may_speak(world.now()) && member(i).office().in_office()) return i;
+      if (up(i) && member(i).core().may_speak(world.now()) && member(i).controller().is_active()) return i;
     return -1;
   }
   int wait_for_leader() {
@@ -155,10 +155,10 @@
     Seat& seat = seats_[static_cast<std::size_t>(i)];
     if (!seat.member || world.now() < seat.frozen) return;
     for (Reply& reply : seat.member->advance([this] { return world.now(); })) {
-      Answer& answer = answers[reply.asker];
+      Answer& answer = answers[reply.caller];
       answer.status = reply.status;
       answer.body = reply.body;
-      answer.after = (world.now() - asked_[reply.asker]).count();
+      answer.after = (world.now() - asked_[reply.caller]).count();
       ++answer.count;
     }
   }
@@ -168,20 +168,20 @@
       for (int i = 0; i < 3; ++i) advance(i);
     }
   }
-  Asker call(int i, const std::string& method, const std::string& path, const std::string& match = "",
-             const std::string& body = "") {
+  CallerId call(int i, const std::string& method, const std::string& path, const std::string& match = "",
+                const std::string& body = "") {
     asked_[++next_] = world.now();
     if (up(i)) member(i).call(world.now(), next_, method, path, match, body);
     advance(i);
     return next_;
   }
-  Asker order(int i, averau::Edition base, const std::string& text) {
+  CallerId order(int i, averau::Edition base, const std::string& text) {
     return call(i, "PUT", "/pearspar/config", std::to_string(base), text);
   }
-  int status(Asker asker) { return answers.count(asker) ? answers[asker].status : 0; }
-  int wait(Asker asker) {
-    for (int i = 0; i < 400 && status(asker) == 0; ++i) run(0.005);
-    return status(asker);
+  int status(CallerId caller) { return answers.count(caller) ? answers[caller].status : 0; }
+  int wait(CallerId caller) {
+    for (int i = 0; i < 400 && status(caller) == 0; ++i) run(0.005);
+    return status(caller);
   }
   // Until there is a clear answer.
   int settle(averau::Edition base, const std::string& text) {
@@ -229,80 +229,82 @@
     Time frozen{};
   };
   Seat seats_[3] = {Seat(world), Seat(world), Seat(world)};
-  Asker next_ = 0;
-  std::map<Asker, Time> asked_;
+  CallerId next_ = 0;
+  std::map<CallerId, Time> asked_;
 };
 
 }  // namespace
 
-class StateTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(StateTest);
-  CPPUNIT_TEST(whatWasTakenIsKnownForAWeek);
-  CPPUNIT_TEST(anOlderProgramsSnapshotAndEntryAreRead);
-  CPPUNIT_TEST(anOlderProgramReadsWhatWeWrite);
-  CPPUNIT_TEST(programsOfTwoEditionsFoldOneLogToOneState);
-  CPPUNIT_TEST(whatCannotBeFoldedIsBounded);
-  CPPUNIT_TEST(whoCannotReadWhatWasTakenDoesNotLead);
-  CPPUNIT_TEST(callsHaveRoomByCountAndByBytes);
-  CPPUNIT_TEST(anAnswerMeetsItsOwnCallOnly);
-  CPPUNIT_TEST(aLateAnswerToAnEarlierLifeMeetsNobody);
+class ReplicatedStateTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ReplicatedStateTest);
+  CPPUNIT_TEST(historyKeepsTwentyThousandChanges);
+  CPPUNIT_TEST(olderSnapshotAndEntryAreReadable);
+  CPPUNIT_TEST(snapshotIsReadableByOlderProgram);
+  CPPUNIT_TEST(mixedProgramVersionsReachTheSameState);
+  CPPUNIT_TEST(unappliedEntriesAreBounded);
+  CPPUNIT_TEST(memberThatCannotReadConfigurationDoesNotLead);
+  CPPUNIT_TEST(callLimiterBoundsCountAndBytes);
+  CPPUNIT_TEST(answerCompletesOnlyItsOwnCall);
+  CPPUNIT_TEST(answerToEarlierIncarnationIsIgnored);
   CPPUNIT_TEST(everyCallIsAnsweredOnceWithinASecond);
-  CPPUNIT_TEST(whatIsOverItsTimeIsNotTakenUp);
-  CPPUNIT_TEST(anOrderOnAnEditionToComeWaitsAndIsNeverRefused);
-  CPPUNIT_TEST(aCallGoesToTheNextLeader);
-  CPPUNIT_TEST(eightOrdersUnderWayAreAllTaken);
-  CPPUNIT_TEST(whoIsCutOffTellsNothingOldAndRefusesNothing);
-  CPPUNIT_TEST(nothingIsToldBeforeAnEntryOfTheOwnTerm);
-  CPPUNIT_TEST(anOrderIsTakenAgainAfterTenThousandOthers);
-  CPPUNIT_TEST(ofTwoUnderOneNumberOneIsTakenForEver);
-  CPPUNIT_TEST(aCallThatALinkLosesIsSentAgain);
+  CPPUNIT_TEST(expiredCallsAreNotExecuted);
+  CPPUNIT_TEST(changeOnFutureBaseWaits);
+  CPPUNIT_TEST(undeliveredCallIsForwardedToTheNextLeader);
+  CPPUNIT_TEST(eightConcurrentChangesAreAllApplied);
+  CPPUNIT_TEST(partitionedLeaderServesNoStaleReads);
+  CPPUNIT_TEST(newLeaderServesOnlyAfterItsFirstCommit);
+  CPPUNIT_TEST(changeIsAcknowledgedAfterTenThousandOthers);
+  CPPUNIT_TEST(oneOfTwoChangesWithTheSameNumberWins);
+  CPPUNIT_TEST(callLostWithItsLinkIsResent);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void whatWasTakenIsKnownForAWeek() {
-    State state;
+  void historyKeepsTwentyThousandChanges() {
+    ReplicatedState state;
     constexpr averau::Edition changes = 23000;
     std::string text;
     for (averau::Edition e = 1; e <= changes; ++e) {
       text = plain(3 * e);
       state.apply(change(3 * (e - 1), 3 * e, text));
     }
-    State other;
+    ReplicatedState other;
     other.restore(state.fold());
     CPPUNIT_ASSERT_EQUAL(state.fold(), other.fold());
     // 20,000 at 24 bytes, and the text.
     CPPUNIT_ASSERT(state.fold().size() < 500'000);
-    for (const State* each : {&state, &other}) {
+    for (const ReplicatedState* each : {&state, &other}) {
       CPPUNIT_ASSERT_EQUAL(3 * changes, each->edition());
-      CPPUNIT_ASSERT_EQUAL(Taken::most, each->taken().size());
+      CPPUNIT_ASSERT_EQUAL(ChangeHistory::max_entries, each->history().size());
       auto word = [&](averau::Edition edition, const std::string& sent) {
-        return each->taken().word(edition, digest_of(sent));
+        return each->history().status(edition, digest_of(sent));
       };
       for (averau::Edition back : {0u, 1u, 511u, 512u, 10'000u, 16'100u, 19'999u}) {
         averau::Edition edition = 3 * (changes - back);
-        CPPUNIT_ASSERT(word(edition, plain(edition)) == Taken::Word::taken);
-        CPPUNIT_ASSERT(word(edition, plain(edition, "b")) == Taken::Word::never);
-        if (back < 19'999) CPPUNIT_ASSERT(word(edition - 1, plain(edition - 1)) == Taken::Word::never);
+        CPPUNIT_ASSERT(word(edition, plain(edition)) == ChangeHistory::Status::applied);
+        CPPUNIT_ASSERT(word(edition, plain(edition, "b")) == ChangeHistory::Status::superseded);
+        if (back < 19'999)
+          CPPUNIT_ASSERT(word(edition - 1, plain(edition - 1)) == ChangeHistory::Status::superseded);
       }
-      CPPUNIT_ASSERT(word(3 * changes + 1, text) == Taken::Word::open);
+      CPPUNIT_ASSERT(word(3 * changes + 1, text) == ChangeHistory::Status::undecided);
       // Not refused: it was taken, and nobody remembers.
-      CPPUNIT_ASSERT(word(3 * (changes - 20'000), plain(3 * (changes - 20'000))) == Taken::Word::forgotten);
+      CPPUNIT_ASSERT(word(3 * (changes - 20'000), plain(3 * (changes - 20'000))) ==
+                     ChangeHistory::Status::forgotten);
     }
   }
 
-  void anOlderProgramsSnapshotAndEntryAreRead() {
-    State state;
+  void olderSnapshotAndEntryAreReadable() {
+    ReplicatedState state;
     state.restore(bytes_of(older_snapshot));
     CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, state.edition());
-    CPPUNIT_ASSERT(state.may_serve() && state.current());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.taken().size());
-    CPPUNIT_ASSERT(state.took(7, digest_of(state.text())));
+    CPPUNIT_ASSERT(state.may_serve() && state.configuration());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.history().size());
+    CPPUNIT_ASSERT(state.has_applied(7, digest_of(state.text())));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.accounts().count({"f", "pull"}).out);
     CPPUNIT_ASSERT(state.fold() == bytes_of(older_snapshot));
-    State folded;
+    ReplicatedState folded;
     folded.apply(entry(bytes_of(older_entry)));
     CPPUNIT_ASSERT_EQUAL(averau::Edition{3}, folded.edition());
-    CPPUNIT_ASSERT(state.took(3, digest_of(folded.text())));
+    CPPUNIT_ASSERT(state.has_applied(3, digest_of(folded.text())));
     // With 512 of them it may have dropped others.
     fanes::Packer packer;
     packer.array(2);
@@ -315,19 +317,19 @@
       packer.number(e);
     }
     state.restore(std::string(packer.view()));
-    CPPUNIT_ASSERT(state.taken().word(88, {88, 88}) == Taken::Word::forgotten);
-    CPPUNIT_ASSERT(state.taken().word(90, {90, 90}) == Taken::Word::taken);
+    CPPUNIT_ASSERT(state.history().status(88, {88, 88}) == ChangeHistory::Status::forgotten);
+    CPPUNIT_ASSERT(state.history().status(90, {90, 90}) == ChangeHistory::Status::applied);
   }
 
   // In the places where it looks stands what it expects: an entry's base and text; a snapshot's text, 512
   // editions at most, the accounts.
-  void anOlderProgramReadsWhatWeWrite() {
+  void snapshotIsReadableByOlderProgram() {
     const std::string written = change(4, 9, "text").data;
     fanes::Unpacker made(written);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, made.number());
     CPPUNIT_ASSERT_EQUAL(std::string("text"), made.text());
     CPPUNIT_ASSERT(made.good());
-    State state;
+    ReplicatedState state;
     for (averau::Edition e = 1; e <= 600; ++e) state.apply(change(e - 1, e, config(e)));
     for (pramperet::Window window : {0, 1}) {
       if (window > 0) state.apply(steps(1, 5, window));
@@ -348,7 +350,7 @@
     }
   }
 
-  void programsOfTwoEditionsFoldOneLogToOneState() {
+  void mixedProgramVersionsReachTheSameState() {
     const std::vector<raft::Entry> log = {change(0, 1, config(1)),
                                           steps(1, 4, 1),
                                           change(1, 2, config(2, "new")),
@@ -359,7 +361,7 @@
                                           steps(3, 30),
                                           change(4, 5, config(5)),
                                           steps(4, 9)};
-    State newer, behind(older);
+    ReplicatedState newer, behind(older);
     for (std::size_t i = 0; i < log.size(); ++i) {
       newer.apply(log[i]);
       behind.apply(log[i]);
@@ -370,7 +372,7 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(i), i != 2 && i < 5, behind.may_serve());
       if (behind.may_serve()) CPPUNIT_ASSERT_EQUAL(newer.fold(), behind.fold());
       // Over a snapshot: the older one goes on from it, and a newer one has it all.
-      State restored(older), upgraded;
+      ReplicatedState restored(older), upgraded;
       restored.restore(behind.fold());
       CPPUNIT_ASSERT_EQUAL(behind.fold(), restored.fold());
       CPPUNIT_ASSERT_EQUAL(behind.may_serve(), restored.may_serve());
@@ -381,8 +383,8 @@
     }
   }
 
-  void whatCannotBeFoldedIsBounded() {
-    State newer, behind(older);
+  void unappliedEntriesAreBounded() {
+    ReplicatedState newer, behind(older);
     auto apply = [&](const raft::Entry& each) {
       newer.apply(each);
       behind.apply(each);
@@ -393,7 +395,7 @@
     apply(change(1, 2, config(2)));
     CPPUNIT_ASSERT(behind.fold().size() < 100'000);
     // It has lost steps, knows it, and tells whoever reads its snapshot.
-    State upgraded;
+    ReplicatedState upgraded;
     upgraded.restore(behind.fold());
     CPPUNIT_ASSERT(!behind.may_serve() && !upgraded.may_serve());
     CPPUNIT_ASSERT_EQUAL(newer.text(), upgraded.text());
@@ -403,7 +405,7 @@
   }
 
   // One of three runs an older program: whatever it is asked, it is never it that leads behind such a change.
-  void whoCannotReadWhatWasTakenDoesNotLead() {
+  void memberThatCannotReadConfigurationDoesNotLead() {
     Trio trio;
     trio.wait_for_leader();
     // Whoever leads is killed, and is back when another leads.
@@ -435,8 +437,8 @@
     CPPUNIT_ASSERT_EQUAL(averau::Edition{2}, trio.member(0).state().edition());
     CPPUNIT_ASSERT(!trio.member(0).state().may_serve());
     for (int round = 0; round < 8; ++round) {
-      depose([&](int leader) { CPPUNIT_ASSERT(leader != 0 && !trio.member(0).office().in_office()); });
-      Asker read = trio.call(0, "GET", "/pearspar/config");
+      depose([&](int leader) { CPPUNIT_ASSERT(leader != 0 && !trio.member(0).controller().is_active()); });
+      CallerId read = trio.call(0, "GET", "/pearspar/config");
       int status = trio.wait(read);
       CPPUNIT_ASSERT(status == 200 ? trio.answers[read].body == config(2, "new") : status == 503);
       // What another has taken is taken, whatever this program says to the text.
@@ -457,50 +459,50 @@
     CPPUNIT_ASSERT_EQUAL(400, trio.wait(trio.order(0, 1, config(2, "new and not taken"))));
   }
 
-  void callsHaveRoomByCountAndByBytes() {
-    Room room(3, 1000);
+  void callLimiterBoundsCountAndBytes() {
+    CallLimiter limiter(3, 1000);
     {
-      std::vector<Room::Place> held;
-      for (std::size_t bytes : {400u, 500u}) held.push_back(std::move(*room.take(bytes)));
-      CPPUNIT_ASSERT(!room.take(101));
-      held.push_back(std::move(*room.take(100)));
-      CPPUNIT_ASSERT(!room.take(0));
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, room.refused());
+      std::vector<CallLimiter::Reservation> held;
+      for (std::size_t bytes : {400u, 500u}) held.push_back(std::move(*limiter.reserve(bytes)));
+      CPPUNIT_ASSERT(!limiter.reserve(101));
+      held.push_back(std::move(*limiter.reserve(100)));
+      CPPUNIT_ASSERT(!limiter.reserve(0));
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, limiter.refused());
       held[0].shrink(390);
       held.erase(held.begin() + 1);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{110}, room.bytes());
+      CPPUNIT_ASSERT_EQUAL(std::size_t{110}, limiter.bytes());
       held[0] = std::move(held[1]);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{100}, room.bytes());
+      CPPUNIT_ASSERT_EQUAL(std::size_t{100}, limiter.bytes());
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, room.calls() + room.bytes());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, limiter.calls() + limiter.bytes());
     // At a member that waits for a leader: 32 MB, whatever calls bring with them.
     Trio trio;
     std::string large(1 << 20, 'x');
-    std::vector<Asker> askers;
+    std::vector<CallerId> askers;
     for (int i = 0; i < 40; ++i) askers.push_back(trio.order(0, 0, large));
-    CPPUNIT_ASSERT(trio.member(0).office().room().bytes() <= std::size_t{32} << 20);
+    CPPUNIT_ASSERT(trio.member(0).controller().call_limiter().bytes() <= std::size_t{32} << 20);
     CPPUNIT_ASSERT(std::count_if(askers.begin(), askers.end(),
-                                 [&](Asker asker) { return trio.status(asker) == 503; }) >= 8);
-    for (Asker asker : askers) CPPUNIT_ASSERT(trio.wait(asker) != 0);
+                                 [&](CallerId caller) { return trio.status(caller) == 503; }) >= 8);
+    for (CallerId caller : askers) CPPUNIT_ASSERT(trio.wait(caller) != 0);
     trio.run(2);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, trio.member(0).office().room().bytes());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, trio.member(0).controller().call_limiter().bytes());
   }
 
-  void anAnswerMeetsItsOwnCallOnly() {
-    auto request = [](Asker asker) {
+  void answerCompletesOnlyItsOwnCall() {
+    auto request = [](CallerId caller) {
       Request made;
-      made.asker = asker;
+      made.caller = caller;
       return made;
     };
-    PassedCalls calls(0x1234567890), again(0x9876543210);
+    ForwardedCalls calls(0x1234567890), again(0x9876543210);
     std::uint64_t first = calls.add(request(1), "a"), second = calls.add(request(2), "a");
     std::uint64_t moved = calls.all().begin()->second.number;
-    CPPUNIT_ASSERT(calls.again(calls.all().begin()->second, "b"));
+    CPPUNIT_ASSERT(calls.retry(calls.all().begin()->second, "b"));
     moved = calls.all().begin()->second.number;
     CPPUNIT_ASSERT(moved != first && moved != second);
     again.add(request(9), "a");
     // number, definite, whose call it ends (0: nobody's)
-    const std::tuple<PassedCalls*, std::uint64_t, bool, Asker> cases[] = {
+    const std::tuple<ForwardedCalls*, std::uint64_t, bool, CallerId> cases[] = {
         {&again, first, true, 0},      // of an earlier life
         {&calls, first, false, 0},     // the one asked before does not know
         {&calls, moved + 1, true, 0},  // never asked
@@ -510,13 +512,13 @@
         {&calls, moved, true, 0},      // and then the other
     };
     for (const auto& [at, number, definite, whose] : cases) {
-      auto ended = at->answered(number, definite);
-      CPPUNIT_ASSERT_EQUAL(whose, ended ? ended->asker : 0);
+      auto ended = at->complete(number, definite);
+      CPPUNIT_ASSERT_EQUAL(whose, ended ? ended->caller : 0);
     }
   }
 
   // The answer to what was asked before a restart comes after it, as the same member waits for another.
-  void aLateAnswerToAnEarlierLifeMeetsNobody() {
+  void answerToEarlierIncarnationIsIgnored() {
     Trio trio;
     int follower = trio.follower(), leader = trio.leader();
     CPPUNIT_ASSERT_EQUAL(200, trio.wait(trio.order(leader, 0, config(1))));
@@ -534,11 +536,11 @@
     trio.run(0.5);
     CPPUNIT_ASSERT_EQUAL(leader, trio.leader());
     std::vector<std::string> late = std::exchange(kept, {});
-    Asker asker = trio.order(follower, 7, config(9));
+    CallerId caller = trio.order(follower, 7, config(9));
     for (const std::string& frame : late) trio.deliver(leader, follower, frame);
     trio.run(0.1);
-    CPPUNIT_ASSERT_EQUAL(0, trio.status(asker));
-    CPPUNIT_ASSERT_EQUAL(503, trio.wait(asker));
+    CPPUNIT_ASSERT_EQUAL(0, trio.status(caller));
+    CPPUNIT_ASSERT_EQUAL(503, trio.wait(caller));
   }
 
   // Links that lose and double, a leader that is frozen, killed, cut off one way: each call gets one answer,
@@ -558,7 +560,7 @@
         }
         return !call || random() % 4 != 0;
       };
-      std::vector<Asker> askers;
+      std::vector<CallerId> askers;
       averau::Edition last = 0;
       for (int round = 0; round < 60; ++round) {
         int at = static_cast<int>(random() % 3);
@@ -577,8 +579,8 @@
         }
       }
       trio.run(2);
-      for (Asker asker : askers) {
-        const auto& answer = trio.answers[asker];
+      for (CallerId caller : askers) {
+        const auto& answer = trio.answers[caller];
         if (answer.count == 0) continue;  // of the one that was killed
         CPPUNIT_ASSERT_EQUAL(1, answer.count);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(answer.after), answer.after < 0.95);
@@ -587,17 +589,17 @@
     }
   }
 
-  void whatIsOverItsTimeIsNotTakenUp() {
+  void expiredCallsAreNotExecuted() {
     // An order that waits for a leader as its member stands still for twenty seconds.
     Trio trio;
-    Asker order = trio.order(0, 0, config(1));
+    CallerId order = trio.order(0, 0, config(1));
     trio.freeze(0, 20);
     trio.run(21);
     CPPUNIT_ASSERT_EQUAL(503, trio.status(order));
     CPPUNIT_ASSERT_EQUAL(averau::Edition{0}, trio.member(trio.wait_for_leader()).state().edition());
     // An answer that comes as it wakes, and is of twenty seconds ago.
     int asked = trio.follower();
-    Asker read = trio.call(asked, "GET", "/pearspar/config");
+    CallerId read = trio.call(asked, "GET", "/pearspar/config");
     trio.freeze(asked, 20);
     trio.run(21);
     CPPUNIT_ASSERT_EQUAL(503, trio.status(read));
@@ -609,7 +611,7 @@
              agreement->index <= trio.member(leader).core().commit();
     };
     order = trio.order(leader, 0, config(1));
-    Asker same = trio.order((leader + 1) % 3, 0, config(1));
+    CallerId same = trio.order((leader + 1) % 3, 0, config(1));
     trio.run(1.1);
     CPPUNIT_ASSERT_EQUAL(503, trio.status(order));
     CPPUNIT_ASSERT_EQUAL(503, trio.status(same));
@@ -618,17 +620,17 @@
     CPPUNIT_ASSERT_EQUAL(200, trio.settle(0, config(1)));
   }
 
-  void anOrderOnAnEditionToComeWaitsAndIsNeverRefused() {
+  void changeOnFutureBaseWaits() {
     Trio trio;
     trio.wait_for_leader();
     // Three under way, each on the one before, the last comes first.
-    Asker third = trio.order(0, 4, config(6)), second = trio.order(1, 2, config(4));
+    CallerId third = trio.order(0, 4, config(6)), second = trio.order(1, 2, config(4));
     trio.run(0.3);
     CPPUNIT_ASSERT(trio.status(third) == 0 && trio.status(second) == 0);
-    Asker first = trio.order(2, 0, config(2));
+    CallerId first = trio.order(2, 0, config(2));
     trio.run(0.3);
-    for (Asker asker : {first, second, third}) CPPUNIT_ASSERT_EQUAL(200, trio.status(asker));
-    Asker early = trio.order(1, 8, config(9));
+    for (CallerId caller : {first, second, third}) CPPUNIT_ASSERT_EQUAL(200, trio.status(caller));
+    CallerId early = trio.order(1, 8, config(9));
     CPPUNIT_ASSERT_EQUAL(503, trio.wait(early));
     CPPUNIT_ASSERT(trio.answers[early].after > 0.7 && trio.answers[early].after < 0.95);
     // That one can never be in force, whatever comes.
@@ -639,13 +641,14 @@
   }
 
   // The one that it was passed to never got it, and leads no more.
-  void aCallGoesToTheNextLeader() {
+  void undeliveredCallIsForwardedToTheNextLeader() {
     Trio trio;
     int old = trio.wait_for_leader();
     trio.passes = [&](int, int to, const fanes::Message& message) {
       return to != old || !std::get_if<fanes::Call>(&message);
     };
-    Asker first = trio.order((old + 1) % 3, 0, config(1)), second = trio.order((old + 2) % 3, 0, config(1));
+    CallerId first = trio.order((old + 1) % 3, 0, config(1)),
+             second = trio.order((old + 2) % 3, 0, config(1));
     trio.run(0.1);
     trio.member(old).hand_over(trio.world.now());
     CPPUNIT_ASSERT_EQUAL(200, trio.wait(first));
@@ -653,7 +656,7 @@
   }
 
   // Each on top of the one before, at any member, in any order, answers lost, leaders changing.
-  void eightOrdersUnderWayAreAllTaken() {
+  void eightConcurrentChangesAreAllApplied() {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Trio trio(seed);
       std::mt19937_64 random(seed);
@@ -664,7 +667,7 @@
       std::vector<averau::Edition> open = {1, 2, 3, 4, 5, 6, 7, 8};
       for (int tries = 0; tries < 40 && !open.empty(); ++tries) {
         std::shuffle(open.begin(), open.end(), random);
-        std::map<averau::Edition, Asker> asked;
+        std::map<averau::Edition, CallerId> asked;
         for (averau::Edition e : open) {
           asked[e] = trio.order(static_cast<int>(random() % 3), e - 1, config(e));
           trio.run(0.002 * static_cast<double>(random() % 4), 0.002);
@@ -672,9 +675,9 @@
         if (tries % 3 == 1)
           if (int leader = trio.leader(); leader >= 0) trio.member(leader).hand_over(trio.world.now());
         trio.run(1);
-        for (const auto& [edition, asker] : asked) {
-          CPPUNIT_ASSERT(trio.status(asker) == 200 || trio.status(asker) == 503);
-          if (trio.status(asker) == 200) std::erase(open, edition);
+        for (const auto& [edition, caller] : asked) {
+          CPPUNIT_ASSERT(trio.status(caller) == 200 || trio.status(caller) == 503);
+          if (trio.status(caller) == 200) std::erase(open, edition);
         }
       }
       CPPUNIT_ASSERT(open.empty());
@@ -683,7 +686,7 @@
 
   // The leader, cut off for twenty seconds: both ways, or it hears nobody, or nobody hears it. The others go
   // on.
-  void whoIsCutOffTellsNothingOldAndRefusesNothing() {
+  void partitionedLeaderServesNoStaleReads() {
     for (int way : {0, 1, 2}) {
       Trio trio(static_cast<std::uint64_t>(way) + 1);
       int cut = trio.wait_for_leader();
@@ -693,12 +696,12 @@
       };
       averau::Edition newest = 1;
       struct Read {
-        Asker asker;
+        CallerId caller;
         averau::Edition newest;
       };
       std::vector<Read> reads;
-      std::vector<std::pair<Asker, std::string>> orders;
-      Asker other = 0;
+      std::vector<std::pair<CallerId, std::string>> orders;
+      CallerId other = 0;
       for (int i = 0; i < 200; ++i) {
         reads.push_back({trio.call(cut, "GET", "/pearspar/config"), newest});
         if (i < 160 && i % 4 == 0) {
@@ -715,9 +718,9 @@
       }
       CPPUNIT_ASSERT(newest > 50);
       trio.passes = nullptr;
-      for (const auto& [asker, text] : orders) CPPUNIT_ASSERT_EQUAL(503, trio.status(asker));
+      for (const auto& [caller, text] : orders) CPPUNIT_ASSERT_EQUAL(503, trio.status(caller));
       for (const Read& read : reads) {
-        const auto& answer = trio.answers[read.asker];
+        const auto& answer = trio.answers[read.caller];
         if (answer.count == 0) continue;  // the last ones
         CPPUNIT_ASSERT(answer.after < 0.95);
         averau::Edition told = answer.status == 200 ? averau::edition_of(answer.body) : 0;
@@ -725,15 +728,15 @@
       }
       // Back again, met by two at once, and by all that it was sent before: what it says now holds.
       double began = trio.world.now().time_since_epoch().count();
-      Asker one = trio.order(cut, newest, config(newest + 5, "one"));
-      Asker two = trio.order(cut, newest, config(newest + 5, "two"));
+      CallerId one = trio.order(cut, newest, config(newest + 5, "one"));
+      CallerId two = trio.order(cut, newest, config(newest + 5, "two"));
       trio.wait(one);
       trio.wait(two);
       CPPUNIT_ASSERT(trio.world.now().time_since_epoch().count() - began < 1.0);
       int taken = 0;
-      for (const auto& [asker, text] : orders) {
+      for (const auto& [caller, text] : orders) {
         averau::Edition edition = averau::edition_of(text);
-        bool was = trio.member(trio.wait_for_leader()).state().took(edition, digest_of(text));
+        bool was = trio.member(trio.wait_for_leader()).state().has_applied(edition, digest_of(text));
         CPPUNIT_ASSERT_EQUAL(was ? 200 : 412, trio.settle(edition - 1, text));
         taken += was;
       }
@@ -742,7 +745,7 @@
   }
 
   // A new leader whose first entry no majority has: it knows what was taken before, and does not tell.
-  void nothingIsToldBeforeAnEntryOfTheOwnTerm() {
+  void newLeaderServesOnlyAfterItsFirstCommit() {
     Trio trio;
     int old = trio.wait_for_leader();
     CPPUNIT_ASSERT_EQUAL(200, trio.settle(0, config(1)));
@@ -757,15 +760,15 @@
       trio.run(0.01);
       for (int each = 0; each < 3; ++each) {
         if (each == old || trio.member(each).core().role() != raft::Core::Role::leader) continue;
-        Asker read = trio.call(each, "GET", "/pearspar/config");
-        Asker order = trio.order(each, 0, config(5));
-        Asker taken = trio.order(each, 0, config(1));
+        CallerId read = trio.call(each, "GET", "/pearspar/config");
+        CallerId order = trio.order(each, 0, config(5));
+        CallerId taken = trio.order(each, 0, config(1));
         trio.run(1);
-        for (Asker asker : {read, order, taken}) {
-          CPPUNIT_ASSERT_EQUAL(503, trio.status(asker));
-          CPPUNIT_ASSERT(trio.answers[asker].after < 0.95);
+        for (CallerId caller : {read, order, taken}) {
+          CPPUNIT_ASSERT_EQUAL(503, trio.status(caller));
+          CPPUNIT_ASSERT(trio.answers[caller].after < 0.95);
         }
-        Asker status = trio.call(each, "GET", "/pearspar/status");
+        CallerId status = trio.call(each, "GET", "/pearspar/status");
         CPPUNIT_ASSERT(trio.answers[status].body.starts_with("{\"view\":\"local\",") &&
                        trio.answers[status].body.find("\"leads\":false") != std::string::npos);
         return;
@@ -774,16 +777,16 @@
     CPPUNIT_FAIL("nobody was elected");
   }
 
-  void anOrderIsTakenAgainAfterTenThousandOthers() {
+  void changeIsAcknowledgedAfterTenThousandOthers() {
     Trio trio;
     trio.wait_for_leader();
     const std::string first = plain(1, "first");
     CPPUNIT_ASSERT_EQUAL(200, trio.settle(0, first));
     for (averau::Edition e = 2; e <= 10'001; ++e) {
-      Asker asker = trio.order(trio.wait_for_leader(), e - 1, plain(e));
+      CallerId caller = trio.order(trio.wait_for_leader(), e - 1, plain(e));
       trio.world.run_until(trio.world.now() + Duration(0.0025));
       for (int i = 0; i < 3; ++i) trio.advance(i);
-      if (trio.status(asker) != 200) CPPUNIT_ASSERT_EQUAL(200, trio.settle(e - 1, plain(e)));
+      if (trio.status(caller) != 200) CPPUNIT_ASSERT_EQUAL(200, trio.settle(e - 1, plain(e)));
     }
     auto holds = [&] {
       for (int i = 0; i < 3; ++i) {
@@ -807,12 +810,12 @@
     for (int i = 0; i < 3; ++i) trio.start(i);
     trio.wait_for_leader();
     holds();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{10'001}, trio.member(lost).state().taken().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{10'001}, trio.member(lost).state().history().size());
   }
 
   // The same number at two members within a millisecond, answers lost, a change of leader at any moment, all
   // killed in between; sent again to any member until it is clear.
-  void ofTwoUnderOneNumberOneIsTakenForEver() {
+  void oneOfTwoChangesWithTheSameNumberWins() {
     int taken_by_second = 0;
     for (std::uint64_t seed = 1; seed <= 25; ++seed) {
       Trio trio(seed);
@@ -828,7 +831,7 @@
         averau::Edition edition = base + 1 + random() % 3;
         std::string texts[] = {config(edition, "one"), config(edition, "two")};
         int said[] = {0, 0};
-        Asker asked[2];
+        CallerId asked[2];
         for (int tries = 0; tries < 60 && (said[0] == 0 || said[1] == 0); ++tries) {
           for (int who : {0, 1}) asked[who] = trio.order(static_cast<int>(random() % 3), base, texts[who]);
           if (random() % 3 == 0 && trio.leader() >= 0) {
@@ -863,7 +866,7 @@
   }
 
   // The leader stays; the link on which a call was on its way does not.
-  void aCallThatALinkLosesIsSentAgain() {
+  void callLostWithItsLinkIsResent() {
     Trio trio;
     const int leader = trio.wait_for_leader(), follower = trio.follower();
     trio.run(0.5);
@@ -871,7 +874,7 @@
     trio.passes = [&](int from, int, const fanes::Message& message) {
       return !drops || from != follower || !std::get_if<fanes::Call>(&message);
     };
-    const Asker order = trio.order(follower, 0, config(3));
+    const CallerId order = trio.order(follower, 0, config(3));
     trio.run(0.05);
     drops = false;
     trio.renew_link(follower, leader);
@@ -881,6 +884,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(StateTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReplicatedStateTest);
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/tests/system/wire_fuzz_test.cpp
+++ b/tests/system/wire_fuzz_test.cpp
@@ -7,10 +7,10 @@
 #include <random>
 
 #include "biella/disk.h"
+#include "control_plane/member.h"
 #include "fanes/agreement.h"
 #include "fanes/allowance.h"
 #include "fanes/delta.h"
-#include "sennes/member.h"
 #include "vazzoler/follower.h"
 
 namespace pearspar {
@@ -161,7 +161,7 @@
       static_cast<void>(fanes::unpack_vote(bytes));
       static_cast<void>(fanes::unpack_steps(bytes));
       static_cast<void>(fanes::apply_delta(config(1, 9), bytes));
-      sennes::State state;
+      control_plane::ReplicatedState state;
       state.restore(bytes);
       state.apply({1, 1, raft::EntryKind::change, bytes, {}});
     }
@@ -180,10 +180,10 @@
       agreement.founders = agreement.seeds = {"a:1"};
       agreement.first_start = true;
       agreement.fresh_id = 5;
-      sennes::OfficeOptions office;
-      office.inner_address = "a:1";
-      office.life = 5;
-      sennes::Member member(wire, disk, agreement, office);
+      control_plane::ControllerOptions controller;
+      controller.inner_address = "a:1";
+      controller.life = 5;
+      control_plane::Member member(wire, disk, agreement, controller);
       CPPUNIT_ASSERT(!member.start(world.now()));
       vazzoler::Follower edge(wire, {77, "e", "z", {"a:1"}});
       edge.start(world.now());
@@ -197,7 +197,7 @@
         edge.frame(world.now(), 1, frame);
         edge.tick(world.now());
       }
-      CPPUNIT_ASSERT(member.unread() > 0 && edge.unread() > 0);
+      CPPUNIT_ASSERT(member.unreadable_frames() > 0 && edge.unread() > 0);
     }
   }
 
@@ -219,13 +219,13 @@
   void whoIsFarBehindIsToldInFramesThatRead() {
     averau::Time now{averau::Duration(50)};
     vazzoler::View view, edge;
-    sennes::Followers followers{view};
+    control_plane::Followers followers{view};
     followers.open(now, 2, true);
     followers.add(now, {});
     auto exchange = [&] {
       for (int i = 0; i < 3; ++i) {
         now += averau::Duration(0.02);
-        for (const sennes::ToLink& out : followers.take_out(now)) {
+        for (const control_plane::LinkFrame& out : followers.take_frames(now)) {
           CPPUNIT_ASSERT(out.bytes.size() <= fanes::most_frame);
           auto message = fanes::unpack(out.bytes);
           if (const auto* standing = std::get_if<fanes::Standing>(&*message)) edge.apply(now, *standing);
