--- a/src/control_plane/member.cpp
+++ b/src/control_plane/member.cpp
@@ -44,7 +44,7 @@
 void Member::call(Time now, CallerId caller, std::string_view method, std::string_view path,
                   std::string_view if_match, std::string_view body) {
   if (!started_)
-    refused_.push_back({caller, 503, error_json("the store could not be read yet")});
+    early_replies_.push_back({caller, 503, error_json("the store could not be read yet")});
   else
     controller_.call(now, caller, method, path, if_match, body);
 }
@@ -82,7 +82,7 @@
 }
 
 std::vector<Reply> Member::advance(const Clock& clock) {
-  std::vector<Reply> replies = std::exchange(refused_, {});
+  std::vector<Reply> replies = std::exchange(early_replies_, {});
   if (!started_) return replies;
   Time now = clock();
   core_.tick(now);
--- a/src/control_plane/member.h
+++ b/src/control_plane/member.h
@@ -57,7 +57,7 @@
   Controller controller_;
   bool started_ = false;
   std::map<LinkId, std::string> early_hellos_;  // received before the store was read
-  std::vector<Reply> refused_;
+  std::vector<Reply> early_replies_;
   std::vector<std::string> linked_members_;
   std::uint64_t saved_node_list_changes_ = 0;
   raft::Index saved_commit_ = 0;
