--- a/src/altavia/door.cpp
+++ b/src/altavia/door.cpp
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-Door::Door(net::Loop& loop, transport::Wire& wire, Options options)
+Door::Door(net::Loop& loop, transport::Transport& wire, Options options)
     : loop_(loop),
       front_(loop, std::move(options.warn), options.most_clients, *this, patience, first_limits),
       nodes_(loop, [this](pederu::CallId call,
@@ -130,7 +130,7 @@
     return answer(connection, std::move(final));
   }
   vandelli::Drawer drawer;
-  if (const averau::Allowances* allowances = station_.allowances()) {
+  if (const catalog::QuotaRules* allowances = station_.allowances()) {
     drawer.holder = message.header(allowances->holder_header).value_or(std::string_view());
     drawer.key = allowances->key_header.empty() ? arrival.id
                                                 : message.header(allowances->key_header).value_or(arrival.id);
@@ -155,7 +155,7 @@
 bool Door::take_configuration() {
   if (station_.routed() == routed_) return false;
   routed_ = station_.routed();
-  const averau::Limits& limits = station_.follower().view().configuration()->limits;
+  const catalog::Limits& limits = station_.follower().view().configuration()->limits;
   front_.set_bounds({pederu::from_ms(limits.header_wait_ms), patience.answer},
                     {limits.header_bytes, limits.body_bytes, lines_in(limits.header_bytes)});
   return true;
--- a/src/altavia/door.h
+++ b/src/altavia/door.h
@@ -15,12 +15,12 @@
 class Door : private clients::FrontUser {
  public:
   struct Options {
-    vazzoler::FollowerOptions follower;
+    subscription::FollowerOptions follower;
     pederu::AllowanceRules allowance;
     std::size_t most_clients = 0;
     clients::Front::Warn warn;
   };
-  Door(net::Loop& loop, transport::Wire& wire, Options options);
+  Door(net::Loop& loop, transport::Transport& wire, Options options);
 
   // Throws std::system_error where the address cannot be had.
   void start(const net::Address& address);
@@ -28,7 +28,7 @@
   void after_turn();
   // This process ends: every request that is open is answered with the end of this turn.
   void end_open() { station_.end_open(loop_.now()); }
-  // True once for each edition that requests are routed by from here on.
+  // True once for each revision that requests are routed by from here on.
   bool take_configuration();
   // To be called every second: connections that have been idle for too long.
   void sweep();
@@ -54,7 +54,7 @@
   clients::Front front_;
   upstream::NodeLinks nodes_;
   vandelli::Station station_;
-  averau::Edition routed_ = 0;                                     // edition whose limits hold
+  catalog::Revision routed_ = 0;                                   // revision whose limits hold
   std::unordered_map<std::uint64_t, net::SlotId> clients_;         // of open requests
   std::unordered_map<std::uint64_t, pederu::RequestId> requests_;  // the other way
 };
--- a/src/altavia/edge.cpp
+++ b/src/altavia/edge.cpp
@@ -21,7 +21,7 @@
 constexpr net::Duration leave_before = 700ms;
 constexpr double most_left_of_grace = 0.14;
 constexpr net::Duration answers_taken_within = 200ms;  // of what is answered then
-constexpr transport::Links::Bounds asked_by_edges{64, 1024};
+constexpr transport::TcpTransport::InboundLimits asked_by_edges{64, 1024};
 constexpr std::size_t other_files = 300;  // descriptors that are no client's
 
 std::size_t most_clients(const coldai::Settings& settings) {
@@ -96,7 +96,7 @@
   if (!door_.take_configuration()) return;
   const auto& configuration = door_.station().follower().view().configuration();
   log(Level::info, "configuration",
-      {{"edition", configuration->edition}, {"routes", configuration->routes.size()}});
+      {{"edition", configuration->revision}, {"routes", configuration->routes.size()}});
 }
 
 void Edge::each_second() {
@@ -141,7 +141,7 @@
     door_.after_turn();
   }
   if (door_.front().busy() > 0 && loop_.now() < answers_taken_by_) return;
-  door_.station().follower().farewell();
+  door_.station().follower().send_goodbye();
   ended_ = true;
 }
 
@@ -197,7 +197,8 @@
       {"altavia_link_bytes", "held for links to other processes", n(links_.held_bytes())},
       {"altavia_links_closed_for_memory_total", "links cut off since their bytes had reached their bound",
        n(links_.closed_for_memory())},
-      {"altavia_unread_total", "frames that could not be read", n(door_.station().follower().unread())},
+      {"altavia_unread_total", "frames that could not be read",
+       n(door_.station().follower().unreadable_frames())},
       {"altavia_log_lines_dropped_total", "lines that would have waited, or were too many",
        n(logging::dropped_lines())},
       {"altavia_cancelled_total", "calls ended since their client had left", n(desk.cancelled)},
@@ -205,9 +206,9 @@
       {"altavia_violations_total", "of invariants; never to be more than none", n(invariants::violations())},
       {"altavia_open", "requests under way", n(door_.station().desk().open())},
       {"altavia_coverage", "share of the weight that is asked", door_.station().desk().coverage()},
-      {"altavia_edition", "configuration in force", n(door_.station().follower().view().edition())},
+      {"altavia_edition", "configuration in force", n(door_.station().follower().view().revision())},
       {"altavia_nodes", "nodes known", n(door_.station().follower().view().nodes().all().size())},
-      {"altavia_edges", "edges that hold a lease", n(door_.station().follower().view().edges())},
+      {"altavia_edges", "edges that hold a lease", n(door_.station().follower().view().edge_count())},
       {"altavia_ready", "whether it takes clients", ready() ? 1.0 : 0.0},
   };
 }
--- a/src/altavia/edge.h
+++ b/src/altavia/edge.h
@@ -10,11 +10,11 @@
 #include "coldai/settings.h"
 #include "metrics/metrics.h"
 #include "net/loop.h"
-#include "transport/links.h"
+#include "transport/tcp_transport.h"
 
 namespace pearspar::altavia {
 
-class Edge : private transport::LinksUser, private clients::FrontUser {
+class Edge : private transport::TransportHandler, private clients::FrontUser {
  public:
   // Throws std::system_error where an address cannot be had.
   Edge(net::Loop& loop, const coldai::Settings& settings, std::uint64_t life);
@@ -51,7 +51,7 @@
   net::Loop& loop_;
   coldai::Settings settings_;
   clients::Front check_;
-  transport::Links links_;
+  transport::TcpTransport links_;
   Door door_;
   net::Timer second_;
   net::Timer due_;
--- a/src/altavia/member.cpp
+++ b/src/altavia/member.cpp
@@ -37,7 +37,7 @@
   options.pool = {settings.retry_slack, net::Duration(settings.retry_window_s)};
   options.inner_address = settings.inner_address();
   options.control_address = settings.control_port;
-  options.life = seed;
+  options.incarnation = seed;
   options.name = settings.node_name;
   options.zone = settings.zone;
   options.beat = sennes::Duration(settings.beat_ms / 1000);
@@ -84,7 +84,7 @@
       {{"id", core.self()},
        {"term", core.term()},
        {"last", core.log().last()},
-       {"edition", member_.state().edition()},
+       {"edition", member_.state().revision()},
        {"voter", core.log().membership().has(core.self())}});
 }
 
@@ -144,7 +144,7 @@
        n(core.counters().refused_snapshots)},
       {"altavia_agreement_refused_total", "words that break the agreement's rules",
        n(core.counters().refused_messages)},
-      {"altavia_edition", "newest configuration", n(member_.state().edition())},
+      {"altavia_edition", "newest configuration", n(member_.state().revision())},
       {"altavia_configuration_unread", "whether this program cannot read what was taken, and leads no more",
        member_.state().may_serve() ? 0.0 : 1.0},
       {"altavia_calls_held", "control calls not answered yet", n(member_.office().room().calls())},
@@ -185,14 +185,14 @@
   bool unread = member_.started() && !member_.state().may_serve();
   if (unread != unread_)
     log(unread ? Level::error : Level::info, unread ? "configuration_not_read" : "configuration_read",
-        {{"edition", member_.state().edition()}, {"why", member_.state().fault()}});
+        {{"edition", member_.state().revision()}, {"why", member_.state().fault()}});
   unread_ = unread;
   bool leads = member_.office().in_office();
   if (leads == led_) return;
   led_ = leads;
   log(Level::info, leads ? "leads" : "leads_no_more",
       {{"term", member_.core().term()},
-       {"edition", member_.state().edition()},
+       {"edition", member_.state().revision()},
        {"nodes", member_.office().view().nodes().all().size()}});
 }
 
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -11,11 +11,11 @@
 #include "net/loop.h"
 #include "sennes/member.h"
 #include "storage/lmdb_store.h"
-#include "transport/links.h"
+#include "transport/tcp_transport.h"
 
 namespace pearspar::altavia {
 
-class Member : private clients::FrontUser, private transport::LinksUser {
+class Member : private clients::FrontUser, private transport::TransportHandler {
  public:
   // Throws std::system_error where an address cannot be had.
   Member(net::Loop& loop, const coldai::Settings& settings, std::uint64_t seed);
@@ -50,7 +50,7 @@
   net::Loop& loop_;
   coldai::Settings settings_;
   clients::Front front_;
-  transport::Links links_;
+  transport::TcpTransport links_;
   storage::LmdbStore store_;
   sennes::Member member_;
   net::Time start_again_{};
--- a/src/biella/allowance_explore.cpp
+++ b/src/biella/allowance_explore.cpp
@@ -8,8 +8,8 @@
 #include <set>
 #include <unordered_set>
 
-#include "fanes/pack.h"
 #include "pramperet/purse.h"
+#include "protocol/pack.h"
 
 namespace pearspar::biella {
 namespace {
@@ -54,10 +54,10 @@
 class Search {
  public:
   explicit Search(const AllowanceExploreOptions& options) : options_(options) {
-    auto rules = std::make_shared<averau::Allowances>();
+    auto rules = std::make_shared<catalog::QuotaRules>();
     rules->window_ms = 3.6e6;
     rules->accounts.push_back({leaf.holder, leaf.kind, static_cast<std::uint64_t>(options.limit), false});
-    rules->places[leaf.holder + '\n' + leaf.kind] = 0;
+    rules->account_index[leaf.holder + '\n' + leaf.kind] = 0;
     rules_ = std::move(rules);
   }
 
@@ -89,7 +89,7 @@
   }
 
   std::string describe(const State& state) const {
-    fanes::Packer packer;
+    protocol::Packer packer;
     state.accounts.fold(packer);
     std::string out(packer.view());
     auto put = [&](std::uint64_t value) { out += std::to_string(value) + ','; };
@@ -246,7 +246,7 @@
   }
 
   AllowanceExploreOptions options_;
-  std::shared_ptr<const averau::Allowances> rules_;
+  std::shared_ptr<const catalog::QuotaRules> rules_;
   std::deque<Seen> queue_;
   std::unordered_set<std::string> seen_;
   AllowanceExplored found_;
--- a/src/biella/cluster.cpp
+++ b/src/biella/cluster.cpp
@@ -14,8 +14,8 @@
   checker_.retry_ratio = options.retry_ratio;
   checker_.retry_slack = options.retry_slack;
   for (int i = 0; i < options.shards; ++i) shards_.push_back("shard" + std::to_string(i));
-  depots_ = shards_;
-  depots_.push_back("plain");
+  services_ = shards_;
+  services_.push_back("plain");
   for (int i = 0; i < options.cores; ++i) {
     cores_.push_back(std::make_unique<Core>(world_));
     equip(*cores_.back());
@@ -35,10 +35,10 @@
     edges_.back()->place = static_cast<std::size_t>(i);
     start_edge(*edges_.back());
   }
-  for (const std::string& depot : depots_) {
-    int count = depot == "plain" ? options.plain_nodes : options.nodes_per_shard;
+  for (const std::string& service : services_) {
+    int count = service == "plain" ? options.plain_nodes : options.nodes_per_shard;
     for (int i = 0; i < count; ++i) {
-      Node* node = &add_node(depot);
+      Node* node = &add_node(service);
       world_.in(Duration(world_.uniform(0, 1)), [this, node] { start_node(*node); });
     }
   }
@@ -79,7 +79,7 @@
 }
 std::string Cluster::core_address(std::size_t core) const { return cores_[core]->address; }
 std::string Cluster::edge_address(std::size_t edge) const { return edges_[edge]->address; }
-const vazzoler::Follower* Cluster::follower(std::size_t edge) const {
+const subscription::Follower* Cluster::follower(std::size_t edge) const {
   return edges_[edge]->process ? &edges_[edge]->process->station.follower() : nullptr;
 }
 const pederu::Desk* Cluster::desk(std::size_t edge) const {
@@ -89,13 +89,13 @@
   return edges_[edge]->process ? &edges_[edge]->process->station : nullptr;
 }
 std::string Cluster::node_address(std::size_t node) const { return nodes_[node]->address; }
-std::string Cluster::node_depot(std::size_t node) const { return nodes_[node]->depot; }
+std::string Cluster::node_service(std::size_t node) const { return nodes_[node]->service; }
 
 void Cluster::check_settled() {
   if (leader() < 0) checker_.broken("ACKS", "nobody leads long after everything was mended");
   for (auto& edge : edges_) {
     if (!edge->process) continue;
-    checker_.settled(edge->name, edge->process->station.follower().view().edition());
+    checker_.settled(edge->name, edge->process->station.follower().view().revision());
     for (auto& node : nodes_)
       if (node->up && !node->closing && !edge->process->station.follower().view().nodes().find(node->id))
         checker_.broken("LIST", edge->name + " does not know " + node->id);
--- a/src/biella/cluster.h
+++ b/src/biella/cluster.h
@@ -19,8 +19,8 @@
 #include "biella/strikes.h"
 #include "pederu/desk.h"
 #include "sennes/member.h"
+#include "subscription/follower.h"
 #include "vandelli/station.h"
-#include "vazzoler/follower.h"
 
 namespace pearspar::altavia {
 class Door;
@@ -126,7 +126,7 @@
   std::size_t edges() const { return edges_.size(); }
   void kill_edge(std::size_t edge, double back_s);
   void freeze_edge(std::size_t edge, double for_s);
-  const vazzoler::Follower* follower(std::size_t edge) const;
+  const subscription::Follower* follower(std::size_t edge) const;
   const pederu::Desk* desk(std::size_t edge) const;
   std::string edge_address(std::size_t edge) const;
 
@@ -136,7 +136,7 @@
   void leave_node(std::size_t node, double back_s);
   // Its next call goes to that member.
   void send_node_to(std::size_t node, std::size_t core);
-  std::string node_depot(std::size_t node) const;
+  std::string node_service(std::size_t node) const;
   std::string node_address(std::size_t node) const;
 
   // The HTTP sides' troubles, with `http`.
@@ -152,7 +152,7 @@
   const std::map<std::string, Heard>& heard() const { return heard_; }
   const altavia::Door* door(std::size_t edge) const;
 
-  // An operator's change on top of the newest edition it has seen; told to any member, again until it is
+  // An operator's change on top of the newest revision it has seen; told to any member, again until it is
   // clear.
   void change(int operator_number);
   void read_back();
@@ -160,7 +160,7 @@
   struct Order {
     int author = 0;
     std::uint64_t on_top_of = 0;
-    std::uint64_t edition = 0;
+    std::uint64_t revision = 0;
     int first = -1;           // whom it goes to first; -1 = any
     bool only_there = false;  // and again and again
     double every_s = 0;       // asked again so often; 0 = with a pause that grows
@@ -200,8 +200,8 @@
   const Auditor& auditor() const { return auditor_; }
   std::vector<std::string> audit(const std::vector<Auditor::Limit>& limits, bool exactly) const;
   const vandelli::Station* station(std::size_t edge) const;
-  // Told whenever an edge routes by another edition.
-  std::function<void(std::size_t edge, std::uint64_t edition)> edge_told = [](std::size_t, std::uint64_t) {};
+  // Told whenever an edge routes by another revision.
+  std::function<void(std::size_t edge, std::uint64_t revision)> edge_told = [](std::size_t, std::uint64_t) {};
   std::vector<std::string> seeds() const;
   bool edge_in_touch() const;
   // After everything was mended: what must be so a while later.
@@ -223,14 +223,14 @@
   void equip(Core& core);
   void lay_ballast();
   void start_edge(Edge& edge);
-  Node& add_node(const std::string& depot);
+  Node& add_node(const std::string& service);
   void start_node(Node& node);
   Reach reach(const std::string& address);
   void beat(Node& node);
   void call(std::string from, std::size_t core, std::string method, std::string path, std::string if_match,
             std::string body, Answer answer);
   std::size_t member_to_ask();
-  std::string configuration(std::uint64_t edition, int author) const;
+  std::string configuration(std::uint64_t revision, int author) const;
   std::shared_ptr<Sent> make_order(const Order& order);
   void push(const std::shared_ptr<Sent>& sent);
   void answered(const std::shared_ptr<Sent>& sent, int member, int status);
@@ -274,9 +274,9 @@
   std::vector<std::unique_ptr<Operator>> operators_;
   std::unique_ptr<Clients> clients_;
   std::vector<std::string> shards_;  // as the newest change names them
-  std::vector<std::string> depots_;
+  std::vector<std::string> services_;
   std::unordered_map<std::string, std::vector<std::string>> records_;  // by stamp
-  std::unordered_map<std::string, std::string> stamp_depots_;
+  std::unordered_map<std::string, std::string> stamp_services_;
   Totals totals_;
   Auditor auditor_;
   bool retrieving_ = true;
--- a/src/biella/cluster_ballast.cpp
+++ b/src/biella/cluster_ballast.cpp
@@ -1,6 +1,6 @@
 // Large states in the rig: what members find on their disks, what it costs to move, and who holds it all.
 #include "biella/cluster_parts.h"
-#include "fanes/allowance.h"
+#include "protocol/quota_codec.h"
 
 namespace pearspar::biella {
 namespace {
@@ -25,7 +25,7 @@
   settled.window = 1;
   for (std::size_t key = 1; key <= bytes / claim_bytes; ++key) settled.keys.push_back(key << 20);
   ask.settled.push_back(std::move(settled));
-  entry.data = sennes::State::allowance(fanes::pack_steps({fanes::Turn{1}, ask}));
+  entry.data = sennes::State::allowance(protocol::pack_quota_commands({protocol::AdvanceWindow{1}, ask}));
   state.apply(entry);
   return state.fold();
 }
@@ -41,7 +41,7 @@
   net_.set_bandwidth(core.address, options_.bandwidth);
 }
 
-// Every member holds the same snapshot, in which edition 1 stands.
+// Every member holds the same snapshot, in which revision 1 stands.
 void Cluster::lay_ballast() {
   options_.allowances =
       R"({"windowMs":600000,"holderHeader":"Holder","keyHeader":"Retrieval-Key","accounts":[]})";
--- a/src/biella/cluster_core.cpp
+++ b/src/biella/cluster_core.cpp
@@ -35,7 +35,7 @@
   sennes::OfficeOptions office;
   office.inner_address = core.address;
   office.control_address = core.address;
-  office.life = number;
+  office.incarnation = number;
   office.name = core.address;
   office.beat = Duration(options_.beat_s);
   office.pool = {options_.shared_budget ? options_.retry_slack : 0, std::chrono::seconds(10)};
--- a/src/biella/cluster_edges.cpp
+++ b/src/biella/cluster_edges.cpp
@@ -58,7 +58,7 @@
 
 vandelli::Station& Cluster::Edge::Process::make_station(std::uint64_t number) {
   const ClusterOptions& options = cluster.options_;
-  vazzoler::FollowerOptions follower{number, edge.name, "z", cluster.seeds(), edge.address};
+  subscription::FollowerOptions follower{number, edge.name, "z", cluster.seeds(), edge.address};
   pederu::AllowanceRules rules{options.retry_ratio, options.retry_slack, std::chrono::seconds(10)};
   if (!options.http) {
     alone = std::make_unique<vandelli::Station>(port, follower, *this, rules);
@@ -152,7 +152,7 @@
       world.in(all.net_.delay(address, here), std::move(what));
     };
     if (node.id != addressee) return later([back] { back(pederu::Ending::misplaced, 421, {}, {}); });
-    all.checker_.request_reached(all.seconds(), node.id, node.depot, id, all.edge_in_touch());
+    all.checker_.request_reached(all.seconds(), node.id, node.service, id, all.edge_in_touch());
     auto begins = [&all, &node, id, holder, key, method, target] {
       if (!key.empty()) all.auditor_.ran(holder, id[0] == 'g' ? "sweep" : "pull", key);
       all.calls_.ran(node.id, id, method, target, "");
@@ -195,11 +195,11 @@
       checker_.broken("MIXED", id + " names a stamp of something else");
       continue;
     }
-    parts.push_back({stamp.substr(0, stamp.find('.')), stamp_depots_[stamp], known->second});
+    parts.push_back({stamp.substr(0, stamp.find('.')), stamp_services_[stamp], known->second});
   }
   std::size_t left_out = missing.empty() ? 0 : std::stoul(missing);
   if (left_out == 0) ++totals_.whole;
-  checker_.gathered(id, parts, left_out, top_records, least_share, body);
+  checker_.gathered(id, parts, left_out, top_records, min_shard_ratio, body);
 }
 
 // Whether the rules with a bound in time hold for edges now: nothing was done to the core or to them lately.
@@ -233,11 +233,11 @@
   if (!edge.process) return;
   const auto& configuration = edge.process->station.follower().view().configuration();
   if (!configuration) return;
-  for (const averau::Route& route : configuration->routes)
-    if (target.starts_with(route.prefix)) {
-      std::vector<std::string> depots = route.shards;
-      for (const averau::Share& share : route.depots) depots.push_back(share.depot);
-      checker_.request_made(seconds(), id, depots);
+  for (const catalog::Route& route : configuration->routes)
+    if (target.starts_with(route.path_prefix)) {
+      std::vector<std::string> services = route.shards;
+      for (const catalog::WeightedService& share : route.services) services.push_back(share.service);
+      checker_.request_made(seconds(), id, services);
     }
 }
 
--- a/src/biella/cluster_nodes.cpp
+++ b/src/biella/cluster_nodes.cpp
@@ -9,10 +9,10 @@
 
 }  // namespace
 
-Cluster::Node& Cluster::add_node(const std::string& depot) {
+Cluster::Node& Cluster::add_node(const std::string& service) {
   nodes_.push_back(std::make_unique<Node>());
   Node& node = *nodes_.back();
-  node.depot = depot;
+  node.service = service;
   std::size_t number = nodes_.size();
   node.address = "10.2." + std::to_string(number / 250) + "." + std::to_string(number % 250) + ":8080";
   if (options_.http) node.server = std::make_unique<NodeServer>(*this, node);
@@ -65,7 +65,7 @@
   calls_.answers(made.stamp, id, good, made.body);
   if (!good) return made;
   records_[made.stamp] = std::move(records);
-  stamp_depots_[made.stamp] = node.depot;
+  stamp_services_[made.stamp] = node.service;
   return made;
 }
 
@@ -85,7 +85,7 @@
 void Cluster::beat(Node& node) {
   std::uint64_t life = node.starts;
   std::string body =
-      "{\"depot\":\"" + node.depot + "\",\"address\":\"" + node.address +
+      "{\"depot\":\"" + node.service + "\",\"address\":\"" + node.address +
       "\",\"zoneName\":\"z\",\"edition\":\"v1\",\"slotCount\":" + std::to_string(options_.slots) +
       ",\"nodeState\":\"" + (node.closing ? "closing_out" : "at_post") +
       "\",\"coldLeftMs\":0,\"callSeq\":" + std::to_string(++node.calls) + "}";
@@ -155,14 +155,14 @@
 void Cluster::send_node_to(std::size_t node, std::size_t core) { nodes_[node]->asks = core; }
 
 void Cluster::cut_index(int shards) {
-  int from = static_cast<int>(depots_.size());
+  int from = static_cast<int>(services_.size());
   std::vector<std::string> next;
   for (int i = 0; i < shards; ++i) {
-    std::string depot = "shard" + std::to_string(from + i);
-    next.push_back(depot);
-    depots_.push_back(depot);
+    std::string service = "shard" + std::to_string(from + i);
+    next.push_back(service);
+    services_.push_back(service);
     for (int n = 0; n < options_.nodes_per_shard; ++n) {
-      start_node(add_node(depot));
+      start_node(add_node(service));
     }
   }
   world_.in(Duration(3), [this, next] {
--- a/src/biella/cluster_operators.cpp
+++ b/src/biella/cluster_operators.cpp
@@ -44,8 +44,8 @@
   return place;
 }
 
-std::string Cluster::configuration(std::uint64_t edition, int author) const {
-  std::string shards, depots, more;
+std::string Cluster::configuration(std::uint64_t revision, int author) const {
+  std::string shards, services, more;
   for (int i = 0; i < options_.more_routes; ++i)
     more += ",{\"name\":\"m" + std::to_string(i) + "\",\"hostName\":\"more.example\",\"pathPrefix\":\"/" +
             std::to_string(i) + "/\",\"lineKind\":\"safe\",\"deadlineMs\":1500,\"depot\":\"plain\"}";
@@ -54,10 +54,10 @@
                                                                    : ",\"allowanceKind\":\"" + name + "\"";
   };
   for (const std::string& shard : shards_) shards += (shards.empty() ? "\"" : ",\"") + shard + "\"";
-  for (const std::string& depot : depots_)
-    depots += (depots.empty() ? "" : ",") +
-              ("{\"name\":\"" + depot + "\",\"healthPath\":\"/health\",\"connLimit\":400}");
-  return "{\"edition\":" + std::to_string(edition) + ",\"note\":\"operator " + std::to_string(author) +
+  for (const std::string& service : services_)
+    services += (services.empty() ? "" : ",") +
+                ("{\"name\":\"" + service + "\",\"healthPath\":\"/health\",\"connLimit\":400}");
+  return "{\"edition\":" + std::to_string(revision) + ",\"note\":\"operator " + std::to_string(author) +
          ", change " + std::to_string(next_change_) + std::string(options_.fat_note, '.') +
          "\",\"postalRoutes\":[{\"name\":\"g\",\"hostName\":\"h\",\"pathPrefix\":\"/g/"
          "\",\"lineKind\":\"safe\"," +
@@ -70,7 +70,7 @@
          "{\"name\":\"u\",\"hostName\":\"h\",\"pathPrefix\":\"/u/"
          "\",\"lineKind\":\"unsafe\",\"deadlineMs\":1500," +
          "\"targetMs\":300,\"precedence\":2,\"depot\":\"plain\",\"tries\":2}" + more + "],\"depots\":[" +
-         depots + "],\"limits\":{}" +
+         services + "],\"limits\":{}" +
          (options_.allowances.empty() ? "" : ",\"allowances\":" + options_.allowances) + "}";
 }
 
@@ -81,7 +81,7 @@
   Order order;
   order.author = number;
   order.on_top_of = who.seen;
-  order.edition = who.seen + 1 + world_.below(3);
+  order.revision = who.seen + 1 + world_.below(3);
   std::shared_ptr<Sent> sent = make_order(order);
   sent->busy = &who;
   push(sent);
@@ -101,7 +101,7 @@
       call("", member, "PUT", "/pearspar/config", std::to_string(order.on_top_of), sent->text,
            [this, sent](int status, const std::string&) {
              if (status == 200 || status == 400 || status == 412)
-               checker_.change_answered(seconds(), sent->order.on_top_of, sent->order.edition, sent->text,
+               checker_.change_answered(seconds(), sent->order.on_top_of, sent->order.revision, sent->text,
                                         status);
            });
   push(sent);
@@ -117,10 +117,10 @@
   sent->order = order;
   ++next_change_;
   ++orders_open_;
-  sent->text = configuration(order.edition, order.author);
+  sent->text = configuration(order.revision, order.author);
   sent->sent = seconds();
   checker_.service_set(shards_);
-  checker_.change_sent(order.on_top_of, order.edition, sent->text);
+  checker_.change_sent(order.on_top_of, order.revision, sent->text);
   return sent;
 }
 
@@ -131,7 +131,7 @@
   std::size_t member = named ? static_cast<std::size_t>(order.first) : member_to_ask();
   if (cores_[member]->gone) member = member_to_ask();
   int number = ++sent->tries;
-  // On an edition that is not in force yet it is no proper order: its time begins when that one is.
+  // On an revision that is not in force yet it is no proper order: its time begins when that one is.
   bool proper = order.on_top_of <= checker_.newest_acknowledged();
   if (!proper) sent->sent = seconds();
   bool served = proper && core_serves(member);
@@ -157,7 +157,7 @@
   call(order.from, member, "PUT", "/pearspar/config", std::to_string(order.on_top_of), sent->text,
        [this, sent, member, served, next](int status, const std::string&) {
          if (status != 200 && status != 400 && status != 412) return next();
-         checker_.change_answered(seconds(), sent->order.on_top_of, sent->order.edition, sent->text, status);
+         checker_.change_answered(seconds(), sent->order.on_top_of, sent->order.revision, sent->text, status);
          if (sent->over) return;
          count_wait(sent, member, served);
          answered(sent, static_cast<int>(member), status);
@@ -173,8 +173,8 @@
   ++(status == 200 ? totals_.changes_taken : totals_.changes_refused);
   Operator& who = *operators_[static_cast<std::size_t>(sent->order.author)];
   if (sent->busy) sent->busy->busy = false;
-  if (status == 200) who.seen = std::max(who.seen, sent->order.edition);
-  // Another has won: its edition is looked up before the next.
+  if (status == 200) who.seen = std::max(who.seen, sent->order.revision);
+  // Another has won: its revision is looked up before the next.
   if (status != 200) read_back();
   order_ended(member, status);
 }
@@ -217,12 +217,12 @@
          if (status == 404) checker_.read_nothing(began);
          if (status != 200) return;
          std::string number = between(body, "\"edition\":", ",");
-         std::uint64_t edition = 0;
-         auto [stop, error] = std::from_chars(number.data(), number.data() + number.size(), edition);
+         std::uint64_t revision = 0;
+         auto [stop, error] = std::from_chars(number.data(), number.data() + number.size(), revision);
          if (error != std::errc() || stop != number.data() + number.size())
            return;  // the judge of answers has seen it
-         checker_.read(began, seconds(), edition, body);
-         for (auto& who : operators_) who->seen = std::max(who->seen, edition);
+         checker_.read(began, seconds(), revision, body);
+         for (auto& who : operators_) who->seen = std::max(who->seen, revision);
        });
 }
 
--- a/src/biella/cluster_parts.h
+++ b/src/biella/cluster_parts.h
@@ -13,7 +13,7 @@
 namespace pearspar::biella {
 
 constexpr std::size_t top_records = 20;
-constexpr double least_share = 0.5;
+constexpr double min_shard_ratio = 0.5;
 
 std::string between(const std::string& text, const std::string& from, const std::string& to);
 
@@ -71,7 +71,7 @@
     Answer answer;
     Checker::Call call;
   };
-  struct Process : transport::LinksUser {
+  struct Process : transport::TransportHandler {
     Life life;
     Port port;
     std::unique_ptr<sennes::Member> member;
@@ -115,7 +115,7 @@
   std::string door;  // where clients connect, with `http`
   std::size_t place = 0;
   std::uint64_t starts = 0;
-  struct Process : transport::LinksUser, pederu::Calls {
+  struct Process : transport::TransportHandler, pederu::Calls {
     Cluster& cluster;
     Edge& edge;
     Life life;
@@ -131,7 +131,7 @@
     std::unique_ptr<Service> service;
     std::unique_ptr<vandelli::Station> alone;
     vandelli::Station& station;
-    averau::Edition routed = 0;
+    catalog::Revision routed = 0;
     Time wake{};
     bool woken = false;
     std::unordered_map<std::uint64_t, std::string> open;  // request -> its id
@@ -167,7 +167,7 @@
 };
 
 struct Cluster::Node {
-  std::string depot;
+  std::string service;
   std::string address;
   std::string id;
   std::uint64_t starts = 0;
@@ -185,7 +185,7 @@
 
 struct Cluster::Operator {
   int number = 0;
-  std::uint64_t seen = 0;  // newest edition it knows of
+  std::uint64_t seen = 0;  // newest revision it knows of
   bool busy = false;
 };
 
--- a/src/biella/explore_space.cpp
+++ b/src/biella/explore_space.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "biella/explore_probe.h"
-#include "fanes/agreement.h"
+#include "protocol/raft_codec.h"
 
 namespace pearspar::biella {
 
@@ -88,10 +88,10 @@
 }
 
 std::uint32_t Space::number(std::size_t to, Message&& message) {
-  fanes::Packer packer;
+  protocol::Packer packer;
   packer.array(2);
   packer.number(to);
-  fanes::pack(packer, message);
+  protocol::pack(packer, message);
   Digest digest = digest_of(packer.view());
   return letters_.number(digest, Letter{static_cast<std::uint8_t>(to), std::move(message)});
 }
--- a/src/biella/net.cpp
+++ b/src/biella/net.cpp
@@ -4,14 +4,14 @@
 
 namespace pearspar::biella {
 
-Port::Port(Net& net, std::string address, transport::LinksUser& user)
+Port::Port(Net& net, std::string address, transport::TransportHandler& user)
     : net_(net), address_(std::move(address)), user_(user) {
   net_.ports_[address_] = this;
 }
 
 Port::~Port() { net_.end(*this, true); }
 
-void Port::keep(const std::vector<std::string>& addresses) {
+void Port::set_targets(const std::vector<std::string>& addresses) {
   for (auto it = dials_.begin(); it != dials_.end();) {
     if (std::find(addresses.begin(), addresses.end(), it->first) != addresses.end()) {
       ++it;
--- a/src/biella/net.h
+++ b/src/biella/net.h
@@ -1,7 +1,8 @@
 // Links between processes in the simulation, as TCP gives them: in order, with delay; behind a cut they hang
 // and end when what was sent was not acknowledged in time; a process that is killed resets them, one that
 // loses its power says nothing. Where machines have a bandwidth, what they send waits for its turn on the way
-// out, and what they get on the way in. A link holds so much as transport::Links does, and ends beyond.
+// out, and what they get on the way in. A link holds so much as transport::TcpTransport does, and ends
+// beyond.
 #pragma once
 
 #include <deque>
@@ -14,19 +15,19 @@
 #include <vector>
 
 #include "biella/world.h"
-#include "transport/wire.h"
+#include "transport/transport.h"
 
 namespace pearspar::biella {
 
 class Net;
 
 // One life of a process, as the net sees it.
-class Port : public transport::Wire {
+class Port : public transport::Transport {
  public:
-  Port(Net& net, std::string address, transport::LinksUser& user);
+  Port(Net& net, std::string address, transport::TransportHandler& user);
   ~Port() override;
 
-  void keep(const std::vector<std::string>& addresses) override;
+  void set_targets(const std::vector<std::string>& addresses) override;
   bool send_to(const std::string& address, std::string_view frame) override;
   bool send(transport::LinkId link, std::string_view frame) override;
 
@@ -50,7 +51,7 @@
 
   Net& net_;
   std::string address_;
-  transport::LinksUser& user_;
+  transport::TransportHandler& user_;
   std::map<std::string, Dial> dials_;
 };
 
@@ -140,7 +141,7 @@
   static constexpr Duration silence{1.2};
   static constexpr double again_s = 0.2;
   static constexpr double chunk = 16 << 10;          // bytes that a link sends in its turn
-  static constexpr std::size_t most_held = 8 << 20;  // as transport::Links
+  static constexpr std::size_t most_held = 8 << 20;  // as transport::TcpTransport
   Duration resent() { return Duration(loss_ > 0 && world_.chance(loss_) ? 0.2 : 0); }
 
   double loss_ = 0;
--- a/src/biella/schedule.cpp
+++ b/src/biella/schedule.cpp
@@ -206,7 +206,7 @@
   };
   Cluster::Order order;
   order.on_top_of = std::max(cluster.newest_seen(0), cluster.newest_seen(1));
-  order.edition = order.on_top_of + 1;
+  order.revision = order.on_top_of + 1;
   order.first = static_cast<int>(place);
   order.only_there = true;
   order.every_s = 0.02;
--- a/src/biella/schedule_orders.cpp
+++ b/src/biella/schedule_orders.cpp
@@ -23,7 +23,7 @@
   auto send = [this, order, way, place]() mutable {
     if (way == 0 || way == 2) {
       order.on_top_of = cluster_.newest_seen(order.author);
-      order.edition = order.on_top_of + 1 + world_.below(3);
+      order.revision = order.on_top_of + 1 + world_.below(3);
       order.only_there = way == 2;
       order.every_s = way == 2 ? world_.uniform(0.05, 0.3) : 0;
       cluster_.order(order);
@@ -40,12 +40,12 @@
 void Player::race(int count, int first, bool again) {
   std::uint64_t newest = 0;
   for (int i = 0; i < 2; ++i) newest = std::max(newest, cluster_.newest_seen(i));
-  std::uint64_t edition = newest + 1 + world_.below(3);
+  std::uint64_t revision = newest + 1 + world_.below(3);
   for (int i = 0; i < count; ++i) {
     Cluster::Order order;
     order.author = i % 2;
     order.on_top_of = newest;
-    order.edition = edition;
+    order.revision = revision;
     order.first = first >= 0 && i == 0 ? first : static_cast<int>(world_.below(cluster_.cores()));
     order.every_s = again ? 0.2 : 0;
     in(world_.uniform(0, 0.001), [this, order] { cluster_.order(order); });
@@ -68,10 +68,10 @@
   order.author = static_cast<int>(world_.below(2));
   order.on_top_of = cluster_.newest_seen(order.author);
   for (int i = 0; i < count; ++i) {
-    order.edition = order.on_top_of + 1 + world_.below(2);
+    order.revision = order.on_top_of + 1 + world_.below(2);
     order.first = world_.chance(0.5) ? static_cast<int>(world_.below(cluster_.cores())) : -1;
     in(world_.uniform(0, 0.02), [this, order] { cluster_.order(order); });
-    order.on_top_of = order.edition;
+    order.on_top_of = order.revision;
   }
 }
 
@@ -81,7 +81,7 @@
   Cluster::Order order;
   order.author = static_cast<int>(world_.below(2));
   order.on_top_of = cluster_.newest_seen(order.author);
-  order.edition = order.on_top_of + 1 + world_.below(3);
+  order.revision = order.on_top_of + 1 + world_.below(3);
   for (int i = 0; i < count; ++i) cluster_.order_everywhere(order);
 }
 
--- a/src/carestiato/commands.cpp
+++ b/src/carestiato/commands.cpp
@@ -8,16 +8,16 @@
 #include <set>
 #include <sstream>
 
-#include "averau/config.h"
-#include "averau/json.h"
+#include "catalog/configuration.h"
+#include "catalog/json.h"
 #include "net/socket.h"
 #include "sennes/report.h"
 
 namespace pearspar::carestiato {
 namespace {
 
-using averau::Fault;
-using averau::Json;
+using catalog::Fault;
+using catalog::Json;
 
 std::string text_of(const cJSON* object, const char* key) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(object, key);
@@ -63,16 +63,16 @@
   int allowance_show(const std::string& holder);
   int allowance_export(const std::string& file);
   int snapshot_save(const std::string& file);
-  int snapshot_verify(const std::string& file, averau::ConfigurationPtr* held = nullptr);
+  int snapshot_verify(const std::string& file, catalog::ConfigurationPtr* held = nullptr);
   int snapshot_restore(const std::string& file);
 
  private:
   CallReply get(const std::string& path) {
     return caller_.call({"GET", path, "", "", ""}, net::Duration(options_.within_s));
   }
-  int put(const averau::Configuration& next, averau::Edition base);
+  int put(const catalog::Configuration& next, catalog::Revision base);
   // What stands, for an order to build on; 0 where nothing does.
-  int read_base(averau::Edition& base);
+  int read_base(catalog::Revision& base);
   // Says what is wrong with an answer that is not 200.
   int complain(const CallReply& reply);
   int fail(int status, const std::string& what) {
@@ -91,14 +91,14 @@
     text = held.str();
     return true;
   }
-  averau::ConfigurationPtr read_config(const std::string& file) {
+  catalog::ConfigurationPtr read_config(const std::string& file) {
     std::string text;
     if (!read_file(file, text)) {
       fail(bad_input, file + ": cannot be read");
       return nullptr;
     }
     Fault fault;
-    auto read = averau::read_configuration(text, fault);
+    auto read = catalog::parse_configuration(text, fault);
     if (!read) fail(bad_input, file + ": " + fault.text());
     return read;
   }
@@ -113,7 +113,7 @@
 int Session::complain(const CallReply& reply) {
   if (reply.status == 0) return fail(failed, reply.fault);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   std::string what = json ? text_of(json.get(), "errorText") : reply.body;
   return fail(reply.status >= 500 ? failed : refused,
               fmt::format("{}: {} {}", reply.from, reply.status, what));
@@ -140,12 +140,12 @@
       {"member", "leads", "term", "commit", "edition", "nodes", "edges", "leader", ""}};
   std::size_t answered = 0;
   bool leaderless = false;
-  std::set<std::string> editions, leaders;
+  std::set<std::string> revisions, leaders;
   for (const std::string& member : caller_.members()) {
     CallReply reply = caller_.ask(member, {"GET", "/pearspar/status", "", "", ""},
                                   net::Duration(std::min(2.0, options_.within_s)));
     Fault fault;
-    Json json = reply.status == 200 ? averau::parse_json(reply.body, fault) : nullptr;
+    Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
     if (!json) {
       std::string why = reply.status == 0 ? reply.fault : std::to_string(reply.status);
       if (why.starts_with(member + ": ")) why.erase(0, member.size() + 2);
@@ -155,7 +155,7 @@
     ++answered;
     const cJSON* o = json.get();
     const std::string leader = text_of(o, "leader");
-    editions.insert(text_of(o, "edition"));
+    revisions.insert(text_of(o, "edition"));
     leaders.insert(leader);
     leaderless = leaderless || leader.empty();
     if (options_.json) show_json(reply.body);
@@ -172,7 +172,7 @@
                         caller_.members().size());
   if (leaderless)
     amiss += std::string(amiss.empty() ? "" : "; ") + "one that knows of no leader tells what it had";
-  if (editions.size() > 1 || leaders.size() > 1)
+  if (revisions.size() > 1 || leaders.size() > 1)
     amiss += std::string(amiss.empty() ? "" : "; ") + "members do not agree (yet)";
   return amiss.empty() ? static_cast<int>(good) : fail(differs, amiss);
 }
@@ -181,7 +181,7 @@
   CallReply reply = get("/pearspar/status");
   if (reply.status != 200) return complain(reply);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   std::string leader = text_of(json.get(), "leader");
   if (leader.empty()) return fail(refused, reply.from + ": knows of no leader");
   std::fprintf(out_, "%s\n", leader.c_str());
@@ -193,7 +193,7 @@
   if (reply.status != 200) return complain(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   std::vector<std::vector<std::string>> rows = {{"address", "id", "leads"}};
   const cJSON* member = nullptr;
   cJSON_ArrayForEach(member, cJSON_GetObjectItemCaseSensitive(json.get(), "members"))
@@ -207,7 +207,7 @@
   if (reply.status != 200) return complain(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   std::vector<std::vector<std::string>> rows = {
       {"id", "service", "address", "zone", "edition", "slots", "state"}};
   const cJSON* node = nullptr;
@@ -223,7 +223,7 @@
   CallReply reply = get("/pearspar/nodes");
   if (reply.status != 200) return complain(reply);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   cJSON* node = nullptr;
   cJSON_ArrayForEach(node, cJSON_GetObjectItemCaseSensitive(json.get(), "nodes")) {
     if (text_of(node, "id") != id) continue;
@@ -250,21 +250,21 @@
   auto read = read_config(file);
   if (!read) return bad_input;
   std::fprintf(out_, "%s: good: edition %llu, %zu routes, %zu depots\n", file.c_str(),
-               static_cast<unsigned long long>(read->edition), read->routes.size(), read->depots.size());
+               static_cast<unsigned long long>(read->revision), read->routes.size(), read->services.size());
   return good;
 }
 
-int Session::read_base(averau::Edition& base) {
+int Session::read_base(catalog::Revision& base) {
   base = 0;
   CallReply reply = get("/pearspar/config");
   if (reply.status != 200 && reply.status != 404) return complain(reply);
   Fault fault;
   if (reply.status == 200)
-    if (auto now = averau::read_configuration(reply.body, fault)) base = now->edition;
+    if (auto now = catalog::parse_configuration(reply.body, fault)) base = now->revision;
   return good;
 }
 
-int Session::put(const averau::Configuration& next, averau::Edition base) {
+int Session::put(const catalog::Configuration& next, catalog::Revision base) {
   CallReply reply =
       caller_.call({"PUT", "/pearspar/config", fmt::format("If-Match: {}\r\n", base), next.text, ""},
                    net::Duration(options_.within_s));
@@ -274,24 +274,24 @@
   return fail(failed,
               fmt::format("it is not known whether edition {} is taken; the same order again is safe: "
                           "--on {} config put",
-                          next.edition, base));
+                          next.revision, base));
 }
 
 int Session::config_put(const std::string& file) {
   auto next = read_config(file);
   if (!next) return bad_input;
-  averau::Edition base = 0;
+  catalog::Revision base = 0;
   if (options_.on >= 0)
-    base = static_cast<averau::Edition>(options_.on);
+    base = static_cast<catalog::Revision>(options_.on);
   else if (int result = read_base(base))
     return fail(result, "what stands could not be read; nothing was sent");
   if (int result = put(*next, base)) return result;
   // The very text may have been taken long ago: then nothing has changed by this.
-  bool old = next->edition <= base;
+  bool old = next->revision <= base;
   std::fprintf(
       out_,
       old ? "edition %llu was taken before; %llu is in place\n" : "edition %llu is taken on top of %llu\n",
-      static_cast<unsigned long long>(next->edition), static_cast<unsigned long long>(base));
+      static_cast<unsigned long long>(next->revision), static_cast<unsigned long long>(base));
   return old ? differs : good;
 }
 
@@ -302,7 +302,7 @@
   CallReply reply = get("/pearspar/config");
   if (reply.status != 200) return complain(reply);
   Fault fault;
-  Json before = averau::parse_json(reply.body, fault), after = averau::parse_json(next->text, fault);
+  Json before = catalog::parse_json(reply.body, fault), after = catalog::parse_json(next->text, fault);
   auto routes = [](const cJSON* json) {
     std::map<std::string, std::string> found;
     const cJSON* route = nullptr;
@@ -322,7 +322,7 @@
       out += "~ " + place + "\n    " + text + "\n    " + new_routes[place] + "\n";
   for (const auto& [place, text] : new_routes)
     if (!old_routes.count(place)) out += "+ " + place + "\n";
-  out = fmt::format("edition {} -> {}\n", text_of(before.get(), "edition"), next->edition) + out;
+  out = fmt::format("edition {} -> {}\n", text_of(before.get(), "edition"), next->revision) + out;
   std::fprintf(out_, "%s", out.c_str());
   return old_routes == new_routes ? good : differs;
 }
@@ -333,7 +333,7 @@
   while (options_.for_s <= 0 || loop_.read_clock() < end) {
     CallReply reply = get("/pearspar/history?newest=1");
     Fault fault;
-    Json json = reply.status == 200 ? averau::parse_json(reply.body, fault) : nullptr;
+    Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
     if (json) {
       const cJSON* taken = cJSON_GetObjectItemCaseSensitive(json.get(), "taken");
       const cJSON* last = cJSON_GetArrayItem(taken, cJSON_GetArraySize(taken) - 1);
@@ -358,7 +358,7 @@
   if (reply.status != 200) return complain(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   std::vector<std::vector<std::string>> rows = {{"edition", "digest"}};
   const cJSON* taken = nullptr;
   cJSON_ArrayForEach(taken, cJSON_GetObjectItemCaseSensitive(json.get(), "taken"))
@@ -373,7 +373,7 @@
   if (reply.status != 200) return complain(reply);
   if (options_.json && holder.empty()) return show_json(reply.body);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   const char* keys[] = {"window",  "holder",    "kind",     "limit",   "drawn", "unsure",
                         "inDoubt", "givenBack", "repeated", "refused", "out"};
   std::vector<std::vector<std::string>> rows = {{"window", "holder", "kind", "limit", "drawn", "unsure",
@@ -397,7 +397,7 @@
   CallReply reply = get("/pearspar/allowance");
   if (reply.status != 200) return complain(reply);
   Fault fault;
-  Json json = averau::parse_json(reply.body, fault);
+  Json json = catalog::parse_json(reply.body, fault);
   const cJSON* counts = cJSON_GetObjectItemCaseSensitive(json.get(), "counts");
   std::vector<std::string> lines;
   const cJSON* line = nullptr;
@@ -449,11 +449,11 @@
   return snapshot_verify(file);
 }
 
-int Session::snapshot_verify(const std::string& file, averau::ConfigurationPtr* held) {
+int Session::snapshot_verify(const std::string& file, catalog::ConfigurationPtr* held) {
   std::string text;
   if (!read_file(file, text)) return fail(bad_input, file + ": cannot be read");
   Fault fault;
-  Json json = averau::parse_json(text, fault);
+  Json json = catalog::parse_json(text, fault);
   if (!json) return fail(bad_input, file + ": " + fault.text());
   const cJSON* o = json.get();
   if (text_of(o, "format") != "1")
@@ -464,10 +464,10 @@
   auto digest = sennes::digest_of(whole);
   if (fmt::format("{:016x}{:016x}", digest.first, digest.second) != text_of(o, "digest"))
     return fail(bad_input, file + ": digest: does not fit the configuration");
-  averau::ConfigurationPtr read;
-  if (!whole.empty() && !(read = averau::read_configuration(whole, fault)))
+  catalog::ConfigurationPtr read;
+  if (!whole.empty() && !(read = catalog::parse_configuration(whole, fault)))
     return fail(bad_input, file + ": configuration: " + fault.text());
-  if (std::to_string(read ? read->edition : 0) != text_of(o, "edition"))
+  if (std::to_string(read ? read->revision : 0) != text_of(o, "edition"))
     return fail(bad_input, file + ": edition: is not the configuration's");
   if (held) *held = read;
   std::fprintf(out_, "%s: good: edition %s\n", file.c_str(), text_of(o, "edition").c_str());
@@ -476,14 +476,14 @@
 
 // Into a core that has nothing, or something older.
 int Session::snapshot_restore(const std::string& file) {
-  averau::ConfigurationPtr held;
+  catalog::ConfigurationPtr held;
   if (int result = snapshot_verify(file, &held)) return result;
   if (!held) return fail(refused, file + ": holds no configuration");
-  averau::Edition base = 0;
+  catalog::Revision base = 0;
   if (int result = read_base(base)) return fail(result, "what stands could not be read; nothing was sent");
   int result = put(*held, base);
   if (result == good)
-    std::fprintf(out_, "edition %llu is back\n", static_cast<unsigned long long>(held->edition));
+    std::fprintf(out_, "edition %llu is back\n", static_cast<unsigned long long>(held->revision));
   return result;
 }
 
--- a/src/carestiato/commands.h
+++ b/src/carestiato/commands.h
@@ -15,7 +15,7 @@
   good = 0,
   failed = 1,     // nobody has answered, or not in time; an order may have been taken
   bad_input = 2,  // the command line or a file is no good
-  refused = 3,    // an answer, and it is no: another edition, an invalid configuration, no such node
+  refused = 3,    // an answer, and it is no: another revision, an invalid configuration, no such node
   differs = 4,  // files differ; members do not agree, do not answer, know of no leader; nothing new was taken
 };
 
@@ -25,7 +25,7 @@
   double within_s = 10;
   double every_s = 1;  // watch
   double for_s = 0;    // watch: 0 = until it is stopped
-  long long on = -1;   // put: the edition that it builds on; below 0: what is in place
+  long long on = -1;   // put: the revision that it builds on; below 0: what is in place
 };
 
 // `words` is the command and its operands: status | members | leader | nodes | drain ID | config get | config
--- a/src/averau/config.cpp
+++ b/src/catalog/configuration.cpp
@@ -1,29 +1,29 @@
-#include "averau/config.h"
+#include "catalog/configuration.h"
 
 #include <map>
 #include <set>
 
-namespace pearspar::averau {
+namespace pearspar::catalog {
 namespace {
 
 constexpr double day_ms = 86'400'000;
 constexpr double most_bytes = 64 << 20;
 
 void read_targets(JsonReader& in, Route& route, const std::set<std::string>& known) {
-  auto check = [&](const char* key, const std::string& depot) {
-    if (!known.count(depot)) in.fail(key, "names no depot of this configuration: '" + depot + "'");
+  auto check = [&](const char* key, const std::string& service) {
+    if (!known.count(service)) in.fail(key, "names no depot of this configuration: '" + service + "'");
   };
   int forms = in.has("depot") + in.has("splitList") + in.has("gatherFrom");
   if (forms != 1) return in.fail("depot", "one of depot, splitList and gatherFrom is wanted");
   if (in.has("depot")) {
-    route.depots.push_back({in.text("depot"), 1});
-    check("depot", route.depots[0].depot);
+    route.services.push_back({in.text("depot"), 1});
+    check("depot", route.services[0].service);
   } else if (in.has("splitList")) {
     double sum = 0;
     for (JsonReader& part : in.objects("splitList")) {
-      route.depots.push_back({part.text("depot"), part.number("share", 0, 1e9)});
-      check("splitList", route.depots.back().depot);
-      sum += route.depots.back().weight;
+      route.services.push_back({part.text("depot"), part.number("share", 0, 1e9)});
+      check("splitList", route.services.back().service);
+      sum += route.services.back().weight;
     }
     if (!(sum > 0)) in.fail("splitList", "the shares add up to 0");
   } else {
@@ -34,8 +34,8 @@
       check("gatherFrom", shard);
       if (!once.insert(shard).second) in.fail("gatherFrom", "names '" + shard + "' twice");
     }
-    route.top = static_cast<int>(in.number_or("topN", 0, 0, 1e6));
-    route.least_share = in.number_or("minShare", 0, 0, 1);
+    route.max_records = static_cast<int>(in.number_or("topN", 0, 0, 1e6));
+    route.min_shard_ratio = in.number_or("minShare", 0, 0, 1);
   }
 }
 
@@ -43,8 +43,9 @@
   Route route;
   route.name = in.text_or("name", {});
   route.host = in.text("hostName");
-  route.prefix = in.text("pathPrefix");
-  if (in.good() && (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/'))
+  route.path_prefix = in.text("pathPrefix");
+  if (in.good() &&
+      (route.path_prefix.empty() || route.path_prefix.front() != '/' || route.path_prefix.back() != '/'))
     in.fail("pathPrefix", "does not begin and end with a slash");
   std::string kind = in.text("lineKind");
   if (in.good() && kind != "safe" && kind != "unsafe") in.fail("lineKind", "is neither safe nor unsafe");
@@ -53,29 +54,29 @@
   if (in.good() && !(route.deadline_ms > 0)) in.fail("deadlineMs", "is 0");
   route.target_ms = in.number_or("targetMs", 0, 0, day_ms);
   route.precedence = static_cast<int>(in.number_or("precedence", 0, 0, 1e6));
-  route.tries = static_cast<int>(in.number_or("tries", 1, 0, 1000));
-  if (route.tries < 1) route.tries = 1;
-  route.kind = in.text_or("allowanceKind", {});
+  route.max_attempts = static_cast<int>(in.number_or("tries", 1, 0, 1000));
+  if (route.max_attempts < 1) route.max_attempts = 1;
+  route.quota_kind = in.text_or("allowanceKind", {});
   read_targets(in, route, known);
   return route;
 }
 
 std::string place_of(const std::string& holder, const std::string& kind) { return holder + '\n' + kind; }
 
-std::shared_ptr<const Allowances> read_allowances(JsonReader& in, const std::vector<Route>& routes) {
-  auto read = std::make_shared<Allowances>();
+std::shared_ptr<const QuotaRules> read_quota_rules(JsonReader& in, const std::vector<Route>& routes) {
+  auto read = std::make_shared<QuotaRules>();
   std::set<std::string> kinds;
   for (const Route& route : routes)
-    if (!route.kind.empty()) kinds.insert(route.kind);
+    if (!route.quota_kind.empty()) kinds.insert(route.quota_kind);
   read->window_ms = in.number_or("windowMs", read->window_ms, 1000, 32 * day_ms);
   read->holder_header = in.text("holderHeader");
   if (in.good() && read->holder_header.empty()) in.fail("holderHeader", "is empty");
   read->key_header = in.text_or("keyHeader", {});
   std::string policy = in.text_or("outOfTouch", "refuse");
   if (policy != "refuse" && policy != "spend") in.fail("outOfTouch", "is neither refuse nor spend");
-  read->spend_out_of_touch = policy == "spend";
+  read->spend_when_disconnected = policy == "spend";
   for (JsonReader& each : in.objects("accounts")) {
-    Account account;
+    QuotaAccount account;
     std::string firm = each.text("firm"), branch = each.text_or("branch", {});
     if (each.good() && (firm.empty() || firm.find_first_of("/\n") != firm.npos))
       each.fail("firm", "is empty or holds a slash");
@@ -96,12 +97,12 @@
 
 }  // namespace
 
-const Account* Allowances::find(const std::string& holder, const std::string& kind) const {
+const QuotaAccount* QuotaRules::find(const std::string& holder, const std::string& kind) const {
   auto found = places.find(place_of(holder, kind));
   return found == places.end() ? nullptr : &accounts[found->second];
 }
 
-ConfigurationPtr read_configuration(std::string_view text, Fault& fault) {
+ConfigurationPtr parse_configuration(std::string_view text, Fault& fault) {
   fault = {};
   Json json = parse_json(text, fault);
   if (!json) return nullptr;
@@ -111,25 +112,25 @@
   }
   JsonReader in(json.get(), {}, fault);
   auto read = std::make_shared<Configuration>();
-  double edition = in.number("edition", 1, 9e15);
-  read->edition = static_cast<Edition>(edition);
-  if (static_cast<double>(read->edition) != edition) in.fail("edition", "is no whole number");
+  double revision = in.number("edition", 1, 9e15);
+  read->revision = static_cast<Revision>(revision);
+  if (static_cast<double>(read->revision) != revision) in.fail("edition", "is no whole number");
   std::set<std::string> known;
   if (!in.has("depots")) in.fail("depots", "is missing");
   if (!in.has("postalRoutes")) in.fail("postalRoutes", "is missing");
   for (JsonReader& each : in.objects("depots")) {
-    Depot depot;
-    depot.name = each.text("name");
-    depot.health_path = each.text_or("healthPath", {});
-    depot.connections = static_cast<int>(each.number_or("connLimit", 0, 0, 1e6));
-    if (!known.insert(depot.name).second) each.fail("name", "stands twice");
-    read->depots.push_back(std::move(depot));
+    Service service;
+    service.name = each.text("name");
+    service.health_path = each.text_or("healthPath", {});
+    service.connections = static_cast<int>(each.number_or("connLimit", 0, 0, 1e6));
+    if (!known.insert(service.name).second) each.fail("name", "stands twice");
+    read->services.push_back(std::move(service));
   }
   std::set<std::pair<std::string, std::string>> places;
   for (JsonReader& each : in.objects("postalRoutes")) {
     read->routes.push_back(read_route(each, known));
     const Route& route = read->routes.back();
-    if (!places.emplace(route.host, route.prefix).second)
+    if (!places.emplace(route.host, route.path_prefix).second)
       each.fail("pathPrefix", "stands twice for this host");
     if (!in.good()) break;
   }
@@ -143,19 +144,19 @@
     to.idle_ms = limits->number_or("idleLimitMs", to.idle_ms, 1, day_ms);
   }
   if (auto allowances = in.object("allowances"))
-    read->allowances = read_allowances(*allowances, read->routes);
+    read->quota_rules = read_quota_rules(*allowances, read->routes);
   if (!in.good()) return nullptr;
   read->text = text;
   return read;
 }
 
-Edition edition_of(std::string_view text) {
+Revision revision_of(std::string_view text) {
   Fault fault;
   Json json = parse_json(text, fault);
   if (!json || !cJSON_IsObject(json.get())) return 0;
   JsonReader in(json.get(), {}, fault);
-  auto edition = static_cast<Edition>(in.number("edition", 1, 9e15));
-  return in.good() ? edition : 0;
+  auto revision = static_cast<Revision>(in.number("edition", 1, 9e15));
+  return in.good() ? revision : 0;
 }
 
-}  // namespace pearspar::averau
+}  // namespace pearspar::catalog
--- a/src/averau/json.cpp
+++ b/src/catalog/json.cpp
@@ -1,9 +1,9 @@
-#include "averau/json.h"
+#include "catalog/json.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace pearspar::averau {
+namespace pearspar::catalog {
 namespace {
 
 constexpr int max_depth = 32;
@@ -156,4 +156,4 @@
   return found;
 }
 
-}  // namespace pearspar::averau
+}  // namespace pearspar::catalog
--- a/src/averau/json.h
+++ b/src/catalog/json.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearspar::averau {
+namespace pearspar::catalog {
 
 struct Fault {
   std::string path;  // "postalRoutes[3].deadlineMs"; empty = the whole text
@@ -61,4 +61,4 @@
   Fault& fault_;
 };
 
-}  // namespace pearspar::averau
+}  // namespace pearspar::catalog
--- a/src/averau/nodes.cpp
+++ b/src/catalog/node_list.cpp
@@ -1,10 +1,10 @@
-#include "averau/nodes.h"
+#include "catalog/node_list.h"
 
 #include <xxhash.h>
 
-namespace pearspar::averau {
+namespace pearspar::catalog {
 
-std::optional<Node> read_beat(std::string_view id, std::string_view body, Time now, Fault& fault) {
+std::optional<Node> parse_heartbeat(std::string_view id, std::string_view body, Time now, Fault& fault) {
   fault = {};
   Json json = parse_json(body, fault);
   if (!json) return std::nullopt;
@@ -15,16 +15,16 @@
   JsonReader in(json.get(), {}, fault);
   Node node;
   node.id = id;
-  node.depot = in.text("depot");
+  node.service = in.text("depot");
   node.address = in.text("address");
   node.zone = in.text_or("zoneName", {});
-  node.edition = in.text_or("edition", {});
+  node.software_version = in.text_or("edition", {});
   node.slots = static_cast<int>(in.number_or("slotCount", 1, 0, 1e6));
   std::string state = in.text("nodeState");
   if (in.good() && state != "at_post" && state != "closing_out")
     in.fail("nodeState", "is neither at_post nor closing_out");
   node.closing = state == "closing_out";
-  node.call = static_cast<std::uint64_t>(in.number("callSeq", 0, 9e15));
+  node.sequence = static_cast<std::uint64_t>(in.number("callSeq", 0, 9e15));
   node.cold_until = now + Duration(in.number_or("coldLeftMs", 0, 0, 86'400'000) / 1000);
   if (id.empty()) in.fail("id", "is empty");
   if (!in.good()) return std::nullopt;
@@ -33,7 +33,7 @@
 
 std::uint64_t digest_of(const Node& node) {
   std::string all;
-  for (const std::string* each : {&node.id, &node.depot, &node.address, &node.zone, &node.edition})
+  for (const std::string* each : {&node.id, &node.service, &node.address, &node.zone, &node.software_version})
     all.append(*each).push_back('\0');
   all += std::to_string(node.slots);
   all += node.closing ? 'c' : 'o';
@@ -43,10 +43,10 @@
 NodeList::Taken NodeList::put(const Node& node, std::string* displaced) {
   if (is_gone(node.id)) return Taken::stale;
   auto found = nodes_.find(node.id);
-  if (found != nodes_.end() && node.call < found->second.call) return Taken::stale;
+  if (found != nodes_.end() && node.sequence < found->second.call) return Taken::stale;
   if (found != nodes_.end() && found->second.closing && !node.closing) return Taken::stale;
-  if (found != nodes_.end() && found->second.says_the_same(node)) {
-    found->second.call = node.call;
+  if (found != nodes_.end() && found->second.same_description(node)) {
+    found->second.call = node.sequence;
     found->second.cold_until = node.cold_until;
     return Taken::same;
   }
@@ -79,7 +79,7 @@
 void NodeList::bury(const std::string& id) {
   if (!gone_.insert(id).second) return;
   gone_order_.push_back(id);
-  if (gone_order_.size() <= most_gone) return;
+  if (gone_order_.size() <= max_retired) return;
   gone_.erase(gone_order_.front());
   gone_order_.pop_front();
 }
@@ -97,4 +97,4 @@
   return found == nodes_.end() ? nullptr : &found->second;
 }
 
-}  // namespace pearspar::averau
+}  // namespace pearspar::catalog
--- a/src/averau/nodes.h
+++ b/src/catalog/node_list.h
@@ -11,36 +11,36 @@
 #include <string_view>
 #include <unordered_set>
 
-#include "averau/json.h"
+#include "catalog/json.h"
 
-namespace pearspar::averau {
+namespace pearspar::catalog {
 
 using Duration = std::chrono::duration<double>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 struct Node {
   std::string id;
-  std::string depot;
+  std::string service;
   std::string address;
   std::string zone;
-  std::string edition;  // of its software
+  std::string software_version;  // of its software
   int slots = 1;
   bool closing = false;
   std::uint64_t call = 0;  // the number of the call that said so; rises
   Time cold_until{};       // slow until then
 
   // The same but for what each call changes.
-  bool says_the_same(const Node& other) const {
-    return depot == other.depot && address == other.address && zone == other.zone &&
-           edition == other.edition && slots == other.slots && closing == other.closing;
+  bool same_description(const Node& other) const {
+    return service == other.service && address == other.address && zone == other.zone &&
+           software_version == other.software_version && slots == other.slots && closing == other.closing;
   }
 };
 
-// Of all that says_the_same() compares, and the id.
+// Of all that same_description() compares, and the id.
 std::uint64_t digest_of(const Node& node);
 
 // Nothing, with the fault, where the body is no beat of that id.
-std::optional<Node> read_beat(std::string_view id, std::string_view body, Time now, Fault& fault);
+std::optional<Node> parse_heartbeat(std::string_view id, std::string_view body, Time now, Fault& fault);
 
 class NodeList {
  public:
@@ -61,7 +61,7 @@
   std::uint64_t digest() const { return digest_ | 1; }
 
  private:
-  static constexpr std::size_t most_gone = 4096;  // ids kept of those that are gone
+  static constexpr std::size_t max_retired = 4096;  // ids kept of those that are gone
   void bury(const std::string& id);
   std::uint64_t digest_ = 0;
 
@@ -71,4 +71,4 @@
   std::deque<std::string> gone_order_;
 };
 
-}  // namespace pearspar::averau
+}  // namespace pearspar::catalog
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -8,14 +8,14 @@
 #include <algorithm>
 #include <chrono>
 
-#include "averau/json.h"
+#include "catalog/json.h"
 
 INITIALIZE_EASYLOGGINGPP
 
 namespace pearspar::logging {
 namespace {
 
-using averau::quoted;
+using catalog::quoted;
 
 constexpr double lines_per_s = 20;
 constexpr double most_lines = 200;
--- a/src/measure/capacity.h
+++ b/src/measure/capacity.h
@@ -16,7 +16,7 @@
 
 namespace pearspar::measure {
 
-// Frames by the first field of each (fanes/messages.cpp); 0: none that is known.
+// Frames by the first field of each (protocol/messages.cpp); 0: none that is known.
 inline constexpr std::size_t frame_kinds = 16;
 inline constexpr std::array<std::string_view, frame_kinds> kind_names{
     "unknown",  "agreement", "hello",       "welcome", "standing", "changes", "ping", "ack",
@@ -35,11 +35,11 @@
 
 // One edge, written by its process.
 struct EdgeBoard {
-  Count edition{0}, edition_ns{0};   // newest in force, and since when
-  Count term{0}, term_ns{0};         // of the newest news
-  Count whole_term{0}, whole_ns{0};  // of the newest list that was told as whole
-  Count nodes{0};                    // known here (full edges), or in the newest list
-  Count links{0}, dialled{0};        // that are up now; that have come up
+  Count revision{0}, revision_ns{0};  // newest in force, and since when
+  Count term{0}, term_ns{0};          // of the newest news
+  Count whole_term{0}, whole_ns{0};   // of the newest list that was told as whole
+  Count nodes{0};                     // known here (full edges), or in the newest list
+  Count links{0}, dialled{0};         // that are up now; that have come up
   std::array<Flow, frame_kinds> in, out;
 };
 
--- a/src/measure/capacity_edges.cpp
+++ b/src/measure/capacity_edges.cpp
@@ -6,10 +6,10 @@
 #include <optional>
 #include <unordered_map>
 
-#include "fanes/messages.h"
 #include "measure/capacity.h"
 #include "net/loop.h"
-#include "transport/links.h"
+#include "protocol/messages.h"
+#include "transport/tcp_transport.h"
 #include "vandelli/station.h"
 
 namespace pearspar::measure {
@@ -20,13 +20,14 @@
 // Of a list that is not kept: what its acknowledgements tell of it.
 class ListDigest {
  public:
-  void apply(const fanes::Standing& standing) {
+  void apply(const protocol::StateSnapshot& standing) {
     if (standing.complete) nodes_.clear(), digest_ = 0;
-    for (const fanes::NodeNews& news : standing.nodes) put(news.node);
+    for (const protocol::NodeUpdate& news : standing.nodes) put(news.node);
   }
-  void apply(const fanes::Change& change) {
-    if (change.kind == fanes::ChangeKind::node) put(change.news.node);
-    if (change.kind == fanes::ChangeKind::gone || change.kind == fanes::ChangeKind::lost) {
+  void apply(const protocol::Change& change) {
+    if (change.kind == protocol::ChangeKind::node_updated) put(change.update.node);
+    if (change.kind == protocol::ChangeKind::node_retired ||
+        change.kind == protocol::ChangeKind::node_removed) {
       auto found = nodes_.find(std::hash<std::string>()(change.text));
       if (found == nodes_.end()) return;
       digest_ ^= found->second;
@@ -37,10 +38,10 @@
   std::size_t size() const { return nodes_.size(); }
 
  private:
-  void put(const averau::Node& node) {
+  void put(const catalog::Node& node) {
     std::uint64_t& digest = nodes_[std::hash<std::string>()(node.id)];
     digest_ ^= digest;
-    digest = averau::digest_of(node);
+    digest = catalog::digest_of(node);
     digest_ ^= digest;
   }
   std::unordered_map<std::uint64_t, std::uint64_t> nodes_;
@@ -55,13 +56,13 @@
   }
 };
 
-class HollowEdge : public transport::Wire, private transport::LinksUser {
+class HollowEdge : public transport::Transport, private transport::TransportHandler {
  public:
   HollowEdge(net::Loop& loop, EdgeBoard& board, int number, bool full, const std::vector<std::string>& seeds)
       : loop_(loop), board_(board), links_(loop, *this) {
-    vazzoler::FollowerOptions options{now_ns() << 12 | static_cast<std::uint64_t>(number),
-                                      "edge" + std::to_string(number), "zone" + std::to_string(number % 13),
-                                      seeds};
+    subscription::FollowerOptions options{now_ns() << 12 | static_cast<std::uint64_t>(number),
+                                          "edge" + std::to_string(number),
+                                          "zone" + std::to_string(number % 13), seeds};
     if (full) {
       station_.emplace(*this, options, calls_, pederu::AllowanceRules{0.2, 56, pederu::Duration(10)});
       station_->start(loop.now());
@@ -73,12 +74,12 @@
   }
 
  private:
-  const vazzoler::Follower& follower() const { return station_ ? station_->follower() : *follower_; }
+  const subscription::Follower& follower() const { return station_ ? station_->follower() : *follower_; }
   void count(Flow& flow, std::size_t size) {
     flow.frames.fetch_add(1, std::memory_order_relaxed);
     flow.bytes.fetch_add(size + length_bytes, std::memory_order_relaxed);
   }
-  void keep(const std::vector<std::string>& addresses) override { links_.keep(addresses); }
+  void set_targets(const std::vector<std::string>& addresses) override { links_.set_targets(addresses); }
   bool send_to(const std::string& address, std::string_view frame) override {
     count(board_.out[kind_of(frame)], frame.size());
     return links_.send_to(address, frame);
@@ -86,10 +87,10 @@
   bool send(transport::LinkId link, std::string_view frame) override {
     std::string told;
     if (follower_ && kind_names[kind_of(frame)] == "ack") {
-      auto message = fanes::unpack(frame);
-      auto ack = std::get<fanes::Ack>(message.value());
-      ack.list = list_.digest();
-      frame = told = fanes::pack(ack);
+      auto message = protocol::unpack(frame);
+      auto ack = std::get<protocol::Ack>(message.value());
+      ack.node_list_digest = list_.digest();
+      frame = told = protocol::pack(ack);
     }
     count(board_.out[kind_of(frame)], frame.size());
     return links_.send(link, frame);
@@ -106,15 +107,15 @@
     std::size_t kind = kind_of(frame);
     count(board_.in[kind], frame.size());
     bool whole = false;
-    auto message = fanes::unpack(frame);
-    auto* standing = message ? std::get_if<fanes::Standing>(&*message) : nullptr;
-    auto* changes = message ? std::get_if<fanes::Changes>(&*message) : nullptr;
+    auto message = protocol::unpack(frame);
+    auto* standing = message ? std::get_if<protocol::StateSnapshot>(&*message) : nullptr;
+    auto* changes = message ? std::get_if<protocol::Changes>(&*message) : nullptr;
     if (standing) whole = standing->complete;
     // The first change of a term says nothing; a later one without a word says that the list is whole.
     if (changes)
       for (std::size_t i = 0; i < changes->changes.size(); ++i)
-        whole = whole ||
-                (changes->after.number + i > 0 && changes->changes[i].kind == fanes::ChangeKind::complete);
+        whole = whole || (changes->after.number + i > 0 &&
+                          changes->changes[i].kind == protocol::ChangeKind::list_complete);
     if (station_) {
       station_->link_frame(loop_.now(), link, frame);
       station_->advance(loop_.now());
@@ -122,32 +123,32 @@
     } else if (standing) {
       list_.apply(*standing);
       standing->nodes.clear();
-      follower_->frame(loop_.now(), link, fanes::pack(std::move(*standing)));
+      follower_->link_frame(loop_.now(), link, protocol::pack(std::move(*standing)));
       board_.nodes = list_.size();
     } else if (changes) {
       auto known = follower().view().at();
       for (std::size_t i = 0; i < changes->changes.size(); ++i) {
-        fanes::Change& change = changes->changes[i];
-        if (change.kind == fanes::ChangeKind::configuration ||
-            change.kind == fanes::ChangeKind::configuration_delta)
+        protocol::Change& change = changes->changes[i];
+        if (change.kind == protocol::ChangeKind::configuration ||
+            change.kind == protocol::ChangeKind::configuration_delta)
           continue;
         if (changes->after.term == known.term && changes->after.number + i >= known.number)
           list_.apply(change);
         change = {};
       }
-      follower_->frame(loop_.now(), link, fanes::pack(std::move(*changes)));
+      follower_->link_frame(loop_.now(), link, protocol::pack(std::move(*changes)));
       board_.nodes = list_.size();
     } else {
-      follower_->frame(loop_.now(), link, frame);
+      follower_->link_frame(loop_.now(), link, frame);
     }
     note(whole);
     arm();
   }
   void note(bool whole) {
-    const vazzoler::View& view = follower().view();
-    if (view.edition() > board_.edition) {
-      board_.edition_ns = now_ns();
-      board_.edition = view.edition();
+    const subscription::ClusterView& view = follower().view();
+    if (view.revision() > board_.revision) {
+      board_.revision_ns = now_ns();
+      board_.revision = view.revision();
     }
     if (view.at().term > board_.term) {
       board_.term_ns = now_ns();
@@ -174,9 +175,9 @@
   net::Loop& loop_;
   EdgeBoard& board_;
   NoCalls calls_;
-  transport::Links links_;
+  transport::TcpTransport links_;
   std::optional<vandelli::Station> station_;
-  std::optional<vazzoler::Follower> follower_;
+  std::optional<subscription::Follower> follower_;
   ListDigest list_;
   net::Timer timer_;
 };
--- a/src/measure/capacity_regions.cpp
+++ b/src/measure/capacity_regions.cpp
@@ -78,7 +78,7 @@
   bool order(int region, bool only_there) {
     Cluster::Order order;
     order.on_top_of = cluster.newest_seen(0);
-    order.edition = order.on_top_of + 1;
+    order.revision = order.on_top_of + 1;
     order.first = member_in(region);
     order.only_there = only_there;
     order.from = cluster.core_address(static_cast<std::size_t>(order.first));
@@ -125,8 +125,8 @@
   cluster.order_ended = [&](int, int status) {
     if (status == 200) figures.order_ms[from].push_back(hall.now_ms() - sent);
   };
-  cluster.edge_told = [&](std::size_t, std::uint64_t edition) {
-    if (edition != wanted) return;
+  cluster.edge_told = [&](std::size_t, std::uint64_t revision) {
+    if (revision != wanted) return;
     figures.edge_ms.push_back(hall.now_ms() - sent);
     if (++told == run.edges) figures.everywhere_ms.push_back(hall.now_ms() - sent);
   };
@@ -184,7 +184,7 @@
     for (const std::string& b : outside) cluster.net().cut(a, b), cluster.net().cut(b, a);
   double cut_at = cluster.seconds(), lead_at = 0, without = 0, taken_at = 0;
   auto term = hall.term();
-  std::uint64_t edition = cluster.newest_seen(0);
+  std::uint64_t revision = cluster.newest_seen(0);
   int made = 0, taken = 0, taken_inside = 0;
   cluster.order_ended = [&](int member, int status) {
     if (status != 200) return;
@@ -218,10 +218,10 @@
     return sum;
   };
   auto known = [&](std::size_t edge) { return cluster.follower(edge)->view().nodes().all().size(); };
-  auto at = [&](std::size_t edge) { return cluster.follower(edge)->view().edition(); };
+  auto at = [&](std::size_t edge) { return cluster.follower(edge)->view().revision(); };
   values["edges_inside"] = count(true, [](std::size_t) { return true; });
   values["inside_ready"] = count(true, [&](std::size_t e) { return cluster.station(e)->ready(); });
-  values["inside_old_edition"] = count(true, [&](std::size_t e) { return at(e) <= edition; });
+  values["inside_old_edition"] = count(true, [&](std::size_t e) { return at(e) <= revision; });
   values["nodes"] = static_cast<double>(cluster.nodes());
   values["nodes_inside_know"] = static_cast<double>(known(edges_in(true).front()));
   values["nodes_outside_know"] = static_cast<double>(known(edges_in(false).front()));
--- a/src/measure/capacity_run.cpp
+++ b/src/measure/capacity_run.cpp
@@ -204,23 +204,23 @@
         figures_.values[name + ".leader_peak_mb"], 100 * figures_.values[name + ".machine_busy"]));
   }
 
-  std::string configuration(int edition) const {
-    std::string shards, depots, routes;
+  std::string configuration(int revision) const {
+    std::string shards, services, routes;
     for (int i = 0; i < 280; ++i) {
       shards += fmt::format("{}\"shard{}\"", i > 0 ? "," : "", i);
-      depots += fmt::format("{}{{\"name\":\"shard{}\",\"healthPath\":\"/health\",\"connLimit\":72}}",
-                            i > 0 ? "," : "", i);
+      services += fmt::format("{}{{\"name\":\"shard{}\",\"healthPath\":\"/health\",\"connLimit\":72}}",
+                              i > 0 ? "," : "", i);
     }
     for (int i = 0; i < size_.routes; ++i)
       routes +=
           fmt::format(R"(,{{"name":"r{0}","hostName":"hall.example","pathPrefix":"/r{0}/","lineKind":"safe",)"
                       R"("deadlineMs":{1},"targetMs":150,"precedence":2,"depot":"shard{2}","tries":2}})",
-                      i, i == edition % size_.routes ? 900 + edition : 900, i % 280);
+                      i, i == revision % size_.routes ? 900 + revision : 900, i % 280);
     return fmt::format(
         R"({{"edition":{},"postalRoutes":[{{"name":"g","hostName":"hall.example","pathPrefix":"/g/",)"
         R"("lineKind":"safe","deadlineMs":1000,"targetMs":98,"precedence":1,"gatherFrom":[{}],"tries":2,)"
         R"("topN":20,"minShare":0.5}}{}],"depots":[{}],"limits":{{}}}})",
-        edition, shards, routes, depots);
+        revision, shards, routes, services);
   }
   carestiato::CallReply call(const std::string& method, const std::string& path, const std::string& headers,
                              const std::string& body) {
@@ -231,8 +231,8 @@
     return carestiato::Caller(loop, members).call({method, path, headers, body, ""}, net::Duration(10));
   }
   bool change() {
-    std::string headers = fmt::format("If-Match: \"{}\"\r\n", edition_);
-    std::string text = configuration(edition_ + 1);
+    std::string headers = fmt::format("If-Match: \"{}\"\r\n", revision_);
+    std::string text = configuration(revision_ + 1);
     put("configuration_bytes", static_cast<double>(text.size()));
     carestiato::CallReply reply = call("PUT", "/pearspar/config", headers, text);
     if (reply.status != 200) {
@@ -240,7 +240,7 @@
                        reply.body.substr(0, 200)));
       return false;
     }
-    ++edition_;
+    ++revision_;
     return true;
   }
 
@@ -300,7 +300,7 @@
       processes_.fork_one([&, part] { run_edges(part, members_->inner()); });
     }
     bool told = all("cold start, the list as whole",
-                    [](EdgeBoard& edge) { return edge.whole_term > 0 && edge.edition > 0; });
+                    [](EdgeBoard& edge) { return edge.whole_term > 0 && edge.revision > 0; });
     if (told) put_times("cold.whole", from.at_s, &EdgeBoard::whole_ns);
     auto nodes = static_cast<std::uint64_t>(size_.servers);
     bool known = until(size_.within_s, [&] {
@@ -359,10 +359,10 @@
       double sent = seconds();
       if (!change()) return;
       taken.push_back((seconds() - sent) * 1000);
-      auto edition = static_cast<std::uint64_t>(edition_);
-      if (!all("a change", [&](EdgeBoard& edge) { return edge.edition >= edition; })) return;
+      auto revision = static_cast<std::uint64_t>(revision_);
+      if (!all("a change", [&](EdgeBoard& edge) { return edge.revision >= revision; })) return;
       for (EdgeBoard& edge : edges_.all())
-        times.push_back((static_cast<double>(edge.edition_ns) * 1e-9 - sent) * 1000);
+        times.push_back((static_cast<double>(edge.revision_ns) * 1e-9 - sent) * 1000);
       wait(1);
     }
     put_quantiles("change", times);
@@ -408,7 +408,7 @@
     double from = seconds();
     start_edge(number);
     auto nodes = static_cast<std::uint64_t>(size_.servers);
-    if (!until(size_.within_s, [&] { return board.nodes >= nodes && board.edition > 0; }))
+    if (!until(size_.within_s, [&] { return board.nodes >= nodes && board.revision > 0; }))
       return wall("an edge's restart");
     put("restart.whole_ms", (seconds() - from) * 1000);
     double bytes = 0;
@@ -446,7 +446,7 @@
   std::unique_ptr<Members> members_;
   std::vector<pid_t> whole_;
   int leader_ = -1;
-  int edition_ = 0;
+  int revision_ = 0;
   double memory_ = 0;
 };
 
--- a/src/measure/log_measure.cpp
+++ b/src/measure/log_measure.cpp
@@ -29,13 +29,13 @@
 
 double heap_mb() { return static_cast<double>(mallinfo2().uordblks) / (1 << 20); }
 
-std::string configuration(int edition, int routes) {
-  std::string text = "{\"edition\":" + std::to_string(edition) + ",\"postalRoutes\":[";
+std::string configuration(int revision, int routes) {
+  std::string text = "{\"edition\":" + std::to_string(revision) + ",\"postalRoutes\":[";
   for (int i = 0; i < routes; ++i) {
     std::string n = std::to_string(i);
     text += (i ? ",{\"name\":\"route" : "{\"name\":\"route") + n +
             "\",\"hostName\":\"h\",\"pathPrefix\":\"/p" + n +
-            "/\",\"lineKind\":\"safe\",\"deadlineMs\":" + std::to_string(500 + (edition + i) % 700) +
+            "/\",\"lineKind\":\"safe\",\"deadlineMs\":" + std::to_string(500 + (revision + i) % 700) +
             ",\"targetMs\":120,\"precedence\":1,\"depot\":\"d" + std::to_string(i % 40) + "\"}";
   }
   text += "],\"depots\":[";
@@ -65,7 +65,7 @@
     double file = 0;
     for (int i = 1; i <= count; ++i) {
       std::string text = configuration(i, routes);
-      core.propose(now, sennes::State::change(state.edition(), static_cast<averau::Edition>(i),
+      core.propose(now, sennes::State::change(state.revision(), static_cast<catalog::Revision>(i),
                                               sennes::digest_of(text), text));
       most_entries = std::max<std::size_t>(most_entries, core.log().last() - core.log().snapshot().index);
       most_bytes = std::max(most_bytes, core.log().bytes());
@@ -78,7 +78,7 @@
         count, routes, configuration(count, routes).size(), ms_since(start) / count, file, most_entries,
         static_cast<double>(most_bytes) / 1e6, static_cast<double>(most_state) / 1e6,
         static_cast<unsigned long long>(core.counters().refused_writes),
-        static_cast<unsigned long long>(state.edition()));
+        static_cast<unsigned long long>(state.revision()));
   }
   double heap = heap_mb();
   auto start = Clock::now();
@@ -89,8 +89,8 @@
   double read_ms = ms_since(start);
   while (!error && !core.may_speak(now)) core.tick(now += Duration(0.1));
   std::printf("a restart: %.1f ms to read, %.1f ms until all is applied; %.1f MB of memory; edition %llu\n",
-              read_ms, ms_since(start), heap_mb() - heap, static_cast<unsigned long long>(state.edition()));
-  return error || state.edition() != static_cast<averau::Edition>(count) ? 1 : 0;
+              read_ms, ms_since(start), heap_mb() - heap, static_cast<unsigned long long>(state.revision()));
+  return error || state.revision() != static_cast<catalog::Revision>(count) ? 1 : 0;
 }
 
 // Many days in short: entries, notes and snapshots of all sizes.
--- a/src/measure/system_bench.cpp
+++ b/src/measure/system_bench.cpp
@@ -5,10 +5,10 @@
 
 #include <deque>
 
-#include "fanes/delta.h"
 #include "nuvolau/pool.h"
 #include "pederu/desk.h"
 #include "pederu/merge.h"
+#include "protocol/delta.h"
 #include "sennes/followers.h"
 
 namespace pearspar {
@@ -17,11 +17,11 @@
 using pederu::Duration;
 using pederu::Time;
 
-std::string configuration_text(int edition, int shards, int routes) {
-  std::string gather, depots, more;
+std::string configuration_text(int revision, int shards, int routes) {
+  std::string gather, services, more;
   for (int i = 0; i < shards; ++i) {
     gather += fmt::format("{}\"s{}\"", i > 0 ? "," : "", i);
-    depots += fmt::format(",{{\"name\":\"s{}\",\"connLimit\":400}}", i);
+    services += fmt::format(",{{\"name\":\"s{}\",\"connLimit\":400}}", i);
   }
   for (int i = 0; i < routes; ++i)
     more += fmt::format(R"(,{{"name":"m{0}","hostName":"more","pathPrefix":"/{0}/","lineKind":"safe",)"
@@ -33,12 +33,12 @@
       R"("targetMs":150,"gatherFrom":[{}],"tries":2,"topN":200,"minShare":0.5}},)"
       R"({{"hostName":"h","pathPrefix":"/s/","lineKind":"safe","deadlineMs":1500,"targetMs":300,"depot":"p",)"
       R"("tries":2}}{}],"depots":[{{"name":"p","connLimit":400}}{}]}})",
-      edition, gather, more, depots);
+      revision, gather, more, services);
 }
 
-averau::ConfigurationPtr configuration(int edition, int shards, int routes) {
-  averau::Fault fault;
-  return averau::read_configuration(configuration_text(edition, shards, routes), fault);
+catalog::ConfigurationPtr configuration(int revision, int shards, int routes) {
+  catalog::Fault fault;
+  return catalog::parse_configuration(configuration_text(revision, shards, routes), fault);
 }
 
 // Answers every call at once with records.
@@ -51,9 +51,9 @@
     desk.set_allowance({0.2, 56, std::chrono::seconds(10)});
     for (int shard = -1; shard < shards; ++shard)
       for (int i = 0; i < 8; ++i) {
-        averau::Node node;
-        node.depot = shard < 0 ? "p" : fmt::format("s{}", shard);
-        node.id = fmt::format("{}-{}", node.depot, i);
+        catalog::Node node;
+        node.service = shard < 0 ? "p" : fmt::format("s{}", shard);
+        node.id = fmt::format("{}-{}", node.service, i);
         node.address = node.id + ":1";
         node.zone = i % 3 == 0 ? "a" : "b";
         desk.nodes().update(node.id, &node);
@@ -107,22 +107,23 @@
 
 struct Leader {
   Time now{Duration(100)};
-  vazzoler::View view;
+  subscription::ClusterView view;
   sennes::Followers followers{view};
   Leader(int edges, int nodes) {
     followers.open(now, 2, true);
     for (int i = 0; i < nodes; ++i) {
-      fanes::Change change;
-      change.kind = fanes::ChangeKind::node;
-      averau::Node& node = change.news.node;
+      protocol::Change change;
+      change.kind = protocol::ChangeKind::node_updated;
+      catalog::Node& node = change.update.node;
       node.id = fmt::format("i-{}", i);
-      node.depot = "d";
+      node.service = "d";
       node.address = fmt::format("10.0.{}.{}:80", i / 250, i % 250);
       followers.add(now, std::move(change));
     }
     for (int i = 0; i < edges; ++i)
-      followers.on_hello(now, static_cast<sennes::LinkId>(i + 1),
-                         {static_cast<fanes::Life>(i + 1), fanes::FollowerKind::edge, "e", "z", {}, 0});
+      followers.on_hello(
+          now, static_cast<sennes::LinkId>(i + 1),
+          {static_cast<protocol::Incarnation>(i + 1), protocol::FollowerKind::edge, "e", "z", {}, 0});
     followers.take_out(now);
   }
 };
@@ -131,12 +132,12 @@
   Leader leader(static_cast<int>(state.range(0)), 300);
   std::uint64_t number = 0;
   for (auto _ : state) {
-    fanes::Change change;
-    change.kind = fanes::ChangeKind::node;
-    change.news.node.id = "i-7";
-    change.news.node.address = "10.0.0.7:80";
-    change.news.node.slots = static_cast<int>(++number % 7);
-    change.news.node.call = number;
+    protocol::Change change;
+    change.kind = protocol::ChangeKind::node_updated;
+    change.update.node.id = "i-7";
+    change.update.node.address = "10.0.0.7:80";
+    change.update.node.slots = static_cast<int>(++number % 7);
+    change.update.node.sequence = number;
     leader.followers.add(leader.now, std::move(change));
     leader.now += Duration(0.02);
     benchmark::DoNotOptimize(leader.followers.take_out(leader.now));
@@ -147,7 +148,7 @@
 void everything_told(benchmark::State& state) {
   Leader leader(1, static_cast<int>(state.range(0)));
   for (auto _ : state) {
-    leader.followers.on_hello(leader.now, 1, {1, fanes::FollowerKind::edge, "e", "z", {}, 0});
+    leader.followers.on_hello(leader.now, 1, {1, protocol::FollowerKind::edge, "e", "z", {}, 0});
     benchmark::DoNotOptimize(leader.followers.take_out(leader.now));
   }
 }
@@ -156,8 +157,8 @@
 void delta_made(benchmark::State& state) {
   auto routes = static_cast<int>(state.range(0));
   std::string before = configuration_text(3, 12, routes), after = configuration_text(4, 12, routes + 1);
-  for (auto _ : state) benchmark::DoNotOptimize(fanes::make_delta(before, after));
-  state.counters["bytes"] = static_cast<double>(fanes::make_delta(before, after).size());
+  for (auto _ : state) benchmark::DoNotOptimize(protocol::make_delta(before, after));
+  state.counters["bytes"] = static_cast<double>(protocol::make_delta(before, after).size());
   state.counters["whole"] = static_cast<double>(after.size());
 }
 BENCHMARK(delta_made)->Arg(10)->Arg(300)->Arg(3000);
@@ -165,15 +166,15 @@
 void delta_used(benchmark::State& state) {
   auto routes = static_cast<int>(state.range(0));
   std::string before = configuration_text(3, 12, routes), after = configuration_text(4, 12, routes + 1);
-  std::string delta = fanes::make_delta(before, after);
-  for (auto _ : state) benchmark::DoNotOptimize(fanes::apply_delta(before, delta));
+  std::string delta = protocol::make_delta(before, after);
+  for (auto _ : state) benchmark::DoNotOptimize(protocol::apply_delta(before, delta));
 }
 BENCHMARK(delta_used)->Arg(300)->Arg(3000);
 
 void configuration_read(benchmark::State& state) {
   std::string text = configuration_text(3, 12, static_cast<int>(state.range(0)));
-  averau::Fault fault;
-  for (auto _ : state) benchmark::DoNotOptimize(averau::read_configuration(text, fault));
+  catalog::Fault fault;
+  for (auto _ : state) benchmark::DoNotOptimize(catalog::parse_configuration(text, fault));
 }
 BENCHMARK(configuration_read)->Arg(10)->Arg(300)->Arg(3000);
 
--- a/src/measure/system_measure.cpp
+++ b/src/measure/system_measure.cpp
@@ -159,8 +159,8 @@
   auto look = [&] {
     newest = 0, oldest = ~std::uint64_t{0};
     for (std::size_t i = 0; i < cluster.edges(); ++i) {
-      std::uint64_t edition = cluster.follower(i)->view().edition();
-      newest = std::max(newest, edition), oldest = std::min(oldest, edition);
+      std::uint64_t revision = cluster.follower(i)->view().revision();
+      newest = std::max(newest, revision), oldest = std::min(oldest, revision);
     }
   };
   look();
@@ -188,8 +188,8 @@
     std::uint64_t wanted = 0;
     int told = 0;
     double sent = 0;
-    cluster.edge_told = [&](std::size_t, std::uint64_t edition) {
-      if (edition == wanted && ++told == edges) all.push_back(cluster.seconds() - sent);
+    cluster.edge_told = [&](std::size_t, std::uint64_t revision) {
+      if (revision == wanted && ++told == edges) all.push_back(cluster.seconds() - sent);
     };
     cluster.run(6);
     cluster.change(0);
@@ -205,10 +205,10 @@
       sent = cluster.seconds();
       told = 0;
       wanted = 0;
-      // The edition is the next one or the second or third after it: whichever is seen first counts.
-      cluster.edge_told = [&](std::size_t, std::uint64_t edition) {
-        if (edition > wanted) wanted = edition, told = 0;
-        if (edition == wanted && ++told == edges) all.push_back(cluster.seconds() - sent);
+      // The revision is the next one or the second or third after it: whichever is seen first counts.
+      cluster.edge_told = [&](std::size_t, std::uint64_t revision) {
+        if (revision > wanted) wanted = revision, told = 0;
+        if (revision == wanted && ++told == edges) all.push_back(cluster.seconds() - sent);
       };
       cluster.change(0);
       cluster.run(1);
--- a/src/nuvolau/pool.cpp
+++ b/src/nuvolau/pool.cpp
@@ -4,19 +4,19 @@
 
 namespace pearspar::nuvolau {
 
-std::uint32_t Pool::grant(Time now, const std::string& depot, std::uint32_t wanted) {
+std::uint32_t Pool::grant(Time now, const std::string& service, std::uint32_t wanted) {
   auto refuse = [&] {
     refused_ += wanted;
     return std::uint32_t{0};
   };
   if (now < quiet_until_) return refuse();
-  if (accounts_.size() >= most_accounts && !accounts_.count(depot)) {
+  if (accounts_.size() >= most_accounts && !accounts_.count(service)) {
     std::erase_if(accounts_, [&](const auto& each) {
       return each.second.out.empty() || each.second.out.back().first <= now;
     });
     if (accounts_.size() >= most_accounts) return refuse();
   }
-  Account& account = accounts_[depot];
+  Account& account = accounts_[service];
   while (!account.out.empty() && account.out.front().first <= now) {
     account.sum -= account.out.front().second;
     account.out.pop_front();
--- a/src/nuvolau/pool.h
+++ b/src/nuvolau/pool.h
@@ -37,7 +37,7 @@
     quiet_until_ = now + token_life + rules_.window;
   }
   // So many of those wanted; half of what is left at most, so that whoever asks next finds some.
-  std::uint32_t grant(Time now, const std::string& depot, std::uint32_t wanted);
+  std::uint32_t grant(Time now, const std::string& service, std::uint32_t wanted);
 
   std::uint64_t granted() const { return granted_; }
   std::uint64_t refused() const { return refused_; }
--- a/src/pederu/admission.cpp
+++ b/src/pederu/admission.cpp
@@ -5,13 +5,13 @@
 
 namespace pearspar::pederu {
 
-double Admission::given_up(const std::string& depot) const {
-  auto found = services_.find(depot);
+double Admission::given_up(const std::string& service_name) const {
+  auto found = services_.find(service_name);
   return found == services_.end() ? 0 : found->second.level;
 }
 
-void Admission::outcome(Time now, const std::string& depot, bool refused_or_late, bool narrowest) {
-  Service& service = services_[depot];
+void Admission::outcome(Time now, const std::string& service_name, bool refused_or_late, bool narrowest) {
+  Service& service = services_[service_name];
   if (now - service.window_start >= window) close_window(now, service);
   ++service.outcomes;
   service.bad += refused_or_late;
@@ -57,13 +57,13 @@
   }
 }
 
-bool Admission::admit(Time now, const averau::Route& route, const std::vector<std::string>& depots,
+bool Admission::admit(Time now, const catalog::Route& route, const std::vector<std::string>& services,
                       std::size_t least, double part_ms) {
   if (strained_ == 0) return true;
   std::vector<double> refused;
   double work = std::max(part_ms, 0.1);
-  for (const std::string& depot : depots) {
-    auto found = services_.find(depot);
+  for (const std::string& service_name : services) {
+    auto found = services_.find(service_name);
     if (found == services_.end() || found->second.level == 0) {
       refused.push_back(0);
       continue;
@@ -74,9 +74,9 @@
       refused.push_back(0);
       continue;
     }
-    auto [asked, fresh] = found->second.routes.try_emplace(route.host + route.prefix);
+    auto [asked, fresh] = found->second.routes.try_emplace(route.host + route.path_prefix);
     asked->second.work += work;
-    asked->second.worth = 1 / (1.0 + route.precedence) / (work * static_cast<double>(depots.size()));
+    asked->second.worth = 1 / (1.0 + route.precedence) / (work * static_cast<double>(services.size()));
     if (fresh) asked->second.refused = found->second.level;
     refused.push_back(asked->second.refused);
   }
--- a/src/pederu/admission.h
+++ b/src/pederu/admission.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "averau/config.h"
+#include "catalog/configuration.h"
 #include "pederu/types.h"
 
 namespace pearspar::pederu {
@@ -18,13 +18,13 @@
 class Admission {
  public:
   // How a call has ended; `narrowest`: fewer shards than now may not be asked.
-  void outcome(Time now, const std::string& depot, bool refused_or_late, bool narrowest);
-  // Whether it is served. `depots` are its services, `least` of them have to be asked; `part_ms` is what a
+  void outcome(Time now, const std::string& service, bool refused_or_late, bool narrowest);
+  // Whether it is served. `services` are its services, `least` of them have to be asked; `part_ms` is what a
   // part takes.
-  bool admit(Time now, const averau::Route& route, const std::vector<std::string>& depots, std::size_t least,
-             double part_ms);
+  bool admit(Time now, const catalog::Route& route, const std::vector<std::string>& services,
+             std::size_t least, double part_ms);
   // The share of its work that a service gives up.
-  double given_up(const std::string& depot) const;
+  double given_up(const std::string& service) const;
 
  private:
   static constexpr double step = 0.1;
--- a/src/pederu/allowance.h
+++ b/src/pederu/allowance.h
@@ -26,13 +26,13 @@
   void set(const AllowanceRules& rules) { rules_ = rules; }
   void set_edges(std::uint32_t edges) { edges_ = edges > 0 ? edges : 1; }
 
-  void request(Time now, const std::string& depot) { account(now, depot).buckets[at_].requests += 1; }
+  void request(Time now, const std::string& service) { account(now, service).buckets[at_].requests += 1; }
   // Whether one more may be sent; if so it is counted.
-  bool spend(Time now, const std::string& depot);
+  bool spend(Time now, const std::string& service);
 
   // What is to be asked for of the leader, by service; empty where nothing is short.
   std::vector<std::pair<std::string, std::uint32_t>> take_wanted(Time now);
-  void granted(Time until, const std::string& depot, std::uint32_t count);
+  void granted(Time until, const std::string& service, std::uint32_t count);
 
  private:
   static constexpr int bucket_count = 20;  // a window
@@ -53,8 +53,8 @@
     std::vector<std::pair<Time, std::uint32_t>> tokens;  // until when, how many
     bool wanting = false;
   };
-  Account& account(Time now, const std::string& depot);
-  void want(Account& account, const std::string& depot);
+  Account& account(Time now, const std::string& service);
+  void want(Account& account, const std::string& service);
   static bool spend_token(Time now, Account& account);
 
   AllowanceRules rules_;
--- a/src/pederu/desk.cpp
+++ b/src/pederu/desk.cpp
@@ -38,7 +38,7 @@
     return RequestId{};
   };
   if (!routes_) return ++counters_.refused, refuse(503, 0.2, Reason::no_configuration);
-  const averau::Route* route = routes_->find(arrival.host, arrival.target);
+  const catalog::Route* route = routes_->find(arrival.host, arrival.target);
   if (!route) return ++counters_.no_route, refuse(404, 0, Reason::no_route);
   if (requests_.size() >= most_open) return ++counters_.refused, refuse(503, 0.2, Reason::too_many_open);
 
@@ -74,7 +74,7 @@
   std::size_t sent = 0;
   for (std::size_t i = 0; i < request.parts.size(); ++i)
     if (request.parts[i].wanted && send(now, id, i)) ++sent;
-  std::size_t least = route->gathers() ? least_parts(request.parts.size(), route->least_share) : 1;
+  std::size_t least = route->gathers() ? least_parts(request.parts.size(), route->min_shard_ratio) : 1;
   if (sent == 0 || sent < least) {
     // What was sent runs to its end; nothing more is made of it.
     answer = sent == 0 ? refusal(request, Reason::no_node) : failure(now, request);
@@ -92,9 +92,9 @@
   return id;
 }
 
-bool Desk::admitted(Time now, const averau::Route& route, const std::vector<std::string>& depots,
+bool Desk::admitted(Time now, const catalog::Route& route, const std::vector<std::string>& services,
                     std::size_t least, FinalAnswer& answer, const Request& request) {
-  if (admission_.admit(now, route, depots, least, book_.typical(route).count() * 1000)) return true;
+  if (admission_.admit(now, route, services, least, book_.typical(route).count() * 1000)) return true;
   ++counters_.refused;
   ++counters_.given_up;
   answer = refusal(request, Reason::overload);
@@ -103,56 +103,57 @@
 
 // Which services get it. False with an answer where it is given up already.
 bool Desk::plan(Time now, Request& request, FinalAnswer& answer) {
-  const averau::Route& route = *request.route;
+  const catalog::Route& route = *request.route;
   if (!route.gathers()) {
-    const std::string* depot = &route.depots[0].depot;
-    if (route.depots.size() > 1) {
+    const std::string* service = &route.services[0].service;
+    if (route.services.size() > 1) {
       // By weight, and by turns that never run in step with the clients.
       double sum = 0;
-      for (const averau::Share& share : route.depots) sum += share.weight;
+      for (const catalog::WeightedService& share : route.services) sum += share.weight;
       double at = std::fmod(static_cast<double>(++turn_) * 0.6180339887498949, 1.0) * sum;
-      for (const averau::Share& share : route.depots) {
+      for (const catalog::WeightedService& share : route.services) {
         if (share.weight <= 0) continue;
-        depot = &share.depot;
+        service = &share.service;
         if ((at -= share.weight) < 0) break;
       }
     }
-    if (!admitted(now, route, {*depot}, 1, answer, request)) return false;
+    if (!admitted(now, route, {*service}, 1, answer, request)) return false;
     request.parts.resize(1);
-    request.parts[0].depot = *depot;
+    request.parts[0].service = *service;
     request.parts[0].wanted = true;
-    allowance_.request(now, *depot);
+    allowance_.request(now, *service);
     return true;
   }
   ++counters_.gathered;
-  if (!admitted(now, route, route.shards, least_parts(route.shards.size(), route.least_share), answer,
+  if (!admitted(now, route, route.shards, least_parts(route.shards.size(), route.min_shard_ratio), answer,
                 request))
     return false;
   request.parts.resize(route.shards.size());
-  for (std::size_t i = 0; i < route.shards.size(); ++i) request.parts[i].depot = route.shards[i];
+  for (std::size_t i = 0; i < route.shards.size(); ++i) request.parts[i].service = route.shards[i];
   // A class without partial answers gets every shard, whatever the strain.
-  double coverage = route.least_share >= 1 ? 1 : coverage_.share();
+  double coverage = route.min_shard_ratio >= 1 ? 1 : coverage_.share();
   std::vector<double> weights = weights_.of(route.shards);
   for (std::size_t i = 0; i < weights.size(); ++i)
-    if (!nodes_.answers(request.parts[i].depot)) {
+    if (!nodes_.answers(request.parts[i].service)) {
       // Nothing of it survives a merge while nobody there answers. A trial now and then tells when that ends.
       weights[i] = 0;
       request.parts[i].trial = true;
     }
-  for (std::size_t i : heaviest_first(weights, coverage, route.least_share)) request.parts[i].wanted = true;
+  for (std::size_t i : heaviest_first(weights, coverage, route.min_shard_ratio))
+    request.parts[i].wanted = true;
   std::size_t wanted = 0;
   for (Part& part : request.parts) {
-    if (part.wanted && part.trial && !nodes_.trial_due(now, part.depot)) part.wanted = false;
+    if (part.wanted && part.trial && !nodes_.trial_due(now, part.service)) part.wanted = false;
     part.over = !part.wanted;
     wanted += part.wanted;
   }
-  if (wanted < least_parts(route.shards.size(), route.least_share)) {
+  if (wanted < least_parts(route.shards.size(), route.min_shard_ratio)) {
     ++counters_.refused;
     answer = refusal(request, Reason::too_few_parts);
     return false;
   }
   for (const Part& part : request.parts)
-    if (part.wanted) allowance_.request(now, part.depot);
+    if (part.wanted) allowance_.request(now, part.service);
   return true;
 }
 
--- a/src/pederu/desk.h
+++ b/src/pederu/desk.h
@@ -74,7 +74,7 @@
   NodeBook& nodes() { return nodes_; }
 
   // Its route; null where there is none.
-  const averau::Route* route_of(const Arrival& arrival) const {
+  const catalog::Route* route_of(const Arrival& arrival) const {
     return routes_ ? routes_->find(arrival.host, arrival.target) : nullptr;
   }
   // Where it can be told at once, `answer` is set; else it follows in take_answers().
@@ -110,7 +110,7 @@
   };
 
   bool plan(Time now, Request& request, FinalAnswer& answer);
-  bool admitted(Time now, const averau::Route& route, const std::vector<std::string>& depots,
+  bool admitted(Time now, const catalog::Route& route, const std::vector<std::string>& services,
                 std::size_t least, FinalAnswer& answer, const Request& request);
   bool send(Time now, RequestId id, std::size_t part);
   void cancel(Part& part, bool even_if_sent);
@@ -127,7 +127,7 @@
   void note_late(Time now, Request& request);
   void release(RequestId id);
   void outcome(Time now, Out& out, bool bad);
-  int connections_for(const Request& request, const std::string& depot) const;
+  int connections_for(const Request& request, const std::string& service) const;
 
   Calls& calls_;
   std::shared_ptr<const Routes> routes_;
--- a/src/pederu/desk_answers.cpp
+++ b/src/pederu/desk_answers.cpp
@@ -15,7 +15,7 @@
 constexpr double late_worth = 0.33;
 
 bool enough(const Request& request, std::size_t in) {
-  return in >= least_parts(request.parts.size(), request.route->least_share);
+  return in >= least_parts(request.parts.size(), request.route->min_shard_ratio);
 }
 
 }  // namespace
@@ -68,11 +68,11 @@
   for (const Part& part : request.parts) {
     if (!part.in) continue;
     bodies.push_back(part.body);
-    names.push_back(part.depot);
+    names.push_back(part.service);
     if (!stamps.empty()) stamps += ", ";
     stamps += part.stamp;
   }
-  Merged merged = merge(bodies, static_cast<std::size_t>(request.route->top));
+  Merged merged = merge(bodies, static_cast<std::size_t>(request.route->max_records));
   std::size_t missing = request.parts.size() - bodies.size();
   invariants::check(invariants::Promise::parts_are_of_one_set,
                     request.parts.size() == request.route->shards.size() && !bodies.empty(), request.id);
--- a/src/pederu/desk_calls.cpp
+++ b/src/pederu/desk_calls.cpp
@@ -46,21 +46,21 @@
 }
 
 // A node takes so many connections from all callers together; each edge keeps to its part.
-int Desk::connections_for(const Request& request, const std::string& depot) const {
-  const averau::Depot* known = request.routes->depot(depot);
-  if (!known || known->connections <= 0) return 64;
-  return std::max(1, static_cast<int>(known->connections * share_of_connections / edges_));
+int Desk::connections_for(const Request& request, const std::string& service) const {
+  const catalog::Service* known = request.routes->service(service);
+  if (!known || known->max_connections <= 0) return 64;
+  return std::max(1, static_cast<int>(known->max_connections * share_of_connections / edges_));
 }
 
 // One call more for the part. False where no node has room for it.
 bool Desk::send(Time now, RequestId id, std::size_t index) {
   Request& request = *requests_.find(id);
   Part& part = request.parts[index];
-  int most = connections_for(request, part.depot);
+  int most = connections_for(request, part.service);
   // A node without a free connection is passed over for this time.
   std::vector<NodePtr> passed = part.tried;
   for (int looks = 0; looks < 4; ++looks) {
-    NodePtr node = nodes_.choose(now, part.depot, passed, ++turn_, book_.away_factor(*request.route));
+    NodePtr node = nodes_.choose(now, part.service, passed, ++turn_, book_.away_factor(*request.route));
     if (!node) break;
     CallId call = out_.add();
     const std::size_t size = request.head.size() + request.payload.size();
@@ -80,7 +80,7 @@
     part.calls.push_back(call);
     ++part.tries;
     ++counters_.calls;
-    invariants::check(Promise::tries_within_route, part.tries <= request.route->tries, request.id);
+    invariants::check(Promise::tries_within_route, part.tries <= request.route->max_attempts, request.id);
     invariants::check(Promise::unsafe_is_not_repeated, request.route->safe || !part.ran, request.id);
     return true;
   }
@@ -104,10 +104,10 @@
   out.counted = true;
   Request* request = requests_.find(out.request);
   if (!request) return;
-  const averau::Route& route = *request->route;
+  const catalog::Route& route = *request->route;
   if (route.gathers()) coverage_.outcome(now, bad);
-  admission_.outcome(now, request->parts[out.part].depot, bad,
-                     !route.gathers() || coverage_.share() <= route.least_share);
+  admission_.outcome(now, request->parts[out.part].service, bad,
+                     !route.gathers() || coverage_.share() <= route.min_shard_ratio);
 }
 
 void Desk::ended(Time now, CallId call, const CallEnd& end) {
@@ -177,8 +177,8 @@
   }
   if (!part.calls.empty()) return;  // another call of it is out
   bool may_repeat = request.route->safe || !part.ran;
-  if (may_repeat && part.tries < request.route->tries && now < request.end) {
-    if (allowance_.spend(now, part.depot)) {
+  if (may_repeat && part.tries < request.route->max_attempts && now < request.end) {
+    if (allowance_.spend(now, part.service)) {
       ++counters_.second_calls;
       if (send(now, id, index)) return;
     } else {
@@ -207,10 +207,10 @@
     Part& part = request.parts[i];
     if (part.in || part.over || now < part.second_due) continue;
     part.second_due = Time::max();
-    if (!request.route->safe || part.tries >= request.route->tries || part.calls.empty()) continue;
+    if (!request.route->safe || part.tries >= request.route->max_attempts || part.calls.empty()) continue;
     if (now + book_.typical(*request.route) > request.soft_end) continue;
-    if (!nodes_.other(now, part.depot, part.tried)) continue;
-    if (!allowance_.spend(now, part.depot)) {
+    if (!nodes_.other(now, part.service, part.tried)) continue;
+    if (!allowance_.spend(now, part.service)) {
       ++counters_.withheld;
       continue;
     }
--- a/src/pederu/failures.cpp
+++ b/src/pederu/failures.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "averau/json.h"
+#include "catalog/json.h"
 
 namespace pearspar::pederu {
 namespace {
@@ -18,8 +18,8 @@
 double ms(Duration duration) { return duration.count() * 1000; }
 
 std::string json_of(const FailedCall& call) {
-  return fmt::format(R"({{"node":{},"how":{},"tookMs":{:.1f}}})", averau::quoted(call.node),
-                     averau::quoted(call.how), ms(call.took));
+  return fmt::format(R"({{"node":{},"how":{},"tookMs":{:.1f}}})", catalog::quoted(call.node),
+                     catalog::quoted(call.how), ms(call.took));
 }
 
 }  // namespace
@@ -41,8 +41,8 @@
     for (const FailedCall& call : each->calls) calls += (calls.empty() ? "" : ",") + json_of(call);
     text += fmt::format(
         R"({}{{"agoMs":{:.0f},"id":{},"route":{},"status":{},"reason":"{}","tookMs":{:.1f},"calls":[{}]}})",
-        each == newest_.rbegin() ? "" : ",", ms(now - each->at), averau::quoted(each->id),
-        averau::quoted(each->route), each->status, name(each->reason), ms(each->took), calls);
+        each == newest_.rbegin() ? "" : ",", ms(now - each->at), catalog::quoted(each->id),
+        catalog::quoted(each->route), each->status, name(each->reason), ms(each->took), calls);
   }
   return text + "]}";
 }
--- a/src/pederu/node_book.cpp
+++ b/src/pederu/node_book.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void NodeBook::update(const std::string& id, const averau::Node* node) {
+void NodeBook::update(const std::string& id, const catalog::Node* node) {
   auto found = nodes_.find(id);
   if (!node) {
     if (found == nodes_.end()) return;
@@ -23,14 +23,14 @@
     if (found->second->out == 0) forget(id);
     return;
   }
-  if (found != nodes_.end() && found->second->depot != node->depot) return;  // one life, one service
+  if (found != nodes_.end() && found->second->service != node->service) return;  // one life, one service
   if (found == nodes_.end()) {
     found = nodes_.emplace(id, std::make_shared<KnownNode>()).first;
-    services_[node->depot].nodes.push_back(found->second);
+    services_[node->service].nodes.push_back(found->second);
   }
   KnownNode& known = *found->second;
   known.id = id;
-  known.depot = node->depot;
+  known.service = node->service;
   known.address = node->address;
   known.zone = node->zone;
   known.slots = std::max(1, node->slots);
@@ -41,20 +41,20 @@
 
 void NodeBook::forget(const std::string& id) {
   auto found = nodes_.find(id);
-  auto& nodes = services_[found->second->depot].nodes;
+  auto& nodes = services_[found->second->service].nodes;
   std::erase(nodes, found->second);
   nodes_.erase(found);
 }
 
-std::size_t NodeBook::open(const std::string& depot) const {
-  auto service = services_.find(depot);
+std::size_t NodeBook::open(const std::string& service_name) const {
+  auto service = services_.find(service_name);
   if (service == services_.end()) return 0;
   return static_cast<std::size_t>(std::count_if(service->second.nodes.begin(), service->second.nodes.end(),
                                                 [](const NodePtr& n) { return n->listed && !n->closing; }));
 }
 
-bool NodeBook::other(Time now, const std::string& depot, const std::vector<NodePtr>& tried) const {
-  auto service = services_.find(depot);
+bool NodeBook::other(Time now, const std::string& service_name, const std::vector<NodePtr>& tried) const {
+  auto service = services_.find(service_name);
   if (service == services_.end()) return false;
   return std::any_of(service->second.nodes.begin(), service->second.nodes.end(), [&](const NodePtr& node) {
     return node->listed && !node->closing && now >= node->blamed_until &&
@@ -62,25 +62,25 @@
   });
 }
 
-bool NodeBook::answers(const std::string& depot) const {
-  auto service = services_.find(depot);
+bool NodeBook::answers(const std::string& service_name) const {
+  auto service = services_.find(service_name);
   if (service == services_.end()) return false;
   return std::any_of(service->second.nodes.begin(), service->second.nodes.end(), [](const NodePtr& node) {
     return node->listed && !node->closing && node->silent < silent_calls;
   });
 }
 
-bool NodeBook::trial_due(Time now, const std::string& depot) {
-  if (open(depot) == 0) return false;
-  Service& service = services_[depot];
+bool NodeBook::trial_due(Time now, const std::string& service_name) {
+  if (open(service_name) == 0) return false;
+  Service& service = services_[service_name];
   if (now < service.trial_due) return false;
   service.trial_due = now + trial_every;
   return true;
 }
 
-NodePtr NodeBook::choose(Time now, const std::string& depot, const std::vector<NodePtr>& tried,
+NodePtr NodeBook::choose(Time now, const std::string& service_name, const std::vector<NodePtr>& tried,
                          std::uint64_t turn, double away) const {
-  auto service = services_.find(depot);
+  auto service = services_.find(service_name);
   if (service == services_.end()) return nullptr;
   const auto& nodes = service->second.nodes;
   double sum = 0;
--- a/src/pederu/node_book.h
+++ b/src/pederu/node_book.h
@@ -9,14 +9,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "averau/nodes.h"
+#include "catalog/node_list.h"
 #include "pederu/types.h"
 
 namespace pearspar::pederu {
 
 struct KnownNode {
   std::string id;
-  std::string depot;
+  std::string service;
   std::string address;
   std::string zone;
   int slots = 1;
@@ -36,22 +36,22 @@
 class NodeBook {
  public:
   // The list's news of one node; `node` is null where it is not listed any more.
-  void update(const std::string& id, const averau::Node* node);
+  void update(const std::string& id, const catalog::Node* node);
 
   // The best node of the service that is not among `tried`; nothing where there is none.
   // `away`: how many times slower a node of another zone counts.
-  NodePtr choose(Time now, const std::string& depot, const std::vector<NodePtr>& tried, std::uint64_t turn,
+  NodePtr choose(Time now, const std::string& service, const std::vector<NodePtr>& tried, std::uint64_t turn,
                  double away = 1) const;
   void set_home(std::string zone) { home_ = std::move(zone); }
   // Whether there is another that is not in disgrace.
-  bool other(Time now, const std::string& depot, const std::vector<NodePtr>& tried) const;
+  bool other(Time now, const std::string& service, const std::vector<NodePtr>& tried) const;
   // Whether anybody of the service answers, as far as can be told: false where every one of its nodes has
   // left several calls in a row without an answer.
-  bool answers(const std::string& depot) const;
+  bool answers(const std::string& service) const;
   // Whether it is time to try one that does not; if so, the next is put off.
-  bool trial_due(Time now, const std::string& depot);
+  bool trial_due(Time now, const std::string& service);
   // Nodes of a service that may be asked.
-  std::size_t open(const std::string& depot) const;
+  std::size_t open(const std::string& service) const;
 
   void started(KnownNode& node) { ++node.out; }
   // An answer, or a refusal by the node itself, after so long.
--- a/src/pederu/request.h
+++ b/src/pederu/request.h
@@ -44,7 +44,7 @@
 
 // A shard of a gathered request, or the one service of any other.
 struct Part {
-  std::string depot;
+  std::string service;
   std::vector<NodePtr> tried;
   std::vector<CallId> calls;  // out
   std::vector<FailedCall> failed;
@@ -61,7 +61,7 @@
 
 struct Request {
   std::shared_ptr<const Routes> routes;  // of the configuration that it began with: all parts are of one
-  const averau::Route* route = nullptr;
+  const catalog::Route* route = nullptr;
   std::string head;     // request line and headers that are handed on
   std::string payload;  // body
   std::string id;
--- a/src/pederu/route_book.cpp
+++ b/src/pederu/route_book.cpp
@@ -13,16 +13,16 @@
 constexpr double deviations = 4;   // past the mean: under one in twenty takes longer, as times are spread
 constexpr std::size_t most_routes = 4096;
 
-std::string key(const averau::Route& route) { return route.host + route.prefix; }
+std::string key(const catalog::Route& route) { return route.host + route.path_prefix; }
 
 }  // namespace
 
-const RouteBook::Known* RouteBook::find(const averau::Route& route) const {
+const RouteBook::Known* RouteBook::find(const catalog::Route& route) const {
   auto found = known_.find(key(route));
   return found == known_.end() ? nullptr : &found->second;
 }
 
-void RouteBook::answered(const averau::Route& route, Duration took, std::size_t bytes) {
+void RouteBook::answered(const catalog::Route& route, Duration took, std::size_t bytes) {
   if (known_.size() >= most_routes) known_.clear();
   Known& known = known_[key(route)];
   double ms = took.count() * 1000, size = static_cast<double>(bytes);
@@ -36,18 +36,18 @@
   known.mean_ms += smoothing * (ms - known.mean_ms);
 }
 
-double RouteBook::away_factor(const averau::Route& route) const {
+double RouteBook::away_factor(const catalog::Route& route) const {
   const Known* known = find(route);
   return known ? 1 + std::min(most_away, away_per_kb * known->bytes / 1024) : 1;
 }
 
-Duration RouteBook::second_after(const averau::Route& route) const {
+Duration RouteBook::second_after(const catalog::Route& route) const {
   const Known* known = find(route);
   if (!known || known->answers < least_answers) return {};
   return from_ms(known->mean_ms + deviations * known->deviation_ms);
 }
 
-Duration RouteBook::typical(const averau::Route& route) const {
+Duration RouteBook::typical(const catalog::Route& route) const {
   const Known* known = find(route);
   return known ? from_ms(known->mean_ms) : Duration{};
 }
--- a/src/pederu/route_book.h
+++ b/src/pederu/route_book.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "averau/config.h"
+#include "catalog/configuration.h"
 #include "pederu/types.h"
 
 namespace pearspar::pederu {
@@ -14,13 +14,13 @@
 class RouteBook {
  public:
   // A good answer of a node; `bytes` there and back.
-  void answered(const averau::Route& route, Duration took, std::size_t bytes);
+  void answered(const catalog::Route& route, Duration took, std::size_t bytes);
 
   // A kilobyte from another zone weighs as much as so much of the latency.
-  double away_factor(const averau::Route& route) const;
+  double away_factor(const catalog::Route& route) const;
   // So long after a call was sent another pays: past what nearly all take. Zero where too little is known.
-  Duration second_after(const averau::Route& route) const;
-  Duration typical(const averau::Route& route) const;
+  Duration second_after(const catalog::Route& route) const;
+  Duration typical(const catalog::Route& route) const;
 
  private:
   struct Known {
@@ -29,9 +29,9 @@
     double deviation_ms = 0;  // mean distance from the mean
     int answers = 0;
   };
-  const Known* find(const averau::Route& route) const;
+  const Known* find(const catalog::Route& route) const;
 
-  std::unordered_map<std::string, Known> known_;  // by host and prefix: a route's life over editions
+  std::unordered_map<std::string, Known> known_;  // by host and prefix: a route's life over revisions
 };
 
 }  // namespace pearspar::pederu
--- a/src/pederu/routes.cpp
+++ b/src/pederu/routes.cpp
@@ -14,27 +14,27 @@
 
 }  // namespace
 
-Routes::Routes(averau::ConfigurationPtr configuration) : configuration_(std::move(configuration)) {
-  for (const averau::Route& route : configuration_->routes) by_host_[host_key(route.host)].push_back(&route);
+Routes::Routes(catalog::ConfigurationPtr configuration) : configuration_(std::move(configuration)) {
+  for (const catalog::Route& route : configuration_->routes) by_host_[host_key(route.host)].push_back(&route);
   for (auto& [host, routes] : by_host_)
-    std::stable_sort(routes.begin(), routes.end(), [](const averau::Route* a, const averau::Route* b) {
-      return a->prefix.size() > b->prefix.size();
+    std::stable_sort(routes.begin(), routes.end(), [](const catalog::Route* a, const catalog::Route* b) {
+      return a->path_prefix.size() > b->path_prefix.size();
     });
-  for (const averau::Depot& depot : configuration_->depots) depots_[depot.name] = &depot;
+  for (const catalog::Service& service : configuration_->services) services_[service.name] = &service;
 }
 
-const averau::Route* Routes::find(std::string_view host, std::string_view target) const {
+const catalog::Route* Routes::find(std::string_view host, std::string_view target) const {
   auto found = by_host_.find(host_key(host));
   if (found == by_host_.end()) return nullptr;
   std::string_view path = target.substr(0, target.find('?'));
-  for (const averau::Route* route : found->second)
-    if (path.starts_with(route->prefix)) return route;
+  for (const catalog::Route* route : found->second)
+    if (path.starts_with(route->path_prefix)) return route;
   return nullptr;
 }
 
-const averau::Depot* Routes::depot(const std::string& name) const {
-  auto found = depots_.find(name);
-  return found == depots_.end() ? nullptr : found->second;
+const catalog::Service* Routes::service(const std::string& name) const {
+  auto found = services_.find(name);
+  return found == services_.end() ? nullptr : found->second;
 }
 
 }  // namespace pearspar::pederu
--- a/src/pederu/routes.h
+++ b/src/pederu/routes.h
@@ -6,23 +6,23 @@
 #include <unordered_map>
 #include <vector>
 
-#include "averau/config.h"
+#include "catalog/configuration.h"
 
 namespace pearspar::pederu {
 
 class Routes {
  public:
-  explicit Routes(averau::ConfigurationPtr configuration);
+  explicit Routes(catalog::ConfigurationPtr configuration);
 
   // `host` as the client wrote it, with or without a port. Nothing where there is no route.
-  const averau::Route* find(std::string_view host, std::string_view target) const;
-  const averau::Depot* depot(const std::string& name) const;
-  const averau::ConfigurationPtr& configuration() const { return configuration_; }
+  const catalog::Route* find(std::string_view host, std::string_view target) const;
+  const catalog::Service* service(const std::string& name) const;
+  const catalog::ConfigurationPtr& configuration() const { return configuration_; }
 
  private:
-  averau::ConfigurationPtr configuration_;
-  std::unordered_map<std::string, std::vector<const averau::Route*>> by_host_;  // longest prefix first
-  std::unordered_map<std::string, const averau::Depot*> depots_;
+  catalog::ConfigurationPtr configuration_;
+  std::unordered_map<std::string, std::vector<const catalog::Route*>> by_host_;  // longest prefix first
+  std::unordered_map<std::string, const catalog::Service*> services_;
 };
 
 }  // namespace pearspar::pederu
--- a/src/pramperet/accounts.cpp
+++ b/src/pramperet/accounts.cpp
@@ -33,7 +33,7 @@
   std::optional<std::uint64_t> least;
   std::vector<Leaf> all = levels(leaf);
   for (const Leaf& level : all) {
-    const averau::Account* account = rules_->find(level.holder, level.kind);
+    const catalog::QuotaAccount* account = rules_->find(level.holder, level.kind);
     if (!account) continue;
     // Past its own limit a branch that borrows is bound by its firm alone.
     if (account->borrows && rules_->find(all.back().holder, leaf.kind)) continue;
@@ -169,7 +169,7 @@
     Period* at = period(place.second);
     if (!at || grant.out == 0) continue;
     std::uint64_t out = grant.out;
-    std::uint64_t doubt = rules_->spend_out_of_touch ? out : std::min(out, unsettled_);
+    std::uint64_t doubt = rules_->spend_when_disconnected ? out : std::min(out, unsettled_);
     grant.out = 0;
     grant.in_doubt = doubt;
     at_levels(*at, place.first, [&](Count& count) {
@@ -225,7 +225,7 @@
   std::vector<Line> found;
   for (auto at = periods_.rbegin(); at != periods_.rend(); ++at)
     for (const auto& [leaf, count] : at->counts) {
-      const averau::Account* account = rules_ ? rules_->find(leaf.holder, leaf.kind) : nullptr;
+      const catalog::QuotaAccount* account = rules_ ? rules_->find(leaf.holder, leaf.kind) : nullptr;
       found.push_back({at->number, leaf, account ? account->limit : 0, account != nullptr, count});
     }
   return found;
--- a/src/pramperet/accounts.h
+++ b/src/pramperet/accounts.h
@@ -15,13 +15,13 @@
 #include <utility>
 #include <vector>
 
-#include "averau/config.h"
+#include "catalog/configuration.h"
 #include "pramperet/words.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 class Packer;
 class Unpacker;
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
 
 namespace pearspar::pramperet {
 
@@ -38,7 +38,7 @@
 class Accounts {
  public:
   // The rules from this place of the log on; null = none.
-  void configure(std::shared_ptr<const averau::Allowances> rules) { rules_ = std::move(rules); }
+  void configure(std::shared_ptr<const catalog::QuotaRules> rules) { rules_ = std::move(rules); }
   bool on() const { return rules_ != nullptr; }
 
   // For the search through its states: another bound than most_unsettled.
@@ -69,8 +69,8 @@
   std::vector<Line> lines() const;
   Count count(const Leaf& level) const;  // of the window that runs
 
-  void fold(fanes::Packer& packer) const;
-  bool restore(fanes::Unpacker& in);
+  void fold(protocol::Packer& packer) const;
+  bool restore(protocol::Unpacker& in);
 
  private:
   static constexpr std::size_t periods_kept = 3;
@@ -108,7 +108,7 @@
   static void sure(Period& period, Claim& claim);
   void give(Held& held, const Amount& want);
 
-  std::shared_ptr<const averau::Allowances> rules_;
+  std::shared_ptr<const catalog::QuotaRules> rules_;
   std::uint64_t unsettled_ = most_unsettled;
   std::deque<Period> periods_;
   std::map<Life, Held> held_;
--- a/src/pramperet/bursar.cpp
+++ b/src/pramperet/bursar.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "fanes/allowance.h"
+#include "protocol/quota_codec.h"
 
 namespace pearspar::pramperet {
 namespace {
@@ -13,7 +13,7 @@
          !ask.refused.empty() || !ask.wants.empty();
 }
 
-Duration length(const averau::Allowances& rules) { return Duration(rules.window_ms / 1000); }
+Duration length(const catalog::QuotaRules& rules) { return Duration(rules.window_ms / 1000); }
 
 }  // namespace
 
@@ -51,24 +51,24 @@
   waiting_.emplace_back(link, std::move(ask));
 }
 
-void Bursar::look(Time now, const Accounts& accounts, const averau::Allowances& rules,
-                  std::vector<fanes::AllowanceStep>& steps) {
+void Bursar::look(Time now, const Accounts& accounts, const catalog::QuotaRules& rules,
+                  std::vector<protocol::QuotaCommand>& steps) {
   look_due_ = now + look_every;
   if (accounts.window() == 0 || now - turned_ >= length(rules))
-    steps.emplace_back(fanes::Turn{accounts.window() + 1});
+    steps.emplace_back(protocol::AdvanceWindow{accounts.window() + 1});
   for (Life life : accounts.lives()) {
     auto [heard, fresh] = heard_.try_emplace(life, Link{0}, now);
     if (fresh || now - heard->second.second <= silence) continue;
-    steps.emplace_back(fanes::Gone{life});
+    steps.emplace_back(protocol::ExpireEdge{life});
     ++counters_.given_up;
   }
 }
 
 std::optional<std::string> Bursar::entry(Time now, const Accounts& accounts,
-                                         const averau::Allowances* rules) {
+                                         const catalog::QuotaRules* rules) {
   if (!rules) waiting_.clear();
   if (!open_ || busy_ || !rules) return std::nullopt;
-  std::vector<fanes::AllowanceStep> steps;
+  std::vector<protocol::QuotaCommand> steps;
   // Before the questions: what they get is of the window that runs when they are answered.
   if (now >= look_due_) look(now, accounts, *rules, steps);
   if (now >= gather_due_) {
@@ -85,7 +85,7 @@
   }
   if (steps.empty()) return std::nullopt;
   ++counters_.entries;
-  return fanes::pack_steps(steps);
+  return protocol::pack_quota_commands(steps);
 }
 
 void Bursar::proposed(std::optional<std::uint64_t> index) {
@@ -94,11 +94,12 @@
   if (!busy_) under_way_.clear();  // the disk refuses; edges ask again
 }
 
-Duration Bursar::left(Time now, const averau::Allowances* rules) const {
+Duration Bursar::left(Time now, const catalog::QuotaRules* rules) const {
   return rules ? std::max(Duration(0), turned_ + length(*rules) - now) : Duration(0);
 }
 
-Tell Bursar::tell(Time now, const Ask& ask, const Accounts& accounts, const averau::Allowances* rules) const {
+Tell Bursar::tell(Time now, const Ask& ask, const Accounts& accounts,
+                  const catalog::QuotaRules* rules) const {
   Tell tell;
   tell.number = ask.number;
   tell.window = accounts.window();
@@ -109,7 +110,7 @@
 }
 
 std::vector<std::pair<Link, Tell>> Bursar::tells(Time now, std::uint64_t applied, const Accounts& accounts,
-                                                 const averau::Allowances* rules) {
+                                                 const catalog::QuotaRules* rules) {
   std::vector<std::pair<Link, Tell>> out = std::exchange(now_, {});
   if (!busy_ || applied < *index_) return out;
   busy_ = false;
@@ -138,7 +139,7 @@
   return out;
 }
 
-Time Bursar::due(const averau::Allowances* rules) const {
+Time Bursar::due(const catalog::QuotaRules* rules) const {
   if (!open_ || !rules) return Time::max();
   return busy_ ? Time::max() : std::min(gather_due_, look_due_);
 }
--- a/src/pramperet/bursar.h
+++ b/src/pramperet/bursar.h
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "fanes/allowance.h"
 #include "pramperet/accounts.h"
+#include "protocol/quota_codec.h"
 
 namespace pearspar::pramperet {
 
@@ -39,14 +39,14 @@
 
   void ask(Time now, Link link, Ask ask);
   // What is to be put into the log now; nothing while an entry is under way. Then proposed() follows.
-  std::optional<std::string> entry(Time now, const Accounts& accounts, const averau::Allowances* rules);
+  std::optional<std::string> entry(Time now, const Accounts& accounts, const catalog::QuotaRules* rules);
   void proposed(std::optional<std::uint64_t> index);
   // What is to be told, now that entries up to `applied` are in force.
   std::vector<std::pair<Link, Tell>> tells(Time now, std::uint64_t applied, const Accounts& accounts,
-                                           const averau::Allowances* rules);
-  Time due(const averau::Allowances* rules) const;
+                                           const catalog::QuotaRules* rules);
+  Time due(const catalog::QuotaRules* rules) const;
   // Of the window that runs.
-  Duration left(Time now, const averau::Allowances* rules) const;
+  Duration left(Time now, const catalog::QuotaRules* rules) const;
   const BursarCounters& counters() const { return counters_; }
 
  private:
@@ -57,9 +57,9 @@
   static constexpr Duration look_every = std::chrono::milliseconds(200);
   static constexpr std::size_t most_waiting = 4096;
 
-  void look(Time now, const Accounts& accounts, const averau::Allowances& rules,
-            std::vector<fanes::AllowanceStep>& steps);
-  Tell tell(Time now, const Ask& ask, const Accounts& accounts, const averau::Allowances* rules) const;
+  void look(Time now, const Accounts& accounts, const catalog::QuotaRules& rules,
+            std::vector<protocol::QuotaCommand>& steps);
+  Tell tell(Time now, const Ask& ask, const Accounts& accounts, const catalog::QuotaRules* rules) const;
 
   bool open_ = false;
   Window seen_ = 0;
--- a/src/pramperet/fold.cpp
+++ b/src/pramperet/fold.cpp
@@ -1,17 +1,17 @@
 // The agreed accounts as bytes, for snapshots.
-#include "fanes/pack.h"
 #include "pramperet/accounts.h"
+#include "protocol/pack.h"
 
 namespace pearspar::pramperet {
 namespace {
 
 constexpr std::size_t most_lines = 1 << 20;
 
-void put(fanes::Packer& packer, const Leaf& leaf) {
+void put(protocol::Packer& packer, const Leaf& leaf) {
   packer.text(leaf.holder);
   packer.text(leaf.kind);
 }
-Leaf get_leaf(fanes::Unpacker& in) {
+Leaf get_leaf(protocol::Unpacker& in) {
   Leaf leaf;
   leaf.holder = in.text();
   leaf.kind = in.text();
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Accounts::fold(fanes::Packer& packer) const {
+void Accounts::fold(protocol::Packer& packer) const {
   packer.array(2);
   packer.array(periods_.size());
   for (const Period& each : periods_) {
@@ -68,7 +68,7 @@
   }
 }
 
-bool Accounts::restore(fanes::Unpacker& in) {
+bool Accounts::restore(protocol::Unpacker& in) {
   periods_.clear();
   held_.clear();
   in.enter(8);
--- a/src/pramperet/purse.cpp
+++ b/src/pramperet/purse.cpp
@@ -6,7 +6,7 @@
 
 namespace pearspar::pramperet {
 
-void Purse::configure(std::shared_ptr<const averau::Allowances> rules) {
+void Purse::configure(std::shared_ptr<const catalog::QuotaRules> rules) {
   rules_ = std::move(rules);
   if (rules_ && life_ == 0) life_ = random_ = random_ * 6364136223846793005u + 1442695040888963407u;
   // What was exhausted may have room again.
@@ -23,7 +23,7 @@
 
 bool Purse::may_spend(Time now, const Held& held) const {
   if (held.tokens == 0 || retire_ || window_ == 0) return false;
-  if (rules_->spend_out_of_touch) return now < window_end_;
+  if (rules_->spend_when_disconnected) return now < window_end_;
   return now < lease_until_ && held.unsettled < most_unsettled_;
 }
 
--- a/src/pramperet/purse.h
+++ b/src/pramperet/purse.h
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "averau/config.h"
+#include "catalog/configuration.h"
 #include "pramperet/bursar.h"
 
 namespace pearspar::pramperet {
@@ -53,9 +53,9 @@
  public:
   explicit Purse(std::uint64_t seed) : random_(seed | 1) {}
 
-  void configure(std::shared_ptr<const averau::Allowances> rules);
+  void configure(std::shared_ptr<const catalog::QuotaRules> rules);
   bool on() const { return rules_ != nullptr; }
-  const averau::Allowances* rules() const { return rules_.get(); }
+  const catalog::QuotaRules* rules() const { return rules_.get(); }
 
   // `again`: it has waited, and is not counted as waiting anew.
   Verdict draw(Time now, const std::string& holder, const std::string& kind, std::string_view key,
@@ -105,7 +105,7 @@
   void drop_tokens();
   Duration left(Time now) const { return std::max(Duration(0.005), window_end_ - now); }
 
-  std::shared_ptr<const averau::Allowances> rules_;
+  std::shared_ptr<const catalog::QuotaRules> rules_;
   std::uint64_t random_;
   Life life_ = 0;
   std::uint64_t most_unsettled_ = most_unsettled;
--- a/src/fanes/delta.cpp
+++ b/src/protocol/delta.cpp
@@ -1,14 +1,14 @@
-#include "fanes/delta.h"
+#include "protocol/delta.h"
 
 #include <xxhash.h>
 
 #include <unordered_map>
 #include <vector>
 
-#include "fanes/messages.h"
-#include "fanes/pack.h"
+#include "protocol/messages.h"
+#include "protocol/pack.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 namespace {
 
 constexpr std::size_t most_pieces = 65536;
@@ -82,7 +82,7 @@
   std::uint64_t high = in.number(), low = in.number();
   std::size_t size = in.number();
   std::size_t count = in.enter(most_pieces);
-  if (!in.good() || size > most_frame) return std::nullopt;
+  if (!in.good() || size > max_frame_bytes) return std::nullopt;
   std::string to;
   to.reserve(size);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
@@ -100,4 +100,4 @@
   return to;
 }
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -1,12 +1,12 @@
-#include "fanes/messages.h"
+#include "protocol/messages.h"
 
 #include <algorithm>
 
-#include "fanes/agreement.h"
-#include "fanes/allowance.h"
-#include "fanes/pack.h"
+#include "protocol/pack.h"
+#include "protocol/quota_codec.h"
+#include "protocol/raft_codec.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 namespace {
 
 // The first field of each message.
@@ -53,31 +53,31 @@
   return position;
 }
 
-void put(Packer& packer, const NodeNews& news) {
-  const averau::Node& node = news.node;
+void put(Packer& packer, const NodeUpdate& news) {
+  const catalog::Node& node = news.node;
   packer.array(9);
   packer.text(node.id);
-  packer.text(node.depot);
+  packer.text(node.service);
   packer.text(node.address);
   packer.text(node.zone);
-  packer.text(node.edition);
+  packer.text(node.software_version);
   packer.number(static_cast<std::uint64_t>(node.slots));
   packer.flag(node.closing);
-  packer.number(node.call);
+  packer.number(node.sequence);
   packer.number(news.cold_ms);
 }
-NodeNews get_news(Unpacker& in) {
-  NodeNews news;
-  averau::Node& node = news.node;
+NodeUpdate get_news(Unpacker& in) {
+  NodeUpdate news;
+  catalog::Node& node = news.node;
   in.enter(most_fields);
   node.id = in.text();
-  node.depot = in.text();
+  node.service = in.text();
   node.address = in.text();
   node.zone = in.text();
-  node.edition = in.text();
+  node.software_version = in.text();
   node.slots = static_cast<int>(in.number());
   node.closing = in.flag();
-  node.call = in.number();
+  node.sequence = in.number();
   news.cold_ms = static_cast<std::uint32_t>(in.number());
   in.leave();
   return news;
@@ -99,7 +99,7 @@
   packer.array(tokens.size());
   for (const Tokens& each : tokens) {
     packer.array(2);
-    packer.text(each.depot);
+    packer.text(each.service);
     packer.number(each.count);
   }
 }
@@ -109,7 +109,7 @@
   for (std::size_t i = 0; i < count && in.good(); ++i) {
     in.enter(most_fields);
     Tokens each;
-    each.depot = in.text();
+    each.service = in.text();
     each.count = static_cast<std::uint32_t>(in.number());
     in.leave();
     tokens.push_back(std::move(each));
@@ -130,12 +130,12 @@
   }
   void operator()(const Hello& hello) const {
     begin(packer, Tag::hello, 8);
-    packer.number(hello.life);
+    packer.number(hello.incarnation);
     packer.number(static_cast<std::uint64_t>(hello.kind));
     packer.text(hello.name);
     packer.text(hello.zone);
-    put(packer, hello.have);
-    packer.number(hello.edition);
+    put(packer, hello.position);
+    packer.number(hello.revision);
     packer.text(hello.address);
   }
   void operator()(const Welcome& welcome) const {
@@ -144,16 +144,16 @@
     packer.flag(welcome.leads);
     put(packer, welcome.cores);
   }
-  void operator()(const Standing& standing) const {
+  void operator()(const StateSnapshot& standing) const {
     begin(packer, Tag::standing, 9);
     put(packer, standing.at);
     packer.flag(standing.complete);
     packer.number(standing.edges);
-    packer.number(standing.edition);
+    packer.number(standing.revision);
     packer.text(standing.configuration);
     packer.array(standing.nodes.size());
-    for (const NodeNews& news : standing.nodes) put(packer, news);
-    put(packer, standing.ended);
+    for (const NodeUpdate& news : standing.nodes) put(packer, news);
+    put(packer, standing.retired);
     packer.number(standing.coverage);
   }
   void operator()(const Changes& changes) const {
@@ -163,9 +163,9 @@
     for (const Change& change : changes.changes) {
       packer.array(4);
       packer.number(static_cast<std::uint64_t>(change.kind));
-      packer.number(change.edition);
+      packer.number(change.revision);
       packer.text(change.text);
-      put(packer, change.news);
+      put(packer, change.update);
     }
   }
   void operator()(const Ping& ping) const {
@@ -176,23 +176,23 @@
   }
   void operator()(const Ack& ack) const {
     begin(packer, Tag::ack, 6);
-    packer.number(ack.life);
+    packer.number(ack.incarnation);
     put(packer, ack.at);
-    packer.number(ack.edition);
+    packer.number(ack.revision);
     packer.number(ack.coverage);
-    packer.number(ack.list);
+    packer.number(ack.node_list_digest);
   }
-  void operator()(const Farewell& farewell) const {
+  void operator()(const Goodbye& farewell) const {
     begin(packer, Tag::farewell, 1);
-    packer.number(farewell.life);
+    packer.number(farewell.incarnation);
   }
-  void operator()(const Want& want) const {
+  void operator()(const TokenRequest& want) const {
     begin(packer, Tag::want, 3);
-    packer.number(want.life);
+    packer.number(want.incarnation);
     packer.number(want.number);
     put(packer, want.tokens);
   }
-  void operator()(const Grant& grant) const {
+  void operator()(const TokenGrant& grant) const {
     begin(packer, Tag::grant, 2);
     packer.number(grant.number);
     put(packer, grant.tokens);
@@ -209,13 +209,13 @@
     begin(packer, Tag::neighbours, 1);
     put(packer, neighbours.edges);
   }
-  void operator()(const Where&) const { begin(packer, Tag::where, 0); }
-  void operator()(const There& there) const {
+  void operator()(const CoreQuery&) const { begin(packer, Tag::where, 0); }
+  void operator()(const CoreAddresses& there) const {
     begin(packer, Tag::there, 2);
     packer.number(there.term);
     put(packer, there.cores);
   }
-  void operator()(const Call& call) const {
+  void operator()(const ControlCall& call) const {
     begin(packer, Tag::call, 7);
     packer.number(call.number);
     packer.text(call.from);
@@ -223,9 +223,9 @@
     packer.text(call.path);
     packer.text(call.if_match);
     packer.text(call.body);
-    packer.number(call.within_ms);
+    packer.number(call.timeout_ms);
   }
-  void operator()(const CallAnswer& answer) const {
+  void operator()(const ControlReply& answer) const {
     begin(packer, Tag::call_answer, 3);
     packer.number(answer.number);
     packer.number(answer.status);
@@ -235,27 +235,27 @@
 
 Hello get_hello(Unpacker& in) {
   Hello hello;
-  hello.life = in.number();
+  hello.incarnation = in.number();
   hello.kind = in.number() == 0 ? FollowerKind::edge : FollowerKind::core;
   hello.name = in.text();
   hello.zone = in.text();
-  hello.have = get_position(in);
-  hello.edition = in.number();
+  hello.position = get_position(in);
+  hello.revision = in.number();
   if (in.more()) hello.address = in.text();
   return hello;
 }
 
-Standing get_standing(Unpacker& in) {
-  Standing standing;
+StateSnapshot get_standing(Unpacker& in) {
+  StateSnapshot standing;
   standing.at = get_position(in);
   standing.complete = in.flag();
   standing.edges = static_cast<std::uint32_t>(in.number());
-  standing.edition = in.number();
+  standing.revision = in.number();
   standing.configuration = in.text();
   std::size_t count = in.enter(most_nodes);
   for (std::size_t i = 0; i < count && in.good(); ++i) standing.nodes.push_back(get_news(in));
   in.leave();
-  standing.ended = get_texts(in, most_nodes);
+  standing.retired = get_texts(in, most_nodes);
   standing.coverage = get_coverage(in);
   return standing;
 }
@@ -269,9 +269,9 @@
     in.enter(most_fields);
     std::uint64_t kind = in.number();
     change.kind = static_cast<ChangeKind>(kind);
-    change.edition = in.number();
+    change.revision = in.number();
     change.text = in.text();
-    change.news = get_news(in);
+    change.update = get_news(in);
     in.leave();
     // One that a newer program has put here is counted and passed over: its number is a change's that says
     // nothing.
@@ -282,15 +282,15 @@
   return changes;
 }
 
-Call get_call(Unpacker& in) {
-  Call call;
+ControlCall get_call(Unpacker& in) {
+  ControlCall call;
   call.number = in.number();
   call.from = in.text();
   call.method = in.text();
   call.path = in.text();
   call.if_match = in.text();
   call.body = in.text();
-  if (in.more()) call.within_ms = static_cast<std::uint32_t>(in.number());
+  if (in.more()) call.timeout_ms = static_cast<std::uint32_t>(in.number());
   return call;
 }
 
@@ -323,26 +323,26 @@
     }
     case Tag::ack: {
       Ack ack;
-      ack.life = in.number();
+      ack.incarnation = in.number();
       ack.at = get_position(in);
-      ack.edition = in.number();
+      ack.revision = in.number();
       ack.coverage = get_coverage(in);
-      if (in.more()) ack.list = in.number();
+      if (in.more()) ack.node_list_digest = in.number();
       return ack;
     }
     case Tag::farewell:
-      return Farewell{in.number()};
+      return Goodbye{in.number()};
     case Tag::call:
       return get_call(in);
     case Tag::want: {
-      Want want;
-      want.life = in.number();
+      TokenRequest want;
+      want.incarnation = in.number();
       want.number = in.number();
       want.tokens = get_tokens(in);
       return want;
     }
     case Tag::grant: {
-      Grant grant;
+      TokenGrant grant;
       grant.number = in.number();
       grant.tokens = get_tokens(in);
       return grant;
@@ -354,15 +354,15 @@
     case Tag::neighbours:
       return Neighbours{get_texts(in, most_neighbours)};
     case Tag::where:
-      return Where{};
+      return CoreQuery{};
     case Tag::there: {
-      There there;
+      CoreAddresses there;
       there.term = in.number();
       there.cores = get_texts(in, most_cores);
       return there;
     }
     case Tag::call_answer: {
-      CallAnswer answer;
+      ControlReply answer;
       answer.number = in.number();
       answer.status = static_cast<std::uint32_t>(in.number());
       answer.body = in.text();
@@ -387,4 +387,4 @@
   return message;
 }
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/messages.h
+++ b/src/protocol/messages.h
@@ -11,15 +11,15 @@
 #include <variant>
 #include <vector>
 
-#include "averau/config.h"
-#include "averau/nodes.h"
+#include "catalog/configuration.h"
+#include "catalog/node_list.h"
 #include "pramperet/words.h"
 #include "raft/types.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 
-// A process's life; drawn at its start.
-using Life = std::uint64_t;
+// A process's incarnation; drawn at its start.
+using Incarnation = std::uint64_t;
 
 enum class FollowerKind : std::uint8_t { edge, core };
 
@@ -31,12 +31,12 @@
 
 // Follower to any member, first on each connection, and again when it finds a gap.
 struct Hello {
-  Life life = 0;
+  Incarnation incarnation = 0;
   FollowerKind kind = FollowerKind::edge;
   std::string name;
   std::string zone;
   Position have;
-  averau::Edition edition = 0;
+  catalog::Revision revision = 0;
   std::string address = {};  // where an edge answers other edges; empty = nowhere, or an older program
 };
 
@@ -47,33 +47,33 @@
   std::vector<std::string> cores;
 };
 
-struct NodeNews {
-  averau::Node node;
+struct NodeUpdate {
+  catalog::Node node;
   std::uint32_t cold_ms = 0;  // what is left of it
 };
 
 // Everything that stands at `at`. Where `complete` is false the list of nodes is still being gathered: nodes
 // that it lacks stay as they were.
-struct Standing {
+struct StateSnapshot {
   Position at;
   bool complete = true;
-  std::uint32_t edges = 0;      // that hold a lease
-  averau::Edition edition = 0;  // of the newest configuration
-  std::string configuration;    // empty where the follower has that edition
-  std::vector<NodeNews> nodes;
+  std::uint32_t edges = 0;         // that hold a lease
+  catalog::Revision revision = 0;  // of the newest configuration
+  std::string configuration;       // empty where the follower has that revision
+  std::vector<NodeUpdate> nodes;
   std::vector<std::string> ended;  // ids of nodes that are gone for good
   std::uint32_t coverage = 100;    // percent: mean share of the weight that edges ask
 };
 
-// A delta is made of the configuration before (delta.h): who can't apply it stays behind in its edition, says
-// so when it acknowledges, and is told everything.
+// A delta is made of the configuration before (delta.h): who can't apply it stays behind in its revision,
+// says so when it acknowledges, and is told everything.
 enum class ChangeKind : std::uint8_t { configuration, node, gone, lost, complete, configuration_delta };
 
 struct Change {
-  ChangeKind kind = ChangeKind::complete;
-  averau::Edition edition = 0;
+  ChangeKind kind = ChangeKind::list_complete;
+  catalog::Revision revision = 0;
   std::string text;  // the configuration, its delta, or a node's id
-  NodeNews news;
+  NodeUpdate news;
 };
 
 // Those with the numbers after `after`.
@@ -86,35 +86,35 @@
 struct Ping {
   Position at;
   std::uint32_t edges = 0;
-  std::uint32_t coverage = 100;  // percent, as in Standing
+  std::uint32_t coverage = 100;  // percent, as in StateSnapshot
 };
 
 // Follower to leader: all up to `at` is in force here.
 struct Ack {
-  Life life = 0;
+  Incarnation incarnation = 0;
   Position at;
-  averau::Edition edition = 0;
+  catalog::Revision revision = 0;
   std::uint32_t coverage = 100;  // percent of the weight that it asks; of no meaning for members
   std::uint64_t list = 0;        // digest of the nodes that it lists at that position; 0 = not told
 };
 
-// Follower to leader: this life ends by itself.
-struct Farewell {
-  Life life = 0;
+// Follower to leader: this incarnation ends by itself.
+struct Goodbye {
+  Incarnation incarnation = 0;
 };
 
 // Of the slack that a service's second calls may use over all edges (nuvolau): what an edge asks the leader
 // for, and what it gets. Tokens live from the asking on.
 struct Tokens {
-  std::string depot;
+  std::string service;
   std::uint32_t count = 0;
 };
-struct Want {
-  Life life = 0;
+struct TokenRequest {
+  Incarnation incarnation = 0;
   std::uint64_t number = 0;  // comes back with the answer
   std::vector<Tokens> tokens;
 };
-struct Grant {
+struct TokenGrant {
   std::uint64_t number = 0;
   std::vector<Tokens> tokens;
 };
@@ -128,35 +128,35 @@
 // Edge to edge: where is the core? And what the other one was told by members, no more: addresses to be
 // tried.
 struct Where {};
-struct There {
+struct CoreAddresses {
   raft::Term term = 0;
   std::vector<std::string> cores;
 };
 
 // A control call passed on to the member that can settle it, and the answer.
-struct Call {
+struct ControlCall {
   std::uint64_t number = 0;
   std::string from;  // where the answer goes
   std::string method;
   std::string path;
   std::string if_match;
   std::string body;
-  std::uint32_t within_ms = 0;  // the answer is of use for so long; 0 = not told, by an older program
+  std::uint32_t timeout_ms = 0;  // the answer is of use for so long; 0 = not told, by an older program
 };
-struct CallAnswer {
+struct ControlReply {
   std::uint64_t number = 0;
   std::uint32_t status = 0;
   std::string body;
 };
 
-using Message =
-    std::variant<raft::Message, Hello, Welcome, Standing, Changes, Ping, Ack, Farewell, Call, CallAnswer,
-                 Want, Grant, pramperet::Ask, pramperet::Tell, Neighbours, Where, There>;
+using Message = std::variant<raft::Message, Hello, Welcome, StateSnapshot, Changes, Ping, Ack, Goodbye,
+                             ControlCall, ControlReply, TokenRequest, TokenGrant, pramperet::Ask,
+                             pramperet::Tell, Neighbours, Where, CoreAddresses>;
 
 std::string pack(const Message& message);
 // Nothing where the bytes are no message that this program knows.
 std::optional<Message> unpack(std::string_view bytes);
 
-inline constexpr std::size_t most_frame = 4 << 20;  // bytes of one message
+inline constexpr std::size_t max_frame_bytes = 4 << 20;  // bytes of one message
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/pack.cpp
+++ b/src/protocol/pack.cpp
@@ -1,8 +1,8 @@
-#include "fanes/pack.h"
+#include "protocol/pack.h"
 
 #include "allocation/allocation.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 namespace {
 
 constexpr std::uint64_t most_items = 1 << 20;  // in one message; the library takes 24 bytes for each
@@ -143,4 +143,4 @@
   if (good_) --depth_;
 }
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/pack.h
+++ b/src/protocol/pack.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 
 class Packer {
  public:
@@ -66,4 +66,4 @@
   std::uint32_t at_[max_depth];
 };
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/allowance.cpp
+++ b/src/protocol/quota_codec.cpp
@@ -1,6 +1,6 @@
-#include "fanes/allowance.h"
+#include "protocol/quota_codec.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 namespace {
 
 using pramperet::Amount;
@@ -161,25 +161,25 @@
   return tell;
 }
 
-std::string pack_steps(const std::vector<AllowanceStep>& steps) {
+std::string pack_quota_commands(const std::vector<QuotaCommand>& steps) {
   Packer packer;
   packer.array(steps.size());
-  for (const AllowanceStep& step : steps) {
+  for (const QuotaCommand& step : steps) {
     packer.array(2);
     packer.number(step.index());
     if (const auto* ask = std::get_if<pramperet::Ask>(&step))
       pack(packer, *ask);
-    else if (const auto* turn = std::get_if<Turn>(&step))
+    else if (const auto* turn = std::get_if<AdvanceWindow>(&step))
       packer.number(turn->window);
     else
-      packer.number(std::get<Gone>(step).life);
+      packer.number(std::get<ExpireEdge>(step).life);
   }
   return std::string(packer.view());
 }
 
-std::optional<std::vector<AllowanceStep>> unpack_steps(std::string_view bytes) {
+std::optional<std::vector<QuotaCommand>> unpack_quota_commands(std::string_view bytes) {
   Unpacker in(bytes);
-  std::vector<AllowanceStep> steps;
+  std::vector<QuotaCommand> steps;
   while (in.good() && in.more()) {
     in.enter(most_fields);
     switch (in.number()) {
@@ -187,10 +187,10 @@
         steps.emplace_back(unpack_ask(in));
         break;
       case 1:
-        steps.emplace_back(Turn{in.number()});
+        steps.emplace_back(AdvanceWindow{in.number()});
         break;
       case 2:
-        steps.emplace_back(Gone{in.number()});
+        steps.emplace_back(ExpireEdge{in.number()});
         break;
       default:
         return std::nullopt;
@@ -201,4 +201,4 @@
   return steps;
 }
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/allowance.h
+++ b/src/protocol/quota_codec.h
@@ -8,10 +8,10 @@
 #include <variant>
 #include <vector>
 
-#include "fanes/pack.h"
 #include "pramperet/words.h"
+#include "protocol/pack.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 
 void pack(Packer& packer, const pramperet::Ask& ask);
 pramperet::Ask unpack_ask(Unpacker& in);
@@ -19,16 +19,16 @@
 pramperet::Tell unpack_tell(Unpacker& in);
 
 // What one entry does, in this order.
-struct Turn {
+struct AdvanceWindow {
   pramperet::Window window = 0;
 };
-struct Gone {
+struct ExpireEdge {
   pramperet::Life life = 0;
 };
-using AllowanceStep = std::variant<pramperet::Ask, Turn, Gone>;
+using QuotaCommand = std::variant<pramperet::Ask, AdvanceWindow, ExpireEdge>;
 
-std::string pack_steps(const std::vector<AllowanceStep>& steps);
+std::string pack_quota_commands(const std::vector<QuotaCommand>& steps);
 // Nothing where the bytes hold none.
-std::optional<std::vector<AllowanceStep>> unpack_steps(std::string_view bytes);
+std::optional<std::vector<QuotaCommand>> unpack_quota_commands(std::string_view bytes);
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/agreement.cpp
+++ b/src/protocol/raft_codec.cpp
@@ -1,6 +1,6 @@
-#include "fanes/agreement.h"
+#include "protocol/raft_codec.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 namespace {
 
 using namespace raft;
@@ -53,7 +53,7 @@
   entry.term = unpacker.number();
   // A kind that only a newer program knows: the whole is refused, nothing is taken for what it is not.
   std::uint64_t kind = unpacker.number();
-  if (kind > static_cast<std::uint64_t>(EntryKind::membership)) unpacker.refuse();
+  if (kind > static_cast<std::uint64_t>(EntryKind::membership)) unpacker.fail();
   entry.kind = static_cast<EntryKind>(kind);
   entry.data = unpacker.text();
   entry.membership = get_membership(unpacker);
@@ -158,13 +158,13 @@
 std::optional<Entry> unpack_entry(std::string_view bytes) {
   Unpacker unpacker(bytes);
   Entry entry = get_entry(unpacker);
-  return unpacker.whole() ? std::optional(std::move(entry)) : std::nullopt;
+  return unpacker.at_end() ? std::optional(std::move(entry)) : std::nullopt;
 }
 
 std::optional<Snapshot> unpack_snapshot(std::string_view bytes) {
   Unpacker unpacker(bytes);
   Snapshot snapshot = get_snapshot(unpacker);
-  return unpacker.whole() ? std::optional(std::move(snapshot)) : std::nullopt;
+  return unpacker.at_end() ? std::optional(std::move(snapshot)) : std::nullopt;
 }
 
 std::string pack_vote(const Vote& vote) {
@@ -180,7 +180,7 @@
   Vote vote;
   vote.term = unpacker.number();
   vote.given_to = unpacker.number();
-  return unpacker.whole() ? std::optional(vote) : std::nullopt;
+  return unpacker.at_end() ? std::optional(vote) : std::nullopt;
 }
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/fanes/agreement.h
+++ b/src/protocol/raft_codec.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <string_view>
 
-#include "fanes/pack.h"
+#include "protocol/pack.h"
 #include "raft/types.h"
 
-namespace pearspar::fanes {
+namespace pearspar::protocol {
 
 void pack(Packer& packer, const raft::Message& message);
 bool unpack(Unpacker& unpacker, raft::Message& message);
@@ -20,4 +20,4 @@
 std::string pack_vote(const raft::Vote& vote);
 std::optional<raft::Vote> unpack_vote(std::string_view bytes);
 
-}  // namespace pearspar::fanes
+}  // namespace pearspar::protocol
--- a/src/raft/types.h
+++ b/src/raft/types.h
@@ -1,4 +1,4 @@
-// What the core's members agree on, and the words between them. Free of I/O; the codec is fanes'.
+// What the core's members agree on, and the words between them. Free of I/O; the codec is protocol'.
 // Agreement follows Raft (Ongaro and Ousterhout, 2014) with pre-votes, a lease by rounds and membership by
 // single changes in the log; docs/system.md says where it departs.
 #pragma once
--- a/src/sennes/calls.h
+++ b/src/sennes/calls.h
@@ -10,13 +10,13 @@
 #include <utility>
 #include <vector>
 
-#include "averau/nodes.h"
+#include "catalog/node_list.h"
 #include "sennes/taken.h"
 
 namespace pearspar::sennes {
 
-using averau::Duration;
-using averau::Time;
+using catalog::Duration;
+using catalog::Time;
 
 // Who waits for an answer, as the host numbers them.
 using Asker = std::uint64_t;
@@ -61,8 +61,8 @@
 
 // An order, as it was read once.
 struct Order {
-  averau::Edition edition = 0;
-  averau::Edition base = 0;
+  catalog::Revision revision = 0;
+  catalog::Revision base = 0;
   Digest digest;
 };
 
--- a/src/sennes/followers.cpp
+++ b/src/sennes/followers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "fanes/delta.h"
+#include "protocol/delta.h"
 
 namespace pearspar::sennes {
 namespace {
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::uint32_t cold_ms(Time now, const averau::Node& node) {
+std::uint32_t cold_ms(Time now, const catalog::Node& node) {
   return static_cast<std::uint32_t>(std::max(0.0, Duration(node.cold_until - now).count() * 1000));
 }
 
@@ -52,11 +52,11 @@
   all_told_ = false;
 }
 
-fanes::Position Followers::add(Time now, fanes::Change change) {
+protocol::Position Followers::add(Time now, protocol::Change change) {
   if (news_due_ == Time::max()) news_due_ = now + gather_news;
   journal_bytes_ += change.text.size();
   journal_.push_back(std::move(change));
-  view_.lead(now, end(), journal_.back());
+  view_.apply_own(now, end(), journal_.back());
   digests_.push_back(view_.nodes().digest());
   // Whoever is behind its front is told what stands instead.
   while (journal_.size() > most_journal || (journal_bytes_ > most_journal_bytes && journal_.size() > 1)) {
@@ -68,15 +68,15 @@
   return end();
 }
 
-void Followers::add_configuration(Time now, const averau::ConfigurationPtr& configuration) {
-  fanes::Change change;
-  change.kind = fanes::ChangeKind::configuration;
-  change.edition = configuration->edition;
+void Followers::add_configuration(Time now, const catalog::ConfigurationPtr& configuration) {
+  protocol::Change change;
+  change.kind = protocol::ChangeKind::configuration;
+  change.revision = configuration->revision;
   change.text = configuration->text;
   if (const auto& before = view_.configuration()) {
-    std::string delta = fanes::make_delta(before->text, configuration->text);
+    std::string delta = protocol::make_delta(before->text, configuration->text);
     if (delta.size() < change.text.size()) {
-      change.kind = fanes::ChangeKind::configuration_delta;
+      change.kind = protocol::ChangeKind::configuration_delta;
       change.text = std::move(delta);
     }
   }
@@ -87,63 +87,67 @@
 void Followers::complete(Time now) {
   if (complete_) return;
   complete_ = true;
-  fanes::Change change;
-  change.kind = fanes::ChangeKind::complete;
+  protocol::Change change;
+  change.kind = protocol::ChangeKind::list_complete;
   whole_ = add(now, std::move(change));
   packed_.clear();
   all_told_ = false;
   // Edges have followed all along, and what they list proves it; a member also learns what is gone for good.
   for (auto& [link, follower] : followers_) {
-    follower.unproved = follower.knows && follower.kind == fanes::FollowerKind::edge;
+    follower.unproved = follower.knows && follower.kind == protocol::FollowerKind::edge;
     follower.knows = follower.unproved;
   }
 }
 
-void Followers::on_hello(Time now, LinkId link, const fanes::Hello& hello) {
-  // A process has one link to us: an older one of the same life is stale.
-  std::erase_if(followers_,
-                [&](const auto& other) { return other.first != link && other.second.life == hello.life; });
+void Followers::on_hello(Time now, LinkId link, const protocol::Hello& hello) {
+  // A process has one link to us: an older one of the same incarnation is stale.
+  std::erase_if(followers_, [&](const auto& other) {
+    return other.first != link && other.second.incarnation == hello.incarnation;
+  });
   Follower& follower = followers_[link];
   // Said before what is on its way has come: it is not sent twice.
-  if (open_ && follower.life == hello.life && follower.telling > 0 && now - follower.told_at < on_its_way &&
-      hello.have < follower.told) {
+  if (open_ && follower.incarnation == hello.incarnation && follower.telling > 0 &&
+      now - follower.told_at < on_its_way && hello.position < follower.told) {
     follower.heard = now;
     return;
   }
-  follower.life = hello.life;
+  follower.incarnation = hello.incarnation;
   follower.kind = hello.kind;
   follower.name = hello.name;
   follower.zone = hello.zone;
-  if (hello.kind == fanes::FollowerKind::edge) follower.address = hello.address;
+  if (hello.kind == protocol::FollowerKind::edge) follower.address = hello.address;
   neighbours_.came(link, follower.address, follower.zone);
-  follower.edition = hello.edition;
+  follower.revision = hello.revision;
   follower.heard = now;
-  follower.sent = follower.acked = hello.have;
+  follower.sent = follower.acked = hello.position;
   follower.again = {};
-  follower.knows = open_ && complete_ && hello.have.term == term_ && hello.have.number + 1 >= first_ &&
-                   hello.have <= end() && (hello.have < configured_ || hello.edition >= view_.edition());
+  follower.knows = open_ && complete_ && hello.position.term == term_ &&
+                   hello.position.number + 1 >= first_ && hello.position <= end() &&
+                   (hello.position < configured_ || hello.revision >= view_.revision());
   if (!follower.knows) all_told_ = false;
-  follower.unproved = follower.knows && hello.kind == fanes::FollowerKind::edge;
+  follower.unproved = follower.knows && hello.kind == protocol::FollowerKind::edge;
   if (follower.knows && follower.sent < end()) news_due_ = std::min(news_due_, now);
 }
 
-void Followers::on_ack(Time now, LinkId link, const fanes::Ack& ack) {
+void Followers::on_ack(Time now, LinkId link, const protocol::Ack& ack) {
   neighbours_.forget(now);
   auto found = followers_.find(link);
-  if (found == followers_.end() || found->second.life != ack.life) return;
+  if (found == followers_.end() || found->second.incarnation != ack.incarnation) return;
   found->second.heard = now;
   found->second.acked = std::max(found->second.acked, ack.at);
-  found->second.edition = ack.edition;
+  found->second.revision = ack.revision;
   found->second.coverage = ack.coverage;
   if (ack.at >= found->second.told) found->second.telling = 0;
   if (found->second.unproved && open_ && ack.at.term == term_ && ack.at >= whole_ && ack.at <= end()) {
     found->second.unproved = false;
-    if (ack.at.number < first_ || ack.list != digests_[ack.at.number - first_]) found->second.knows = false;
+    if (ack.at.number < first_ || ack.node_list_digest != digests_[ack.at.number - first_])
+      found->second.knows = false;
   }
   // It has passed over a change that it could not read or fit to what it has. A delta is followed by the
-  // whole at once; who cannot read that either (another edition of the program) is told again with the pings.
-  if (open_ && configured_ != fanes::Position{} && ack.at >= configured_ && ack.at.term == term_ &&
-      ack.edition < view_.edition()) {
+  // whole at once; who cannot read that either (another revision of the program) is told again with the
+  // pings.
+  if (open_ && configured_ != protocol::Position{} && ack.at >= configured_ && ack.at.term == term_ &&
+      ack.revision < view_.revision()) {
     found->second.knows = false;
     if (found->second.whole) found->second.again = found->second.told_at + ping_every;
   }
@@ -169,52 +173,53 @@
     auto edges = neighbours_.known_to(follower.address, follower.zone);
     if (edges == follower.neighbours) continue;
     follower.neighbours = edges;
-    out.push_back({link, fanes::pack(fanes::Neighbours{std::move(edges)})});
+    out.push_back({link, protocol::pack(protocol::Neighbours{std::move(edges)})});
   }
 }
 
-void Followers::list(Time now, fanes::Standing& standing) const {
+void Followers::list(Time now, protocol::StateSnapshot& standing) const {
   for (const auto& [id, node] : view_.nodes().all()) standing.nodes.push_back({node, cold_ms(now, node)});
-  standing.ended.assign(view_.nodes().ended().begin(), view_.nodes().ended().end());
+  standing.retired.assign(view_.nodes().retired().begin(), view_.nodes().retired().end());
 }
 
-std::string Followers::provisional(Time now, const averau::ConfigurationPtr& configuration) const {
-  fanes::Standing standing;
+std::string Followers::provisional(Time now, const catalog::ConfigurationPtr& configuration) const {
+  protocol::StateSnapshot standing;
   standing.complete = false;
-  standing.edges = view_.edges();
-  standing.edition = configuration->edition;
+  standing.edges = view_.edge_count();
+  standing.revision = configuration->revision;
   standing.configuration = configuration->text;
   list(now, standing);
-  return fanes::pack(std::move(standing));
+  return protocol::pack(std::move(standing));
 }
 
 // While the list is being gathered, who has one from before is told what is on its way out: the rest stays as
 // it was with them in any case.
-std::string Followers::standing(Time now, averau::Edition known, bool has_list) const {
-  fanes::Standing standing;
+std::string Followers::standing(Time now, catalog::Revision known, bool has_list) const {
+  protocol::StateSnapshot standing;
   standing.at = end();
   standing.complete = complete_;
   standing.edges = edges(now);
   standing.coverage = coverage(now);
-  standing.edition = view_.edition();
-  if (view_.edition() > known) standing.configuration = view_.configuration()->text;
+  standing.revision = view_.revision();
+  if (view_.revision() > known) standing.configuration = view_.configuration()->text;
   list(now, standing);
   if (has_list) {
-    std::erase_if(standing.nodes, [](const fanes::NodeNews& news) { return !news.node.closing; });
-    std::size_t old = standing.ended.size() - std::min(standing.ended.size(), last_ended);
-    standing.ended.erase(standing.ended.begin(), standing.ended.begin() + static_cast<std::ptrdiff_t>(old));
+    std::erase_if(standing.nodes, [](const protocol::NodeUpdate& news) { return !news.node.closing; });
+    std::size_t old = standing.retired.size() - std::min(standing.retired.size(), last_ended);
+    standing.retired.erase(standing.retired.begin(),
+                           standing.retired.begin() + static_cast<std::ptrdiff_t>(old));
   }
-  return fanes::pack(std::move(standing));
+  return protocol::pack(std::move(standing));
 }
 
 const Followers::Packed& Followers::packed(Time now, const Follower& follower, bool has_list) {
-  averau::Edition known = follower.edition;
+  catalog::Revision known = follower.revision;
   // Without the newest configuration it would not help whoever could not use the delta.
   std::erase_if(packed_, [&](const auto& each) {
     const Packed& packed = each.second;
     return now - packed.when > packed_for || packed.at.number + 1 < first_ || packed.at < configured_;
   });
-  Packed& packed = packed_[{std::min(known, view_.edition()), has_list}];
+  Packed& packed = packed_[{std::min(known, view_.revision()), has_list}];
   if (packed.bytes.empty() || (follower.sent.term == term_ && packed.at < follower.sent))
     packed = {standing(now, known, has_list), end(), now};
   return packed;
@@ -250,7 +255,7 @@
         all_told_ = false;
         continue;
       }
-      bool has_list = !complete_ && follower.kind == fanes::FollowerKind::edge && follower.acked.term > 0;
+      bool has_list = !complete_ && follower.kind == protocol::FollowerKind::edge && follower.acked.term > 0;
       const Packed& packed = this->packed(now, follower, has_list);
       out.push_back({link, packed.bytes});
       on_their_way += packed.bytes.size();
@@ -270,18 +275,18 @@
       }
       std::string& bytes = tails[follower.sent.number];
       if (bytes.empty()) {
-        fanes::Changes changes;
+        protocol::Changes changes;
         changes.after = follower.sent;
         changes.changes.assign(
             journal_.begin() + static_cast<std::ptrdiff_t>(follower.sent.number + 1 - first_),
             journal_.end());
-        bytes = fanes::pack(std::move(changes));
+        bytes = protocol::pack(std::move(changes));
       }
       out.push_back({link, bytes});
       follower.whole = false;
       follower.sent = end();
     } else if (ping) {
-      if (ping_bytes.empty()) ping_bytes = fanes::pack(fanes::Ping{end(), edges(now), coverage(now)});
+      if (ping_bytes.empty()) ping_bytes = protocol::pack(protocol::Ping{end(), edges(now), coverage(now)});
       out.push_back({link, ping_bytes});
     }
   }
@@ -289,14 +294,14 @@
   return out;
 }
 
-std::size_t Followers::tail_bytes(fanes::Position after) const {
+std::size_t Followers::tail_bytes(protocol::Position after) const {
   if (journal_bytes_ <= most_tail) return journal_bytes_;
   std::size_t bytes = 0;
   for (std::size_t i = after.number + 1 - first_; i < journal_.size(); ++i) bytes += journal_[i].text.size();
   return bytes;
 }
 
-bool Followers::acknowledged(Time now, fanes::Position at) const {
+bool Followers::acknowledged(Time now, protocol::Position at) const {
   return std::all_of(followers_.begin(), followers_.end(), [&](const auto& follower) {
     return !lives(now, follower.second) || follower.second.acked >= at;
   });
@@ -305,14 +310,14 @@
 std::uint32_t Followers::edges(Time now) const {
   return static_cast<std::uint32_t>(
       std::count_if(followers_.begin(), followers_.end(), [&](const auto& follower) {
-        return follower.second.kind == fanes::FollowerKind::edge && lives(now, follower.second);
+        return follower.second.kind == protocol::FollowerKind::edge && lives(now, follower.second);
       }));
 }
 
 std::uint32_t Followers::coverage(Time now) const {
   double sum = 0, count = 0;
   for (const auto& [link, follower] : followers_)
-    if (follower.kind == fanes::FollowerKind::edge && follower.coverage > 0 && lives(now, follower))
+    if (follower.kind == protocol::FollowerKind::edge && follower.coverage > 0 && lives(now, follower))
       sum += follower.coverage, ++count;
   return count > 0 ? static_cast<std::uint32_t>(std::lround(sum / count)) : 100;
 }
--- a/src/sennes/member.cpp
+++ b/src/sennes/member.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-Member::Member(transport::Wire& wire, raft::Store& store, raft::Options agreement, OfficeOptions office)
+Member::Member(transport::Transport& wire, raft::Store& store, raft::Options agreement, OfficeOptions office)
     : wire_(wire),
       address_(agreement.address),
       state_(office.read),
@@ -37,7 +37,7 @@
   std::erase(wanted, address_);
   if (wanted == kept_) return;
   kept_ = wanted;
-  wire_.keep(wanted);
+  wire_.set_targets(wanted);
 }
 
 void Member::call(Time now, Asker asker, std::string_view method, std::string_view path,
@@ -50,13 +50,13 @@
 
 void Member::link_up(Time now, LinkId link, const std::string& address) {
   if (!started_) return;
-  wire_.send(link, fanes::pack(office_.hello()));
+  wire_.send(link, protocol::pack(office_.hello()));
   office_.link_opened(now, address);
 }
 
 void Member::link_frame(Time now, LinkId link, std::string_view frame) {
   if (!started_) return keep_early(link, frame);
-  if (auto message = fanes::unpack(frame))
+  if (auto message = protocol::unpack(frame))
     office_.message(now, link, *message);
   else
     ++unread_;
@@ -65,8 +65,8 @@
 // Who follows says hello once on each link, and would not be heard of by us until it hears of no leader.
 void Member::keep_early(LinkId link, std::string_view frame) {
   if (frame.size() > most_early_bytes || early_.size() >= most_early) return;
-  auto message = fanes::unpack(frame);
-  if (message && std::get_if<fanes::Hello>(&*message)) early_[link] = frame;
+  auto message = protocol::unpack(frame);
+  if (message && std::get_if<protocol::Hello>(&*message)) early_[link] = frame;
 }
 
 // A leader's disk may hang: it leaves this to those that follow it, who hear of every change.
@@ -87,11 +87,11 @@
   core_.tick(now);
   office_.advance(now);
   bool leads = core_.may_speak(clock());
-  for (auto& out : core_.take_out()) wire_.send_to(out.address, fanes::pack(out.message));
+  for (auto& out : core_.take_out()) wire_.send_to(out.address, protocol::pack(out.message));
   for (auto& out : office_.take_messages()) {
-    auto* answer = std::get_if<fanes::CallAnswer>(&out.message);
+    auto* answer = std::get_if<protocol::ControlReply>(&out.message);
     if (answer && out.by_lease && !leads) *answer = {answer->number, 503, fault_json(nobody_leads)};
-    wire_.send_to(out.address, fanes::pack(out.message));
+    wire_.send_to(out.address, protocol::pack(out.message));
   }
   for (auto& out : office_.take_news(clock())) wire_.send(out.link, out.bytes);
   keep_links();
--- a/src/sennes/member.h
+++ b/src/sennes/member.h
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "sennes/office.h"
-#include "transport/wire.h"
+#include "transport/transport.h"
 
 namespace pearspar::sennes {
 
 class Member {
  public:
-  Member(transport::Wire& wire, raft::Store& store, raft::Options agreement, OfficeOptions office);
+  Member(transport::Transport& wire, raft::Store& store, raft::Options agreement, OfficeOptions office);
 
   // Reads the store. Until it has gone well everything is refused; it may be tried again.
   std::error_code start(Time now);
@@ -50,7 +50,7 @@
   void keep_early(LinkId link, std::string_view frame);
   void keep_note(Time now);
 
-  transport::Wire& wire_;
+  transport::Transport& wire_;
   std::string address_;
   State state_;
   raft::Core core_;
--- a/src/sennes/neighbours.h
+++ b/src/sennes/neighbours.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "averau/nodes.h"
+#include "catalog/node_list.h"
 
 namespace pearspar::sennes {
 
-using averau::Duration;
-using averau::Time;
+using catalog::Duration;
+using catalog::Time;
 
 class Neighbours {
  public:
--- a/src/sennes/office.cpp
+++ b/src/sennes/office.cpp
@@ -11,13 +11,17 @@
 }  // namespace
 
 Office::Office(OfficeOptions options, raft::Core& core, State& state)
-    : options_(std::move(options)), core_(core), state_(state), followers_(view_), passed_(options_.life) {
+    : options_(std::move(options)),
+      core_(core),
+      state_(state),
+      followers_(view_),
+      passed_(options_.incarnation) {
   pool_.set(options_.pool);
 }
 
-fanes::Hello Office::hello() const {
-  return {options_.life,  fanes::FollowerKind::core, options_.name, options_.zone, view_.at(),
-          view_.edition()};
+protocol::Hello Office::hello() const {
+  return {options_.incarnation, protocol::FollowerKind::core, options_.name, options_.zone, view_.at(),
+          view_.revision()};
 }
 
 // Those that follow have to find the core when all that they began with are gone.
@@ -25,13 +29,13 @@
   std::vector<std::string> cores = core_.addresses();
   if (cores == told_cores_) return;
   told_cores_ = cores;
-  std::string bytes = fanes::pack(fanes::Welcome{core_.term(), true, std::move(cores)});
+  std::string bytes = protocol::pack(protocol::Welcome{core_.term(), true, std::move(cores)});
   for (const auto& [link, follower] : followers_.all()) to_links_.push_back({link, bytes});
 }
 
 void Office::open_office(Time now) {
   told_cores_.clear();
-  view_.take(state_.current());
+  view_.adopt(state_.current());
   heard_.clear();
   for (const auto& [id, node] : view_.nodes().all()) heard_[id] = now;
   gathered_ = now + options_.beat * gather_beats;
@@ -52,7 +56,7 @@
 
 void Office::advance(Time now) {
   refuse_expired(now);
-  list_changes_ += view_.take_touched().size();
+  list_changes_ += view_.take_changed_nodes().size();
   bool leads = core_.role() == raft::Core::Role::leader;
   // Somebody else is to lead: this program cannot read what was taken.
   if (leads && !state_.may_serve()) {
@@ -98,58 +102,60 @@
 void Office::keep_allowance(Time now) {
   bursar_.watch(now, state_.accounts());
   if (!in_office()) return;
-  const averau::Allowances* rules = state_.allowances();
+  const catalog::QuotaRules* rules = state_.allowances();
   if (core_.may_speak(now))
     if (auto entry = bursar_.entry(now, state_.accounts(), rules))
       bursar_.proposed(core_.propose(now, State::allowance(*entry)));
   for (auto& [link, tell] : bursar_.tells(now, core_.applied(), state_.accounts(), rules))
-    to_links_.push_back({link, fanes::pack(std::move(tell))});
+    to_links_.push_back({link, protocol::pack(std::move(tell))});
 }
 
 // Only a leader hands out, and only for services that the configuration names.
-void Office::grant(Time now, LinkId link, const fanes::Want& want) {
+void Office::grant(Time now, LinkId link, const protocol::TokenRequest& want) {
   if (!in_office() || !core_.may_speak(now) || !view_.configuration()) return;
-  fanes::Grant grant;
+  protocol::TokenGrant grant;
   grant.number = want.number;
-  for (const fanes::Tokens& each : want.tokens) {
-    const auto& depots = view_.configuration()->depots;
-    if (std::none_of(depots.begin(), depots.end(),
-                     [&](const auto& depot) { return depot.name == each.depot; }))
+  for (const protocol::Tokens& each : want.tokens) {
+    const auto& services = view_.configuration()->services;
+    if (std::none_of(services.begin(), services.end(),
+                     [&](const auto& service) { return service.name == each.service; }))
       continue;
-    if (std::uint32_t count = pool_.grant(now, each.depot, each.count))
-      grant.tokens.push_back({each.depot, count});
+    if (std::uint32_t count = pool_.grant(now, each.service, each.count))
+      grant.tokens.push_back({each.service, count});
   }
-  to_links_.push_back({link, fanes::pack(std::move(grant))});
+  to_links_.push_back({link, protocol::pack(std::move(grant))});
 }
 
 // Ours as a follower of the member at the other end of the link.
-void Office::follow(LinkId link, vazzoler::View::Taken taken) {
-  if (taken == vazzoler::View::Taken::behind)
-    to_links_.push_back({link, fanes::pack(hello())});
-  else if (taken == vazzoler::View::Taken::news)
-    to_links_.push_back({link, fanes::pack(fanes::Ack{options_.life, view_.at(), view_.edition()})});
+void Office::follow(LinkId link, subscription::ClusterView::ApplyResult taken) {
+  if (taken == subscription::ClusterView::ApplyResult::gap)
+    to_links_.push_back({link, protocol::pack(hello())});
+  else if (taken == subscription::ClusterView::ApplyResult::applied)
+    to_links_.push_back(
+        {link, protocol::pack(protocol::Ack{options_.incarnation, view_.at(), view_.revision()})});
 }
 
-void Office::message(Time now, LinkId link, const fanes::Message& message) {
+void Office::message(Time now, LinkId link, const protocol::Message& message) {
   if (const auto* agreement = std::get_if<raft::Message>(&message)) {
     core_.step(now, *agreement);
-  } else if (const auto* hello = std::get_if<fanes::Hello>(&message)) {
+  } else if (const auto* hello = std::get_if<protocol::Hello>(&message)) {
     followers_.on_hello(now, link, *hello);
-    to_links_.push_back({link, fanes::pack(fanes::Welcome{core_.term(), in_office(), core_.addresses()})});
+    to_links_.push_back(
+        {link, protocol::pack(protocol::Welcome{core_.term(), in_office(), core_.addresses()})});
     // Who knows nothing at all gets what is applied here, in case nobody leads: at the position before all
     // others.
-    if (!in_office() && hello->kind == fanes::FollowerKind::edge && hello->have == fanes::Position{} &&
-        hello->edition == 0 && state_.current())
+    if (!in_office() && hello->kind == protocol::FollowerKind::edge &&
+        hello->position == protocol::Position{} && hello->revision == 0 && state_.current())
       to_links_.push_back({link, followers_.provisional(now, state_.current())});
-  } else if (const auto* ack = std::get_if<fanes::Ack>(&message)) {
+  } else if (const auto* ack = std::get_if<protocol::Ack>(&message)) {
     followers_.on_ack(now, link, *ack);
-  } else if (std::get_if<fanes::Farewell>(&message)) {
+  } else if (std::get_if<protocol::Goodbye>(&message)) {
     followers_.on_closed(link);
-  } else if (const auto* want = std::get_if<fanes::Want>(&message)) {
+  } else if (const auto* want = std::get_if<protocol::TokenRequest>(&message)) {
     grant(now, link, *want);
   } else if (const auto* ask = std::get_if<pramperet::Ask>(&message)) {
     bursar_.ask(now, link, *ask);
-  } else if (const auto* call = std::get_if<fanes::Call>(&message)) {
+  } else if (const auto* call = std::get_if<protocol::ControlCall>(&message)) {
     Request request;
     request.from = call->from;
     request.number = call->number;
@@ -157,20 +163,20 @@
     request.path = call->path;
     request.if_match = call->if_match;
     request.body = call->body;
-    if (call->within_ms > 0)
-      request.until = now + std::min(answer_within, Duration(call->within_ms / 1000.0));
+    if (call->timeout_ms > 0)
+      request.until = now + std::min(answer_within, Duration(call->timeout_ms / 1000.0));
     else
       request.until = now + answer_within;
     take_in(now, std::move(request));
-  } else if (const auto* answer = std::get_if<fanes::CallAnswer>(&message)) {
+  } else if (const auto* answer = std::get_if<protocol::ControlReply>(&message)) {
     on_answer(now, *answer);
   } else if (in_office()) {
     return;  // news of somebody who took itself for the leader
-  } else if (const auto* standing = std::get_if<fanes::Standing>(&message)) {
+  } else if (const auto* standing = std::get_if<protocol::StateSnapshot>(&message)) {
     follow(link, view_.apply(now, *standing));
-  } else if (const auto* changes = std::get_if<fanes::Changes>(&message)) {
+  } else if (const auto* changes = std::get_if<protocol::Changes>(&message)) {
     follow(link, view_.apply(now, *changes));
-  } else if (const auto* ping = std::get_if<fanes::Ping>(&message)) {
+  } else if (const auto* ping = std::get_if<protocol::Ping>(&message)) {
     follow(link, view_.apply(*ping));
   }
 }
--- a/src/sennes/office.h
+++ b/src/sennes/office.h
@@ -33,12 +33,12 @@
 struct OfficeOptions {
   std::string inner_address;    // where other members reach this one
   std::string control_address;  // told to nodes for their later beats
-  fanes::Life life = 0;
+  protocol::Incarnation incarnation = 0;
   std::string name;
   std::string zone;
   Duration beat = std::chrono::milliseconds(1200);
-  nuvolau::PoolRules pool;                          // of the budget that all edges share
-  State::Reader read = averau::read_configuration;  // the program's checks
+  nuvolau::PoolRules pool;                            // of the budget that all edges share
+  State::Reader read = catalog::parse_configuration;  // the program's checks
 };
 
 struct Reply {
@@ -50,7 +50,7 @@
 
 struct ToMember {
   std::string address;
-  fanes::Message message;
+  protocol::Message message;
   bool by_lease = false;
 };
 
@@ -61,7 +61,7 @@
   // A call by HTTP. It is answered exactly once, by take_replies().
   void call(Time now, Asker asker, std::string_view method, std::string_view path, std::string_view if_match,
             std::string_view body);
-  void message(Time now, LinkId link, const fanes::Message& message);
+  void message(Time now, LinkId link, const protocol::Message& message);
   void link_closed(LinkId link) { followers_.on_closed(link); }
   // What was on its way to that member over the link before is lost: calls passed on to it go again,
   // unchanged.
@@ -74,7 +74,7 @@
   std::vector<ToMember> take_messages() { return std::exchange(messages_, {}); }
   std::vector<ToLink> take_news(Time now);
   // The first words on a link to another member.
-  fanes::Hello hello() const;
+  protocol::Hello hello() const;
 
   // The list of nodes as this member knows it, to be kept over a restart.
   std::string note(Time now) const;
@@ -82,7 +82,7 @@
   // Rises whenever the list has changed.
   std::uint64_t list_changes() const { return list_changes_; }
 
-  const vazzoler::View& view() const { return view_; }
+  const subscription::ClusterView& view() const { return view_; }
   const Followers& followers() const { return followers_; }
   const nuvolau::Pool& pool() const { return pool_; }
   const pramperet::Bursar& bursar() const { return bursar_; }
@@ -102,12 +102,12 @@
     std::vector<Request> callers;
     raft::Term term = 0;
     raft::Index index = 0;
-    averau::Edition edition = 0;
+    catalog::Revision revision = 0;
     Digest digest;
   };
   struct Spreading {
     Request request;
-    fanes::Position at;
+    protocol::Position at;
     Time until{};
   };
 
@@ -124,7 +124,7 @@
   void reply_fault(const Request& request, int status, std::string_view what);
   void pass_on(Time now, Request& request);
   void look_after_passed(Time now);
-  void on_answer(Time now, const fanes::CallAnswer& answer);
+  void on_answer(Time now, const protocol::ControlReply& answer);
   void refuse_expired(Time now);
   void open_office(Time now);
   void close_office(Time now);
@@ -134,13 +134,13 @@
   void tell_configuration(Time now);
   void tell_members();
   void keep_allowance(Time now);
-  void grant(Time now, LinkId link, const fanes::Want& want);
-  void follow(LinkId link, vazzoler::View::Taken taken);
+  void grant(Time now, LinkId link, const protocol::TokenRequest& want);
+  void follow(LinkId link, subscription::ClusterView::ApplyResult taken);
 
   OfficeOptions options_;
   raft::Core& core_;
   State& state_;
-  vazzoler::View view_;
+  subscription::ClusterView view_;
   Followers followers_;
   nuvolau::Pool pool_;
   pramperet::Bursar bursar_;
--- a/src/sennes/office_calls.cpp
+++ b/src/sennes/office_calls.cpp
@@ -70,7 +70,8 @@
     replies_.push_back({request.asker, status, std::move(body), by_lease});
   else
     messages_.push_back(
-        {request.from, fanes::CallAnswer{request.number, static_cast<std::uint32_t>(status), std::move(body)},
+        {request.from,
+         protocol::ControlReply{request.number, static_cast<std::uint32_t>(status), std::move(body)},
          by_lease});
 }
 
@@ -97,7 +98,7 @@
   take_in(now, std::move(request));
 }
 
-// By HTTP or from a member, which may be of another edition of the program and know other calls.
+// By HTTP or from a member, which may be of another revision of the program and know other calls.
 void Office::take_in(Time now, Request request) {
   if (const char* wanted = methods_of(request.path); !wanted)
     return reply(request, 404, fault_json("no such call"), false);
@@ -143,7 +144,8 @@
 
 namespace {
 
-fanes::Call as_call(Time now, std::uint64_t number, const std::string& from, const Request& request) {
+protocol::ControlCall as_call(Time now, std::uint64_t number, const std::string& from,
+                              const Request& request) {
   double left_ms = Duration(request.until - way_back - now).count() * 1000;
   return {number,
           from,
@@ -158,7 +160,7 @@
 
 void Office::pass_on(Time now, Request& request) {
   const std::string& to = core_.leader_address();
-  fanes::Call call = as_call(now, 0, options_.inner_address, request);
+  protocol::ControlCall call = as_call(now, 0, options_.inner_address, request);
   call.number = passed_.add(std::move(request), to);
   messages_.push_back({to, std::move(call), false});
 }
@@ -186,7 +188,7 @@
           {address, as_call(now, passed.number, options_.inner_address, passed.request), false});
 }
 
-void Office::on_answer(Time now, const fanes::CallAnswer& answer) {
+void Office::on_answer(Time now, const protocol::ControlReply& answer) {
   auto request = passed_.answered(answer.number, answer.status < 500);
   if (!request) return;
   if (now >= request->until)
@@ -202,10 +204,10 @@
     waiting_.pop_front();
     if (now < request.until)
       waiting_.push_back(std::move(request));
-    else if (request.order && may_serve(now) && request.order->base > state_.edition())
+    else if (request.order && may_serve(now) && request.order->base > state_.revision())
       reply_fault(
           request, 503,
-          "edition " + std::to_string(state_.edition()) + " is in place: what this one builds on is not");
+          "edition " + std::to_string(state_.revision()) + " is in place: what this one builds on is not");
     else
       reply_fault(request, 503, "nobody leads here");
   }
--- a/src/sennes/office_changes.cpp
+++ b/src/sennes/office_changes.cpp
@@ -1,8 +1,8 @@
 // Changes of the configuration: checked, proposed, answered when they are applied, told to all.
 //
-// What each answer promises: 200 and 412 for ever. 412 is said only where the edition that it builds on is
-// below the one that stands, or another has its number: editions rise, so no copy of it can follow any more,
-// wherever it is under way. One that builds on an edition above waits for it, since that may still come.
+// What each answer promises: 200 and 412 for ever. 412 is said only where the revision that it builds on is
+// below the one that stands, or another has its number: revisions rise, so no copy of it can follow any more,
+// wherever it is under way. One that builds on an revision above waits for it, since that may still come.
 #include <charconv>
 
 #include "invariants/invariants.h"
@@ -14,11 +14,11 @@
   if (request.order) return true;
   Order order;
   order.digest = digest_of(request.body);
-  averau::Fault fault;
+  catalog::Fault fault;
   auto read = state_.check(request.body, fault);
-  order.edition = read ? read->edition : averau::edition_of(request.body);
+  order.revision = read ? read->revision : catalog::revision_of(request.body);
   // Also where this program would not take it: another has.
-  if (state_.took(order.edition, order.digest)) {
+  if (state_.took(order.revision, order.digest)) {
     reply(request, 200, "{}", false);
     return false;
   }
@@ -40,7 +40,7 @@
 bool Office::settle_change(Time now, Request& request) {
   if (!read_order(request)) return true;
   const Order& order = *request.order;
-  Taken::Word word = state_.taken().word(order.edition, order.digest);
+  Taken::Word word = state_.taken().word(order.revision, order.digest);
   if (word == Taken::Word::taken) {
     reply(request, 200, "{}", false);  // a majority has it on disk, whoever leads now
     return true;
@@ -49,11 +49,11 @@
     reply_fault(request, 503, "older than all that is remembered: it may have been taken");
     return true;
   }
-  if (order.base < state_.edition()) {
-    reply_fault(request, 412, "edition " + std::to_string(state_.edition()) + " is in place");
+  if (order.base < state_.revision()) {
+    reply_fault(request, 412, "edition " + std::to_string(state_.revision()) + " is in place");
     return true;
   }
-  if (order.edition <= order.base) {
+  if (order.revision <= order.base) {
     reply_fault(request, 400, "edition: does not rise");
     return true;
   }
@@ -63,18 +63,18 @@
     proposal_->callers.push_back(std::move(request));
     return true;
   }
-  if (order.base > state_.edition()) return false;
+  if (order.base > state_.revision()) return false;
   propose(now, request);
   return true;
 }
 
 void Office::propose(Time now, Request& request) {
   Proposal proposal;
-  proposal.edition = request.order->edition;
+  proposal.revision = request.order->revision;
   proposal.digest = request.order->digest;
   proposal.term = core_.term();
-  auto index =
-      core_.propose(now, State::change(request.order->base, proposal.edition, proposal.digest, request.body));
+  auto index = core_.propose(
+      now, State::change(request.order->base, proposal.revision, proposal.digest, request.body));
   if (!index) return reply_fault(request, 503, "the change could not be written here");
   proposal.index = *index;
   request.drop_body();
@@ -91,9 +91,9 @@
   Proposal done = std::move(*proposal_);
   proposal_.reset();
   // Where the term ended before it was applied nobody knows yet whether it will be in force: no clear answer.
-  bool taken = !lost && state_.took(done.edition, done.digest);
-  invariants::check(invariants::Promise::acknowledged_is_applied, !taken || state_.edition() >= done.edition,
-                    "an order");
+  bool taken = !lost && state_.took(done.revision, done.digest);
+  invariants::check(invariants::Promise::acknowledged_is_applied,
+                    !taken || state_.revision() >= done.revision, "an order");
   for (const Request& request : done.callers)
     if (taken)
       reply(request, 200, "{}", false);  // a majority has it on disk, whoever leads now
@@ -103,7 +103,7 @@
 }
 
 void Office::tell_configuration(Time now) {
-  if (!in_office() || !state_.current() || state_.edition() <= view_.edition()) return;
+  if (!in_office() || !state_.current() || state_.revision() <= view_.revision()) return;
   followers_.add_configuration(now, state_.current());
 }
 
