--- a/tests/system/state_test.cpp
+++ b/tests/system/state_test.cpp
@@ -1,5 +1,5 @@
 // What the core agrees on and how it is asked for it: what was taken and for how long it is known, programs
-// of two editions on one log, calls passed on between three members over lost, late and doubled answers.
+// of two revisions on one log, calls passed on between three members over lost, late and doubled answers.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -7,8 +7,8 @@
 #include <random>
 
 #include "biella/disk.h"
-#include "fanes/allowance.h"
-#include "fanes/pack.h"
+#include "protocol/pack.h"
+#include "protocol/quota_codec.h"
 #include "sennes/member.h"
 
 namespace pearspar::sennes {
@@ -16,23 +16,23 @@
 
 using namespace std::chrono_literals;
 
-std::string config(averau::Edition edition, const std::string& note = "a") {
-  return R"({"edition":)" + std::to_string(edition) + R"(,"note":")" + note +
+std::string config(catalog::Revision revision, const std::string& note = "a") {
+  return R"({"edition":)" + std::to_string(revision) + R"(,"note":")" + note +
          R"(","postalRoutes":[{"name":"r","hostName":"h","pathPrefix":"/","lineKind":"safe","deadlineMs":9,)"
          R"("depot":"d","allowanceKind":"pull"}],"depots":[{"name":"d"}],)"
          R"("allowances":{"holderHeader":"For","accounts":[{"firm":"f","kind":"pull","limit":)" +
-         std::to_string(edition) + "0}]}}";
+         std::to_string(revision) + "0}]}}";
 }
 
 // Where there are thousands of them.
-std::string plain(averau::Edition edition, const std::string& note = "a") {
-  return R"({"edition":)" + std::to_string(edition) + R"(,"note":")" + note +
+std::string plain(catalog::Revision revision, const std::string& note = "a") {
+  return R"({"edition":)" + std::to_string(revision) + R"(,"note":")" + note +
          R"(","postalRoutes":[],"depots":[]})";
 }
 
-// Another edition of the program: it takes nothing that is noted as new.
-averau::ConfigurationPtr older(std::string_view text, averau::Fault& fault) {
-  if (text.find("new") == text.npos) return averau::read_configuration(text, fault);
+// Another revision of the program: it takes nothing that is noted as new.
+catalog::ConfigurationPtr older(std::string_view text, catalog::Fault& fault) {
+  if (text.find("new") == text.npos) return catalog::parse_configuration(text, fault);
   fault = {"note", "is not known"};
   return nullptr;
 }
@@ -43,19 +43,19 @@
   made.data = std::move(data);
   return made;
 }
-raft::Entry change(averau::Edition base, averau::Edition edition, const std::string& text) {
-  return entry(State::change(base, edition, digest_of(text), text));
+raft::Entry change(catalog::Revision base, catalog::Revision revision, const std::string& text) {
+  return entry(State::change(base, revision, digest_of(text), text));
 }
 raft::Entry steps(std::uint64_t number, std::uint64_t wanted, pramperet::Window turn = 0) {
-  std::vector<fanes::AllowanceStep> made;
-  if (turn > 0) made.push_back(fanes::Turn{turn});
+  std::vector<protocol::QuotaCommand> made;
+  if (turn > 0) made.push_back(protocol::AdvanceWindow{turn});
   pramperet::Ask ask;
   ask.life = 9;
   ask.number = number;
   ask.window = 1;
   ask.wants.push_back({{"f", "pull"}, wanted});
   made.push_back(ask);
-  return entry(State::allowance(fanes::pack_steps(made)));
+  return entry(State::allowance(protocol::pack_quota_commands(made)));
 }
 
 std::string bytes_of(std::string_view hex) {
@@ -65,8 +65,8 @@
   return bytes;
 }
 
-// Written by the program before entries carried their verdict: editions 3 and 7, five tokens out; and the
-// entry that brought edition 3.
+// Written by the program before entries carried their verdict: revisions 3 and 7, five tokens out; and the
+// entry that brought revision 3.
 constexpr std::string_view older_snapshot =
     "93c4fe7b2265646974696f6e223a372c22706f7374616c526f75746573223a5b7b226e616d65223a2272222c22686f73"
     "744e616d65223a2268222c2270617468507265666978223a222f222c226c696e654b696e64223a2273616665222c2264"
@@ -95,7 +95,7 @@
   }
 
   biella::World world;
-  std::function<bool(int from, int to, const fanes::Message&)> passes;  // unset: all do
+  std::function<bool(int from, int to, const protocol::Message&)> passes;  // unset: all do
   std::function<State::Reader(int)> reader;
   struct Answer {
     int status = 0;
@@ -116,7 +116,7 @@
     options.fresh_id = options.seed = world.number() | 1;
     OfficeOptions office;
     office.inner_address = options.address;
-    office.life = options.seed;
+    office.incarnation = options.seed;
     if (reader) office.read = reader(i);
     seat.member = std::make_unique<Member>(seat.wire, seat.disk, options, office);
     CPPUNIT_ASSERT(!seat.member->start(world.now()));
@@ -175,7 +175,7 @@
     advance(i);
     return next_;
   }
-  Asker order(int i, averau::Edition base, const std::string& text) {
+  Asker order(int i, catalog::Revision base, const std::string& text) {
     return call(i, "PUT", "/pearspar/config", std::to_string(base), text);
   }
   int status(Asker asker) { return answers.count(asker) ? answers[asker].status : 0; }
@@ -184,7 +184,7 @@
     return status(asker);
   }
   // Until there is a clear answer.
-  int settle(averau::Edition base, const std::string& text) {
+  int settle(catalog::Revision base, const std::string& text) {
     for (int tries = 0; tries < 100; ++tries) {
       int got = wait(order(static_cast<int>(world.below(3)), base, text));
       if (got > 0 && got < 500) return got;
@@ -206,16 +206,16 @@
   }
   static std::string address(int i) { return std::string(1, static_cast<char>('a' + i)) + ":1"; }
   static LinkId link(int i) { return static_cast<LinkId>(i + 1); }
-  struct Wire : transport::Wire {
+  struct Wire : transport::Transport {
     Trio* trio = nullptr;
     int self = 0;
-    void keep(const std::vector<std::string>&) override {}
+    void set_targets(const std::vector<std::string>&) override {}
     bool send_to(const std::string& to, std::string_view frame) override {
       return send(link(to[0] - 'a'), frame);
     }
     bool send(LinkId to, std::string_view frame) override {
       int other = static_cast<int>(to) - 1;
-      auto message = fanes::unpack(frame);
+      auto message = protocol::unpack(frame);
       if (!trio->passes || trio->passes(self, other, *message))
         trio->deliver(self, other, std::string(frame));
       return true;
@@ -261,9 +261,9 @@
  public:
   void whatWasTakenIsKnownForAWeek() {
     State state;
-    constexpr averau::Edition changes = 23000;
+    constexpr catalog::Revision changes = 23000;
     std::string text;
-    for (averau::Edition e = 1; e <= changes; ++e) {
+    for (catalog::Revision e = 1; e <= changes; ++e) {
       text = plain(3 * e);
       state.apply(change(3 * (e - 1), 3 * e, text));
     }
@@ -273,16 +273,16 @@
     // 20,000 at 24 bytes, and the text.
     CPPUNIT_ASSERT(state.fold().size() < 500'000);
     for (const State* each : {&state, &other}) {
-      CPPUNIT_ASSERT_EQUAL(3 * changes, each->edition());
+      CPPUNIT_ASSERT_EQUAL(3 * changes, each->revision());
       CPPUNIT_ASSERT_EQUAL(Taken::most, each->taken().size());
-      auto word = [&](averau::Edition edition, const std::string& sent) {
-        return each->taken().word(edition, digest_of(sent));
+      auto word = [&](catalog::Revision revision, const std::string& sent) {
+        return each->taken().word(revision, digest_of(sent));
       };
-      for (averau::Edition back : {0u, 1u, 511u, 512u, 10'000u, 16'100u, 19'999u}) {
-        averau::Edition edition = 3 * (changes - back);
-        CPPUNIT_ASSERT(word(edition, plain(edition)) == Taken::Word::taken);
-        CPPUNIT_ASSERT(word(edition, plain(edition, "b")) == Taken::Word::never);
-        if (back < 19'999) CPPUNIT_ASSERT(word(edition - 1, plain(edition - 1)) == Taken::Word::never);
+      for (catalog::Revision back : {0u, 1u, 511u, 512u, 10'000u, 16'100u, 19'999u}) {
+        catalog::Revision revision = 3 * (changes - back);
+        CPPUNIT_ASSERT(word(revision, plain(revision)) == Taken::Word::taken);
+        CPPUNIT_ASSERT(word(revision, plain(revision, "b")) == Taken::Word::never);
+        if (back < 19'999) CPPUNIT_ASSERT(word(revision - 1, plain(revision - 1)) == Taken::Word::never);
       }
       CPPUNIT_ASSERT(word(3 * changes + 1, text) == Taken::Word::open);
       // Not refused: it was taken, and nobody remembers.
@@ -293,7 +293,7 @@
   void anOlderProgramsSnapshotAndEntryAreRead() {
     State state;
     state.restore(bytes_of(older_snapshot));
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, state.edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{7}, state.revision());
     CPPUNIT_ASSERT(state.may_serve() && state.current());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.taken().size());
     CPPUNIT_ASSERT(state.took(7, digest_of(state.text())));
@@ -301,10 +301,10 @@
     CPPUNIT_ASSERT(state.fold() == bytes_of(older_snapshot));
     State folded;
     folded.apply(entry(bytes_of(older_entry)));
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{3}, folded.edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{3}, folded.revision());
     CPPUNIT_ASSERT(state.took(3, digest_of(folded.text())));
     // With 512 of them it may have dropped others.
-    fanes::Packer packer;
+    protocol::Packer packer;
     packer.array(2);
     packer.text(config(600));
     packer.array(512);
@@ -320,22 +320,22 @@
   }
 
   // In the places where it looks stands what it expects: an entry's base and text; a snapshot's text, 512
-  // editions at most, the accounts.
+  // revisions at most, the accounts.
   void anOlderProgramReadsWhatWeWrite() {
     const std::string written = change(4, 9, "text").data;
-    fanes::Unpacker made(written);
+    protocol::Unpacker made(written);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, made.number());
     CPPUNIT_ASSERT_EQUAL(std::string("text"), made.text());
     CPPUNIT_ASSERT(made.good());
     State state;
-    for (averau::Edition e = 1; e <= 600; ++e) state.apply(change(e - 1, e, config(e)));
+    for (catalog::Revision e = 1; e <= 600; ++e) state.apply(change(e - 1, e, config(e)));
     for (pramperet::Window window : {0, 1}) {
       if (window > 0) state.apply(steps(1, 5, window));
       std::string folded = state.fold();
-      fanes::Unpacker in(folded);
+      protocol::Unpacker in(folded);
       CPPUNIT_ASSERT_EQUAL(config(600), in.text());
       CPPUNIT_ASSERT_EQUAL(std::size_t{512}, in.enter(512));
-      for (averau::Edition e = 89; e <= 600; ++e) {
+      for (catalog::Revision e = 89; e <= 600; ++e) {
         in.enter(16);
         CPPUNIT_ASSERT_EQUAL(e, in.number());
         CPPUNIT_ASSERT(digest_of(config(e)) == (Digest{in.number(), in.number()}));
@@ -363,10 +363,10 @@
     for (std::size_t i = 0; i < log.size(); ++i) {
       newer.apply(log[i]);
       behind.apply(log[i]);
-      CPPUNIT_ASSERT_EQUAL(newer.edition(), behind.edition());
+      CPPUNIT_ASSERT_EQUAL(newer.revision(), behind.revision());
       CPPUNIT_ASSERT_EQUAL(newer.text(), behind.text());
       CPPUNIT_ASSERT(newer.may_serve());
-      // Edition 2 goes by without a step under it; the step under 4 cannot be folded from there on.
+      // Revision 2 goes by without a step under it; the step under 4 cannot be folded from there on.
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(i), i != 2 && i < 5, behind.may_serve());
       if (behind.may_serve()) CPPUNIT_ASSERT_EQUAL(newer.fold(), behind.fold());
       // Over a snapshot: the older one goes on from it, and a newer one has it all.
@@ -419,7 +419,7 @@
     };
     auto nothing = [](int) {};
     trio.kill(0);
-    trio.reader = [](int i) { return i == 0 ? older : averau::read_configuration; };
+    trio.reader = [](int i) { return i == 0 ? older : catalog::parse_configuration; };
     trio.start(0);
     trio.run(1);
     for (int tries = 0; tries < 20 && trio.leader() != 0; ++tries) {
@@ -432,7 +432,7 @@
     CPPUNIT_ASSERT(trio.leader() > 0);
     CPPUNIT_ASSERT_EQUAL(200, trio.wait(trio.order(0, 1, config(2, "new"))));
     trio.run(0.5);
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{2}, trio.member(0).state().edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{2}, trio.member(0).state().revision());
     CPPUNIT_ASSERT(!trio.member(0).state().may_serve());
     for (int round = 0; round < 8; ++round) {
       depose([&](int leader) { CPPUNIT_ASSERT(leader != 0 && !trio.member(0).office().in_office()); });
@@ -444,7 +444,7 @@
     }
     trio.kill(0);
     trio.start(0);
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{2}, trio.member(0).state().edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{2}, trio.member(0).state().revision());
     CPPUNIT_ASSERT_EQUAL(200, trio.settle(2, config(3)));
     trio.run(0.5);
     CPPUNIT_ASSERT(trio.member(0).state().may_serve());
@@ -521,9 +521,9 @@
     int follower = trio.follower(), leader = trio.leader();
     CPPUNIT_ASSERT_EQUAL(200, trio.wait(trio.order(leader, 0, config(1))));
     std::vector<std::string> kept;
-    trio.passes = [&](int, int to, const fanes::Message& message) {
-      if (to != follower || !std::get_if<fanes::CallAnswer>(&message)) return true;
-      kept.push_back(fanes::pack(message));
+    trio.passes = [&](int, int to, const protocol::Message& message) {
+      if (to != follower || !std::get_if<protocol::ControlReply>(&message)) return true;
+      kept.push_back(protocol::pack(message));
       return false;
     };
     for (int i = 0; i < 5; ++i) trio.call(follower, "GET", "/pearspar/config");
@@ -548,18 +548,19 @@
       Trio trio(seed);
       std::mt19937_64 random(seed);
       trio.wait_for_leader();
-      trio.passes = [&](int from, int to, const fanes::Message& message) {
-        bool call = std::get_if<fanes::Call>(&message) || std::get_if<fanes::CallAnswer>(&message);
-        if (call && random() % 4 == 0) trio.deliver(from, to, fanes::pack(message));
+      trio.passes = [&](int from, int to, const protocol::Message& message) {
+        bool call =
+            std::get_if<protocol::ControlCall>(&message) || std::get_if<protocol::ControlReply>(&message);
+        if (call && random() % 4 == 0) trio.deliver(from, to, protocol::pack(message));
         if (call && random() % 8 == 0) {
-          std::string frame = fanes::pack(message);
+          std::string frame = protocol::pack(message);
           trio.world.in(Duration(0.3), [&trio, from, to, frame] { trio.deliver(from, to, frame); });
           return false;
         }
         return !call || random() % 4 != 0;
       };
       std::vector<Asker> askers;
-      averau::Edition last = 0;
+      catalog::Revision last = 0;
       for (int round = 0; round < 60; ++round) {
         int at = static_cast<int>(random() % 3);
         if (random() % 3 > 0)
@@ -568,7 +569,7 @@
           askers.push_back(trio.order(at, last, config(last + 1, std::to_string(round))));
         trio.run(0.02);
         if (int leader = trio.leader(); leader >= 0) {
-          last = trio.member(leader).state().edition();
+          last = trio.member(leader).state().revision();
           if (round % 20 == 5) trio.member(leader).hand_over(trio.world.now());
           if (round % 20 == 10 && leader == 0) {
             trio.kill(0);
@@ -594,7 +595,7 @@
     trio.freeze(0, 20);
     trio.run(21);
     CPPUNIT_ASSERT_EQUAL(503, trio.status(order));
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{0}, trio.member(trio.wait_for_leader()).state().edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{0}, trio.member(trio.wait_for_leader()).state().revision());
     // An answer that comes as it wakes, and is of twenty seconds ago.
     int asked = trio.follower();
     Asker read = trio.call(asked, "GET", "/pearspar/config");
@@ -603,7 +604,7 @@
     CPPUNIT_ASSERT_EQUAL(503, trio.status(read));
     // A change that no majority writes: its caller is told in time, and it goes on.
     int leader = trio.leader();
-    trio.passes = [&](int, int to, const fanes::Message& message) {
+    trio.passes = [&](int, int to, const protocol::Message& message) {
       const auto* agreement = std::get_if<raft::Message>(&message);
       return !agreement || to != leader || agreement->kind != raft::MessageKind::appended ||
              agreement->index <= trio.member(leader).core().commit();
@@ -642,8 +643,8 @@
   void aCallGoesToTheNextLeader() {
     Trio trio;
     int old = trio.wait_for_leader();
-    trio.passes = [&](int, int to, const fanes::Message& message) {
-      return to != old || !std::get_if<fanes::Call>(&message);
+    trio.passes = [&](int, int to, const protocol::Message& message) {
+      return to != old || !std::get_if<protocol::ControlCall>(&message);
     };
     Asker first = trio.order((old + 1) % 3, 0, config(1)), second = trio.order((old + 2) % 3, 0, config(1));
     trio.run(0.1);
@@ -658,23 +659,23 @@
       Trio trio(seed);
       std::mt19937_64 random(seed);
       trio.wait_for_leader();
-      trio.passes = [&](int, int, const fanes::Message& message) {
-        return !std::get_if<fanes::CallAnswer>(&message) || random() % 3 > 0;
+      trio.passes = [&](int, int, const protocol::Message& message) {
+        return !std::get_if<protocol::ControlReply>(&message) || random() % 3 > 0;
       };
-      std::vector<averau::Edition> open = {1, 2, 3, 4, 5, 6, 7, 8};
+      std::vector<catalog::Revision> open = {1, 2, 3, 4, 5, 6, 7, 8};
       for (int tries = 0; tries < 40 && !open.empty(); ++tries) {
         std::shuffle(open.begin(), open.end(), random);
-        std::map<averau::Edition, Asker> asked;
-        for (averau::Edition e : open) {
+        std::map<catalog::Revision, Asker> asked;
+        for (catalog::Revision e : open) {
           asked[e] = trio.order(static_cast<int>(random() % 3), e - 1, config(e));
           trio.run(0.002 * static_cast<double>(random() % 4), 0.002);
         }
         if (tries % 3 == 1)
           if (int leader = trio.leader(); leader >= 0) trio.member(leader).hand_over(trio.world.now());
         trio.run(1);
-        for (const auto& [edition, asker] : asked) {
+        for (const auto& [revision, asker] : asked) {
           CPPUNIT_ASSERT(trio.status(asker) == 200 || trio.status(asker) == 503);
-          if (trio.status(asker) == 200) std::erase(open, edition);
+          if (trio.status(asker) == 200) std::erase(open, revision);
         }
       }
       CPPUNIT_ASSERT(open.empty());
@@ -688,13 +689,13 @@
       Trio trio(static_cast<std::uint64_t>(way) + 1);
       int cut = trio.wait_for_leader();
       CPPUNIT_ASSERT_EQUAL(200, trio.settle(0, config(1)));
-      trio.passes = [&](int from, int to, const fanes::Message&) {
+      trio.passes = [&](int from, int to, const protocol::Message&) {
         return !(way != 1 && from == cut) && !(way != 2 && to == cut);
       };
-      averau::Edition newest = 1;
+      catalog::Revision newest = 1;
       struct Read {
         Asker asker;
-        averau::Edition newest;
+        catalog::Revision newest;
       };
       std::vector<Read> reads;
       std::vector<std::pair<Asker, std::string>> orders;
@@ -708,7 +709,7 @@
         if (other == 0 || trio.status(other) != 0) {
           if (trio.status(other) == 200) ++newest;
           // The others had its first order before they stopped hearing of it, and have taken it.
-          if (trio.status(other) == 412) newest = trio.member(trio.leader()).state().edition();
+          if (trio.status(other) == 412) newest = trio.member(trio.leader()).state().revision();
           other = trio.order((cut + 1 + i % 2) % 3, newest, config(newest + 1));
         }
         trio.run(0.1);
@@ -720,7 +721,7 @@
         const auto& answer = trio.answers[read.asker];
         if (answer.count == 0) continue;  // the last ones
         CPPUNIT_ASSERT(answer.after < 0.95);
-        averau::Edition told = answer.status == 200 ? averau::edition_of(answer.body) : 0;
+        catalog::Revision told = answer.status == 200 ? catalog::revision_of(answer.body) : 0;
         CPPUNIT_ASSERT(answer.status == 503 || told >= read.newest);
       }
       // Back again, met by two at once, and by all that it was sent before: what it says now holds.
@@ -732,9 +733,9 @@
       CPPUNIT_ASSERT(trio.world.now().time_since_epoch().count() - began < 1.0);
       int taken = 0;
       for (const auto& [asker, text] : orders) {
-        averau::Edition edition = averau::edition_of(text);
-        bool was = trio.member(trio.wait_for_leader()).state().took(edition, digest_of(text));
-        CPPUNIT_ASSERT_EQUAL(was ? 200 : 412, trio.settle(edition - 1, text));
+        catalog::Revision revision = catalog::revision_of(text);
+        bool was = trio.member(trio.wait_for_leader()).state().took(revision, digest_of(text));
+        CPPUNIT_ASSERT_EQUAL(was ? 200 : 412, trio.settle(revision - 1, text));
         taken += was;
       }
       CPPUNIT_ASSERT(taken <= 1);
@@ -748,7 +749,7 @@
     CPPUNIT_ASSERT_EQUAL(200, trio.settle(0, config(1)));
     // Its rounds are answered, so that it has a lease; that its entry is written is not heard.
     const raft::Index before = trio.member(old).core().log().last();
-    trio.passes = [&](int, int, const fanes::Message& message) {
+    trio.passes = [&](int, int, const protocol::Message& message) {
       const auto* agreement = std::get_if<raft::Message>(&message);
       return !agreement || agreement->kind != raft::MessageKind::appended || agreement->index <= before;
     };
@@ -779,7 +780,7 @@
     trio.wait_for_leader();
     const std::string first = plain(1, "first");
     CPPUNIT_ASSERT_EQUAL(200, trio.settle(0, first));
-    for (averau::Edition e = 2; e <= 10'001; ++e) {
+    for (catalog::Revision e = 2; e <= 10'001; ++e) {
       Asker asker = trio.order(trio.wait_for_leader(), e - 1, plain(e));
       trio.world.run_until(trio.world.now() + Duration(0.0025));
       for (int i = 0; i < 3; ++i) trio.advance(i);
@@ -802,7 +803,7 @@
     trio.wipe(lost);
     trio.start(lost);
     trio.run(4);
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{10'001}, trio.member(lost).state().edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{10'001}, trio.member(lost).state().revision());
     for (int i = 0; i < 3; ++i) trio.kill(i);
     for (int i = 0; i < 3; ++i) trio.start(i);
     trio.wait_for_leader();
@@ -818,15 +819,15 @@
       Trio trio(seed);
       std::mt19937_64 random(seed);
       trio.wait_for_leader();
-      trio.passes = [&](int, int, const fanes::Message& message) {
-        bool answer = std::get_if<fanes::CallAnswer>(&message);
+      trio.passes = [&](int, int, const protocol::Message& message) {
+        bool answer = std::get_if<protocol::ControlReply>(&message);
         return !answer || random() % 2 == 0;
       };
-      averau::Edition base = 0;
-      std::vector<std::pair<std::string, averau::Edition>> won, lost;
+      catalog::Revision base = 0;
+      std::vector<std::pair<std::string, catalog::Revision>> won, lost;
       for (int round = 0; round < 8; ++round) {
-        averau::Edition edition = base + 1 + random() % 3;
-        std::string texts[] = {config(edition, "one"), config(edition, "two")};
+        catalog::Revision revision = base + 1 + random() % 3;
+        std::string texts[] = {config(revision, "one"), config(revision, "two")};
         int said[] = {0, 0};
         Asker asked[2];
         for (int tries = 0; tries < 60 && (said[0] == 0 || said[1] == 0); ++tries) {
@@ -849,7 +850,7 @@
         taken_by_second += second;
         won.emplace_back(texts[second], base);
         lost.emplace_back(texts[!second], base);
-        base = edition;
+        base = revision;
         if (round % 4 == 3) {
           for (int i = 0; i < 3; ++i) trio.kill(i);
           for (int i = 0; i < 3; ++i) trio.start(i);
@@ -868,8 +869,8 @@
     const int leader = trio.wait_for_leader(), follower = trio.follower();
     trio.run(0.5);
     bool drops = true;
-    trio.passes = [&](int from, int, const fanes::Message& message) {
-      return !drops || from != follower || !std::get_if<fanes::Call>(&message);
+    trio.passes = [&](int from, int, const protocol::Message& message) {
+      return !drops || from != follower || !std::get_if<protocol::ControlCall>(&message);
     };
     const Asker order = trio.order(follower, 0, config(3));
     trio.run(0.05);
--- a/tests/system/strange_calls_test.cpp
+++ b/tests/system/strange_calls_test.cpp
@@ -5,16 +5,16 @@
 #include <map>
 
 #include "biella/disk.h"
-#include "fanes/messages.h"
+#include "protocol/messages.h"
 #include "sennes/member.h"
 
 namespace pearspar::sennes {
 namespace {
 
-struct KeptWire : transport::Wire {
+struct KeptWire : transport::Transport {
   std::vector<std::string> to_members;
   std::map<LinkId, std::vector<std::string>> to_links;
-  void keep(const std::vector<std::string>&) override {}
+  void set_targets(const std::vector<std::string>&) override {}
   bool send_to(const std::string&, std::string_view frame) override {
     to_members.emplace_back(frame);
     return true;
@@ -27,14 +27,14 @@
   std::vector<Kind> told(const std::vector<std::string>& frames) const {
     std::vector<Kind> found;
     for (const std::string& frame : frames)
-      if (auto message = fanes::unpack(frame))
+      if (auto message = protocol::unpack(frame))
         if (auto* kind = std::get_if<Kind>(&*message)) found.push_back(*kind);
     return found;
   }
 };
 
-std::string config(const std::string& edition, const std::string& note = "a") {
-  return R"({"edition":)" + edition + R"(,"note":")" + note + R"(","postalRoutes":[],"depots":[]})";
+std::string config(const std::string& revision, const std::string& note = "a") {
+  return R"({"edition":)" + revision + R"(,"note":")" + note + R"(","postalRoutes":[],"depots":[]})";
 }
 
 struct Alone {
@@ -60,7 +60,7 @@
     OfficeOptions options;
     options.inner_address = "a:1";
     options.control_address = "a:2";
-    options.life = 5;
+    options.incarnation = 5;
     return options;
   }
   void lead() {
@@ -91,11 +91,11 @@
                 R"({"depot":"d","address":"1.1.1.1:)" + std::to_string(id[0]) + R"(","nodeState":")" + state +
                     R"(","callSeq":)" + std::to_string(seq) + "}");
   }
-  void frame(LinkId link, fanes::Message message) {
-    member.link_frame(world.now(), link, fanes::pack(message));
+  void frame(LinkId link, protocol::Message message) {
+    member.link_frame(world.now(), link, protocol::pack(message));
     advance();
   }
-  const averau::Node* node(const char* id) const { return member.office().view().nodes().find(id); }
+  const catalog::Node* node(const char* id) const { return member.office().view().nodes().find(id); }
 };
 
 }  // namespace
@@ -127,14 +127,14 @@
     CPPUNIT_ASSERT_EQUAL(404, early.call("PUT", "/pearspar/other"));
   }
 
-  // A member's status is its own, and another edition of the program may pass such a call on.
+  // A member's status is its own, and another revision of the program may pass such a call on.
   void statusOverALinkIsNoLeave() {
     Alone one;
     auto before = one.member.office().view().at();
-    one.frame(7, fanes::Call{1, "b:1", "GET", "/pearspar/status", "", "", 500});
+    one.frame(7, protocol::ControlCall{1, "b:1", "GET", "/pearspar/status", "", "", 500});
     CPPUNIT_ASSERT(before == one.member.office().view().at());
     one.run(0.1);
-    auto answers = one.wire.told<fanes::CallAnswer>(one.wire.to_members);
+    auto answers = one.wire.told<protocol::ControlReply>(one.wire.to_members);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answers.size());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{404}, answers[0].status);
   }
@@ -143,12 +143,12 @@
     Alone one;
     for (const char* match : {"", "x", "-1", "1.0", "0x0", "18446744073709551616", "\"", "0,0", "*"})
       CPPUNIT_ASSERT_EQUAL_MESSAGE(match, 400, one.order(match, config("5")));
-    for (const char* edition : {"0", "-1", "0.5", "7.5", "9223372036854775808", "\"7\"", "null", "1e400"})
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(edition, 400, one.order("0", config(edition)));
+    for (const char* revision : {"0", "-1", "0.5", "7.5", "9223372036854775808", "\"7\"", "null", "1e400"})
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(revision, 400, one.order("0", config(revision)));
     CPPUNIT_ASSERT_EQUAL(400, one.order("0", config("5") + "x"));
     CPPUNIT_ASSERT_EQUAL(400, one.order("0", ""));
     CPPUNIT_ASSERT_EQUAL(400, one.order("18446744073709551615", config("5")));
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{0}, one.member.state().edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{0}, one.member.state().revision());
     CPPUNIT_ASSERT_EQUAL(200, one.order("\"0\"", config("5")));
     CPPUNIT_ASSERT_EQUAL(400, one.order("5", config("5", "b")));
     CPPUNIT_ASSERT_EQUAL(200, one.order("9", config("5")));  // that very text, whatever it builds on
@@ -170,15 +170,16 @@
     CPPUNIT_ASSERT(!one.node("n"));
     CPPUNIT_ASSERT_EQUAL(200, one.beat("n", 10, "closing_out"));
     // So too at who follows, where a leader that never heard of it tells what stands.
-    vazzoler::View view;
-    averau::Node node;
+    subscription::ClusterView view;
+    catalog::Node node;
     node.id = "n";
     node.address = "1.1.1.1:1";
     node.closing = true;
-    view.apply(one.world.now(), fanes::Standing{{2, 1}, true, 0, 0, "", {{node, 0}}, {}, 100});
-    view.apply(one.world.now(), fanes::Standing{{3, 1}, true, 0, 0, "", {}, {}, 100});
+    view.apply(one.world.now(), protocol::StateSnapshot{{2, 1}, true, 0, 0, "", {{node, 0}}, {}, 100});
+    view.apply(one.world.now(), protocol::StateSnapshot{{3, 1}, true, 0, 0, "", {}, {}, 100});
     node.closing = false;
-    view.apply(one.world.now(), fanes::Changes{{3, 1}, {{fanes::ChangeKind::node, 0, "", {node, 0}}}});
+    view.apply(one.world.now(),
+               protocol::Changes{{3, 1}, {{protocol::ChangeKind::node_updated, 0, "", {node, 0}}}});
     CPPUNIT_ASSERT(!view.nodes().find("n"));
   }
 
@@ -205,12 +206,12 @@
     one.disk.set_full(true);
     CPPUNIT_ASSERT(one.member.start(one.world.now()));
     for (LinkId link : {7, 8, 9})
-      one.frame(link, fanes::Hello{link, fanes::FollowerKind::edge, "e", "z", {}, 0});
+      one.frame(link, protocol::Hello{link, protocol::FollowerKind::edge, "e", "z", {}, 0});
     one.member.link_down(8);
     one.disk.set_full(false);
     one.lead();
-    CPPUNIT_ASSERT(!one.wire.told<fanes::Welcome>(one.wire.to_links[7]).empty());
-    CPPUNIT_ASSERT(!one.wire.told<fanes::Standing>(one.wire.to_links[9]).empty());
+    CPPUNIT_ASSERT(!one.wire.told<protocol::Welcome>(one.wire.to_links[7]).empty());
+    CPPUNIT_ASSERT(!one.wire.told<protocol::StateSnapshot>(one.wire.to_links[9]).empty());
     CPPUNIT_ASSERT(one.wire.to_links[8].empty());
   }
 
@@ -218,20 +219,21 @@
   void aLongAnswerIsNotPassedOn() {
     Alone one;
     CPPUNIT_ASSERT_EQUAL(200, one.order("0", config("1", std::string(1'000'000, '\x01'))));
-    one.frame(7, fanes::Call{1, "b:1", "GET", "/pearspar/snapshot", "", "", 500});
+    one.frame(7, protocol::ControlCall{1, "b:1", "GET", "/pearspar/snapshot", "", "", 500});
     for (std::uint64_t i = 2; i < 12; ++i)
-      one.member.link_frame(one.world.now(), 7,
-                            fanes::pack(fanes::Call{i, "b:1", "GET", "/pearspar/config", "", "", 500}));
+      one.member.link_frame(
+          one.world.now(), 7,
+          protocol::pack(protocol::ControlCall{i, "b:1", "GET", "/pearspar/config", "", "", 500}));
     one.advance();
     std::size_t bytes = 0, told = 0;
     for (const std::string& frame : one.wire.to_members) {
-      CPPUNIT_ASSERT(frame.size() <= fanes::most_frame);
+      CPPUNIT_ASSERT(frame.size() <= protocol::max_frame_bytes);
       bytes += frame.size();
     }
-    for (const auto& answer : one.wire.told<fanes::CallAnswer>(one.wire.to_members))
+    for (const auto& answer : one.wire.told<protocol::ControlReply>(one.wire.to_members))
       told += answer.status == 200;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{11}, one.wire.told<fanes::CallAnswer>(one.wire.to_members).size());
-    CPPUNIT_ASSERT(told >= 2 && bytes <= fanes::most_frame);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{11}, one.wire.told<protocol::ControlReply>(one.wire.to_members).size());
+    CPPUNIT_ASSERT(told >= 2 && bytes <= protocol::max_frame_bytes);
   }
 
   // Bytes of a snapshot that end too soon, or that are of a later program: nobody is told of an empty state,
@@ -249,7 +251,7 @@
       third.restore(other.fold());
       CPPUNIT_ASSERT_MESSAGE(std::to_string(size), !third.may_serve());
       other.restore(whole);
-      CPPUNIT_ASSERT(other.may_serve() && other.edition() == 3);
+      CPPUNIT_ASSERT(other.may_serve() && other.revision() == 3);
     }
   }
 };
--- a/tests/system/wire_fuzz_test.cpp
+++ b/tests/system/wire_fuzz_test.cpp
@@ -7,53 +7,54 @@
 #include <random>
 
 #include "biella/disk.h"
-#include "fanes/agreement.h"
-#include "fanes/allowance.h"
-#include "fanes/delta.h"
+#include "protocol/delta.h"
+#include "protocol/quota_codec.h"
+#include "protocol/raft_codec.h"
 #include "sennes/member.h"
-#include "vazzoler/follower.h"
+#include "subscription/follower.h"
 
 namespace pearspar {
 namespace {
 
-using fanes::ChangeKind;
+using protocol::ChangeKind;
 
-std::string config(int edition, std::size_t note) {
-  return "{\"edition\":" + std::to_string(edition) + ",\"note\":\"" + std::string(note, 'n') +
+std::string config(int revision, std::size_t note) {
+  return "{\"edition\":" + std::to_string(revision) + ",\"note\":\"" + std::string(note, 'n') +
          "\",\"postalRoutes\":[],\"depots\":[]}";
 }
 
-fanes::NodeNews news(const std::string& id) {
-  averau::Node node;
+protocol::NodeUpdate news(const std::string& id) {
+  catalog::Node node;
   node.id = id;
-  node.depot = "d";
+  node.service = "d";
   node.address = "1.1.1.1:1";
   return {node, 20};
 }
 
 // One of each kind, and of each kind of the agreement's.
 std::vector<std::string> true_frames() {
-  std::vector<fanes::Message> all{
-      fanes::Hello{7, fanes::FollowerKind::edge, "e", "z", {2, 3}, 4},
-      fanes::Hello{9, fanes::FollowerKind::core, "c", "z", {}, 0},
-      fanes::Welcome{3, true, {"a:1", "b:1"}},
-      fanes::Standing{{2, 3}, true, 4, 5, config(5, 40), {news("n"), news("m")}, {"x", "y"}, 90},
-      fanes::Standing{{}, false, 4, 5, config(5, 40), {news("n")}, {}, 100},
-      fanes::Changes{{2, 3},
-                     {{ChangeKind::node, 0, "", news("k")},
-                      {ChangeKind::gone, 0, "n", {}},
-                      {ChangeKind::lost, 0, "m", {}},
-                      {ChangeKind::configuration, 6, config(6, 9), {}},
-                      {ChangeKind::configuration_delta, 7, fanes::make_delta(config(6, 9), config(7, 9)), {}},
-                      {}}},
-      fanes::Ping{{2, 9}, 4, 90},
-      fanes::Ack{7, {2, 3}, 5, 80, 99},
-      fanes::Farewell{7},
-      fanes::Call{32, "b:1", "PUT", "/pearspar/config", "0", config(1, 9), 400},
-      fanes::Call{48, "b:1", "DELETE", "/pearspar/nodes/n", "", "", 0},
-      fanes::CallAnswer{16, 200, "{}"},
-      fanes::Want{7, 2, {{"d", 3}}},
-      fanes::Grant{2, {{"d", 3}}},
+  std::vector<protocol::Message> all{
+      protocol::Hello{7, protocol::FollowerKind::edge, "e", "z", {2, 3}, 4},
+      protocol::Hello{9, protocol::FollowerKind::core, "c", "z", {}, 0},
+      protocol::Welcome{3, true, {"a:1", "b:1"}},
+      protocol::StateSnapshot{{2, 3}, true, 4, 5, config(5, 40), {news("n"), news("m")}, {"x", "y"}, 90},
+      protocol::StateSnapshot{{}, false, 4, 5, config(5, 40), {news("n")}, {}, 100},
+      protocol::Changes{
+          {2, 3},
+          {{ChangeKind::node_updated, 0, "", news("k")},
+           {ChangeKind::node_retired, 0, "n", {}},
+           {ChangeKind::node_removed, 0, "m", {}},
+           {ChangeKind::configuration, 6, config(6, 9), {}},
+           {ChangeKind::configuration_delta, 7, protocol::make_delta(config(6, 9), config(7, 9)), {}},
+           {}}},
+      protocol::Ping{{2, 9}, 4, 90},
+      protocol::Ack{7, {2, 3}, 5, 80, 99},
+      protocol::Goodbye{7},
+      protocol::ControlCall{32, "b:1", "PUT", "/pearspar/config", "0", config(1, 9), 400},
+      protocol::ControlCall{48, "b:1", "DELETE", "/pearspar/nodes/n", "", "", 0},
+      protocol::ControlReply{16, 200, "{}"},
+      protocol::TokenRequest{7, 2, {{"d", 3}}},
+      protocol::TokenGrant{2, {{"d", 3}}},
       pramperet::Ask{7, 1, 2, {{{"f", "k"}, 2, {5, 6}}}, {{{"f", "k"}, 5}}, {}, {{{"f/b", "k"}, 3}}, {}, {}},
       pramperet::Tell{1, 2, 500, false, {{{"f", "k"}, 4, true}}, {{"f", "k"}}}};
   for (int kind = 0; kind <= static_cast<int>(raft::MessageKind::leave); ++kind) {
@@ -72,7 +73,7 @@
     all.emplace_back(message);
   }
   std::vector<std::string> frames;
-  for (const fanes::Message& message : all) frames.push_back(fanes::pack(message));
+  for (const protocol::Message& message : all) frames.push_back(protocol::pack(message));
   return frames;
 }
 
@@ -123,8 +124,8 @@
   return more ? std::atoi(more) : usual;
 }
 
-struct NoWire : transport::Wire {
-  void keep(const std::vector<std::string>&) override {}
+struct NoWire : transport::Transport {
+  void set_targets(const std::vector<std::string>&) override {}
   bool send_to(const std::string&, std::string_view) override { return true; }
   bool send(transport::LinkId, std::string_view) override { return true; }
 };
@@ -133,34 +134,34 @@
 
 class WireFuzzTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WireFuzzTest);
-  CPPUNIT_TEST(whatReadsReadsTheSameAgain);
-  CPPUNIT_TEST(aMemberAndAnEdgeStandWhateverComes);
-  CPPUNIT_TEST(aChangeOfANewerProgramIsCounted);
-  CPPUNIT_TEST(whoIsFarBehindIsToldInFramesThatRead);
+  CPPUNIT_TEST(readableFramesRoundTrip);
+  CPPUNIT_TEST(memberAndEdgeSurviveCorruptFrames);
+  CPPUNIT_TEST(unknownChangeKeepsItsNumber);
+  CPPUNIT_TEST(laggingEdgeGetsFramesWithinTheLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void whatReadsReadsTheSameAgain() {
+  void readableFramesRoundTrip() {
     for (const std::string& frame : true_frames()) {
-      auto message = fanes::unpack(frame);
-      CPPUNIT_ASSERT(message && fanes::pack(*message) == frame);
+      auto message = protocol::unpack(frame);
+      CPPUNIT_ASSERT(message && protocol::pack(*message) == frame);
     }
     Spoiler spoiler(11);
     int read = 0;
     for (int i = rounds(20000); i > 0; --i) {
       std::string bytes = spoiler.frame();
-      if (auto message = fanes::unpack(bytes)) {
+      if (auto message = protocol::unpack(bytes)) {
         ++read;
-        std::string again = fanes::pack(*message);
-        auto second = fanes::unpack(again);
-        CPPUNIT_ASSERT(second && fanes::pack(*second) == again);
+        std::string again = protocol::pack(*message);
+        auto second = protocol::unpack(again);
+        CPPUNIT_ASSERT(second && protocol::pack(*second) == again);
       }
       // And the readers of what lies on the disk and in the log.
-      static_cast<void>(fanes::unpack_entry(bytes));
-      static_cast<void>(fanes::unpack_snapshot(bytes));
-      static_cast<void>(fanes::unpack_vote(bytes));
-      static_cast<void>(fanes::unpack_steps(bytes));
-      static_cast<void>(fanes::apply_delta(config(1, 9), bytes));
+      static_cast<void>(protocol::unpack_entry(bytes));
+      static_cast<void>(protocol::unpack_snapshot(bytes));
+      static_cast<void>(protocol::unpack_vote(bytes));
+      static_cast<void>(protocol::unpack_quota_commands(bytes));
+      static_cast<void>(protocol::apply_delta(config(1, 9), bytes));
       sennes::State state;
       state.restore(bytes);
       state.apply({1, 1, raft::EntryKind::change, bytes, {}});
@@ -169,7 +170,7 @@
   }
 
   // The member may lose its lead by them, and stands for it again.
-  void aMemberAndAnEdgeStandWhateverComes() {
+  void memberAndEdgeSurviveCorruptFrames() {
     for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(rounds(20)); ++seed) {
       Spoiler spoiler(seed);
       biella::World world{seed};
@@ -182,14 +183,14 @@
       agreement.fresh_id = 5;
       sennes::OfficeOptions office;
       office.inner_address = "a:1";
-      office.life = 5;
+      office.incarnation = 5;
       sennes::Member member(wire, disk, agreement, office);
       CPPUNIT_ASSERT(!member.start(world.now()));
-      vazzoler::Follower edge(wire, {77, "e", "z", {"a:1"}});
+      subscription::Follower edge(wire, {77, "e", "z", {"a:1"}});
       edge.start(world.now());
       edge.link_up(1, "a:1");
       for (int i = 0; i < 300; ++i) {
-        world.run_until(world.now() + averau::Duration(0.01));
+        world.run_until(world.now() + catalog::Duration(0.01));
         std::string frame = spoiler.frame();
         member.link_frame(world.now(), 1 + spoiler.below(4), frame);
         if (spoiler.below(40) == 0) member.link_down(1 + spoiler.below(4));
@@ -202,58 +203,61 @@
   }
 
   // Passed over, and its number with it: else all that follow it stand one place too early.
-  void aChangeOfANewerProgramIsCounted() {
-    fanes::Changes changes{{2, 3}, {{ChangeKind::gone, 0, "n", {}}, {}, {ChangeKind::gone, 0, "m", {}}}};
+  void unknownChangeKeepsItsNumber() {
+    protocol::Changes changes{
+        {2, 3}, {{ChangeKind::node_retired, 0, "n", {}}, {}, {ChangeKind::node_retired, 0, "m", {}}}};
     changes.changes[1].kind = static_cast<ChangeKind>(40);
-    auto message = fanes::unpack(fanes::pack(changes));
-    vazzoler::View view;
-    averau::Time now{averau::Duration(50)};
-    view.apply(now, fanes::Standing{{2, 3}, true, 0, 0, "", {}, {}, 100});
-    CPPUNIT_ASSERT(view.apply(now, std::get<fanes::Changes>(*message)) == vazzoler::View::Taken::news);
-    CPPUNIT_ASSERT(view.at() == (fanes::Position{2, 6}));
-    CPPUNIT_ASSERT(view.nodes().is_gone("n") && view.nodes().is_gone("m"));
+    auto message = protocol::unpack(protocol::pack(changes));
+    subscription::ClusterView view;
+    catalog::Time now{catalog::Duration(50)};
+    view.apply(now, protocol::StateSnapshot{{2, 3}, true, 0, 0, "", {}, {}, 100});
+    CPPUNIT_ASSERT(view.apply(now, std::get<protocol::Changes>(*message)) ==
+                   subscription::ClusterView::ApplyResult::applied);
+    CPPUNIT_ASSERT(view.at() == (protocol::Position{2, 6}));
+    CPPUNIT_ASSERT(view.nodes().is_retired("n") && view.nodes().is_retired("m"));
   }
 
   // Configurations like nothing before them, while an edge is cut off: a frame of them all would end its link
   // each time that it comes back.
-  void whoIsFarBehindIsToldInFramesThatRead() {
-    averau::Time now{averau::Duration(50)};
-    vazzoler::View view, edge;
+  void laggingEdgeGetsFramesWithinTheLimit() {
+    catalog::Time now{catalog::Duration(50)};
+    subscription::ClusterView view, edge;
     sennes::Followers followers{view};
     followers.open(now, 2, true);
     followers.add(now, {});
     auto exchange = [&] {
       for (int i = 0; i < 3; ++i) {
-        now += averau::Duration(0.02);
+        now += catalog::Duration(0.02);
         for (const sennes::ToLink& out : followers.take_out(now)) {
-          CPPUNIT_ASSERT(out.bytes.size() <= fanes::most_frame);
-          auto message = fanes::unpack(out.bytes);
-          if (const auto* standing = std::get_if<fanes::Standing>(&*message)) edge.apply(now, *standing);
-          if (const auto* changes = std::get_if<fanes::Changes>(&*message)) edge.apply(now, *changes);
-          followers.on_ack(now, out.link, {77, edge.at(), edge.edition()});
+          CPPUNIT_ASSERT(out.bytes.size() <= protocol::max_frame_bytes);
+          auto message = protocol::unpack(out.bytes);
+          if (const auto* standing = std::get_if<protocol::StateSnapshot>(&*message))
+            edge.apply(now, *standing);
+          if (const auto* changes = std::get_if<protocol::Changes>(&*message)) edge.apply(now, *changes);
+          followers.on_ack(now, out.link, {77, edge.at(), edge.revision()});
         }
       }
     };
-    fanes::Hello hello{77, fanes::FollowerKind::edge, "e", "z", {}, 0};
+    protocol::Hello hello{77, protocol::FollowerKind::edge, "e", "z", {}, 0};
     followers.on_hello(now, 7, hello);
     exchange();
     CPPUNIT_ASSERT(edge.at() == view.at());
     followers.on_closed(7);
-    for (int edition = 1; edition <= 6; ++edition) {
-      averau::Fault fault;
+    for (int revision = 1; revision <= 6; ++revision) {
+      catalog::Fault fault;
       std::string note(900'000, ' ');
       for (std::size_t at = 0; at < note.size(); ++at)
-        note[at] = static_cast<char>('a' + (at * static_cast<std::size_t>(edition) * 7919) % 25);
-      std::string text = config(edition, 0);
+        note[at] = static_cast<char>('a' + (at * static_cast<std::size_t>(revision) * 7919) % 25);
+      std::string text = config(revision, 0);
       text.insert(text.find("\"postal"), "\"more\":\"" + note + "\",");
-      followers.add_configuration(now, averau::read_configuration(text, fault));
+      followers.add_configuration(now, catalog::parse_configuration(text, fault));
       exchange();
     }
-    hello.have = edge.at();
-    hello.edition = edge.edition();
+    hello.position = edge.at();
+    hello.revision = edge.revision();
     followers.on_hello(now, 8, hello);
     exchange();
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{6}, edge.edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{6}, edge.revision());
     CPPUNIT_ASSERT(edge.at() == view.at());
   }
 };
--- a/tests/system/words_test.cpp
+++ b/tests/system/words_test.cpp
@@ -1,5 +1,5 @@
 // What a member may promise, commit, count and say, by words handed to it.
-#include "band.h"
+#include "raft_cluster.h"
 
 namespace pearspar::raft {
 
@@ -37,7 +37,7 @@
     return message;
   }
   // By whom the leader has handed the lead over to, so that it is looked at while the leader lives.
-  static Message ask(Band& band, std::size_t by, std::size_t of) {
+  static Message ask(RaftCluster& band, std::size_t by, std::size_t of) {
     Message message;
     message.kind = MessageKind::ask_vote;
     message.from = band.core(by).self();
@@ -49,7 +49,7 @@
     message.yes = true;
     return message;
   }
-  static bool votes(Band& band, std::size_t at, const Message& message) {
+  static bool votes(RaftCluster& band, std::size_t at, const Message& message) {
     static_cast<void>(band.core(at).take_out());
     band.hand(at, message);
     for (const Outgoing& out : band.core(at).take_out())
@@ -57,7 +57,7 @@
     return false;
   }
   // Just elected: nobody has answered yet.
-  static std::size_t elected(Band& band) {
+  static std::size_t elected(RaftCluster& band) {
     std::size_t at = 0;
     CPPUNIT_ASSERT(band.until(5, [&] {
       for (at = 0; at < band.places(); ++at)
@@ -72,7 +72,7 @@
   // "late" stands on b's disk alone. Once c has it too it is on a majority's, and yet a member whose last
   // entry is of a term in between would be elected without it: it counts only under an entry of b's own term.
   void anEntryOfAnEarlierTermIsNotCommittedByCount() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     CPPUNIT_ASSERT(band.change(a));
     band.run(0.3);
@@ -95,7 +95,7 @@
   // Two newcomers have caught up, and nobody has written down that the first is in: three and five would not
   // need to share a member.
   void oneChangeOfTheMembershipAtATime() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
     Core& leader = band.core(a);
@@ -111,7 +111,7 @@
   // A leader before it may have left an entry on a change that this one does not know: two changes that both
   // begin at three are not neighbours.
   void noChangeOfTheMembershipBeforeTheTermHasCommitted() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
     band.end(a);
@@ -127,7 +127,7 @@
 
   // Cut off, it is told by a slow link what was answered before the cut: that says nothing of now.
   void aLeaseCountsFromTheSendingOfARound() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led();
     CPPUNIT_ASSERT(band.change(a));
     band.cut_off(a, true, true);
@@ -142,7 +142,7 @@
   }
 
   void oneVoteInATermAlsoAfterAStart() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     band.run(0.2);
     Message of_a = ask(band, a, b), of_c = ask(band, c, b);
@@ -156,7 +156,7 @@
   }
 
   void whoIsBehindGetsNoVote() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     CPPUNIT_ASSERT(band.change(a));
     band.run(0.2);
@@ -174,7 +174,7 @@
   }
 
   void aMajorityElects() {
-    Band band(5);
+    RaftCluster band(5);
     std::size_t a = band.led(), b = (a + 1) % 5;
     Message word;
     word.kind = MessageKind::take_over;
@@ -197,7 +197,7 @@
 
   // Meant for who was there before its disk was lost: that one may have promised otherwise.
   void aWordForAnEarlierIdIsNotTaken() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led(), b = (a + 1) % 3, c = (a + 2) % 3;
     Message for_before = ask(band, c, b);
     band.wipe(b);
@@ -211,7 +211,7 @@
 
   // Half of one and half of another are no snapshot.
   void aPieceOfAnotherSnapshotBeginsAnew() {
-    Band band(3);
+    RaftCluster band(3);
     std::size_t a = band.led(), c = (a + 1) % 3;
     Message piece;
     piece.kind = MessageKind::piece;
