--- a/src/catalog/configuration.h
+++ b/src/catalog/configuration.h
@@ -1,4 +1,4 @@
-// The operators' configuration: its shape, and the one place where it is read and checked.
+// The configuration that operators send: its types and its parser, which also validates it.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace pearspar::catalog {
 
-using Revision = std::uint64_t;  // of a configuration; rises in uneven steps, 0 = none yet
+// Number of a configuration. Rises from one configuration to the next, not always by one; 0 = none yet.
+using Revision = std::uint64_t;
 
 struct WeightedService {
   std::string service;
@@ -22,24 +23,24 @@
 struct Route {
   std::string name;
   std::string host;
-  std::string prefix;  // begins and ends with a slash
-  bool safe = false;   // may run more than once
+  std::string path_prefix;  // begins and ends with a slash
+  bool safe = false;        // the request may be executed more than once
   double deadline_ms = 0;
-  double target_ms = 0;                   // an answer within it earns its full worth; 0 = not told
+  double target_ms = 0;                   // latency target; 0 = none
   int precedence = 0;                     // 0 is highest
-  int tries = 1;                          // servers that one request may be sent to (of each shard)
-  std::vector<WeightedService> services;  // one, or several by weight; empty where it gathers
-  std::vector<std::string> shards;        // empty where it does not
-  int top = 0;                            // records of a gathered answer
-  double min_shard_ratio = 0;             // of the shards, for a success
-  std::string kind;                       // of the allowance that it draws on; empty = none
+  int max_attempts = 1;                   // servers that one request, or one part of it, may be sent to
+  std::vector<WeightedService> services;  // empty for a scatter-gather route
+  std::vector<std::string> shards;        // services that a scatter-gather route queries; else empty
+  int max_records = 0;                    // of a gathered response
+  double min_shard_ratio = 0;             // of the shards that have to answer for a success
+  std::string quota_kind;                 // quota that a request counts against; empty = none
   bool gathers() const { return !shards.empty(); }
 };
 
 struct Service {
   std::string name;
   std::string health_path;
-  int connections = 0;  // that one server accepts from all callers together; 0 = not told
+  int max_connections = 0;  // that one server accepts from all clients together; 0 = not configured
 };
 
 struct Limits {
@@ -49,24 +50,24 @@
   double idle_ms = 15000;
 };
 
-// What a holder may ask for of one kind in a window. A holder is a firm, or a branch under it
-// ("firm/branch"); what a branch draws counts on both.
+// The quota of one holder for requests of one kind, per window. A holder is a firm or one of its branches
+// ("firm/branch"); requests of a branch count against both.
 struct QuotaAccount {
   std::string holder;
   std::string kind;
   std::uint64_t limit = 0;
-  bool borrows = false;  // of a branch: past its limit it goes on while its firm's lasts
+  bool borrows = false;  // a branch that is past its limit may use what its firm has left
 };
 
 struct QuotaRules {
   double window_ms = 60000;
-  std::string holder_header;  // of a request: who it is for
-  std::string key_header;     // the same over all tries of one retrieval; empty = Request-Id
-  bool spend_when_disconnected = false;
+  std::string holder_header;             // request header that names the holder
+  std::string key_header;                // request header that is equal for all attempts; empty = Request-Id
+  bool spend_when_disconnected = false;  // accept requests while the core cannot be reached
   std::vector<QuotaAccount> accounts;
 
   const QuotaAccount* find(const std::string& holder, const std::string& kind) const;
-  std::unordered_map<std::string, std::size_t> places;  // by holder and kind
+  std::unordered_map<std::string, std::size_t> account_index;  // by holder and kind
 };
 
 struct Configuration {
@@ -74,15 +75,15 @@
   std::vector<Route> routes;
   std::vector<Service> services;
   Limits limits;
-  std::shared_ptr<const QuotaRules> allowances;  // null = there are none
-  std::string text;                              // as it was sent
+  std::shared_ptr<const QuotaRules> quota_rules;  // null = no quotas
+  std::string text;                               // as received
 };
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-// Nothing, with the fault, where the text is no valid configuration by itself.
+// Parses and validates a configuration. Returns null, and sets `fault`, where it is not valid.
 ConfigurationPtr parse_configuration(std::string_view text, Fault& fault);
 
-// Its number alone, also where the rest is nothing that this program takes; 0 = it has none.
+// The revision alone, also of a configuration that is not valid otherwise; 0 = none.
 Revision revision_of(std::string_view text);
 
 }  // namespace pearspar::catalog
--- a/src/catalog/json.cpp
+++ b/src/catalog/json.cpp
@@ -6,10 +6,10 @@
 namespace pearspar::catalog {
 namespace {
 
-constexpr int max_depth = 32;
+constexpr int max_nesting = 32;
 
-// Looked at before cJSON recurses into it.
-bool too_deep(std::string_view text) {
+// Checked before the text is passed to cJSON, whose parser is recursive.
+bool nested_too_deeply(std::string_view text) {
   int depth = 0;
   bool quoted = false;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -22,7 +22,7 @@
     } else if (c == '"') {
       quoted = true;
     } else if (c == '{' || c == '[') {
-      if (++depth > max_depth) return true;
+      if (++depth > max_nesting) return true;
     } else if (c == '}' || c == ']') {
       --depth;
     }
@@ -48,33 +48,33 @@
 }
 
 Json parse_json(std::string_view text, Fault& fault) {
-  if (too_deep(text)) {
+  if (nested_too_deeply(text)) {
     fault = {{}, "nested too deeply"};
     return nullptr;
   }
-  const char* stop = nullptr;
-  Json json(cJSON_ParseWithLengthOpts(text.data(), text.size(), &stop, 0));
-  std::size_t at = stop ? static_cast<std::size_t>(stop - text.data()) : 0;
-  std::size_t rest = json ? text.find_first_not_of(" \t\r\n", at) : at;
-  if (json && rest == text.npos) return json;
-  at = std::min(json ? rest : at, text.size());
+  const char* parse_end = nullptr;
+  Json json(cJSON_ParseWithLengthOpts(text.data(), text.size(), &parse_end, 0));
+  std::size_t at = parse_end ? static_cast<std::size_t>(parse_end - text.data()) : 0;
+  std::size_t trailing = json ? text.find_first_not_of(" \t\r\n", at) : at;
+  if (json && trailing == text.npos) return json;
+  at = std::min(json ? trailing : at, text.size());
   auto before = text.substr(0, at);
   auto line = std::count(before.begin(), before.end(), '\n') + 1;
-  std::size_t start = before.rfind('\n');
+  std::size_t line_break = before.rfind('\n');
   fault = {{},
            "no JSON at line " + std::to_string(line) + ", column " +
-               std::to_string(start == before.npos ? at + 1 : at - start)};
+               std::to_string(line_break == before.npos ? at + 1 : at - line_break)};
   return nullptr;
 }
 
 const cJSON* JsonReader::item(const char* key) const {
   return cJSON_GetObjectItemCaseSensitive(object_, key);
 }
-std::string JsonReader::at(const char* key) const { return path_.empty() ? key : path_ + "." + key; }
+std::string JsonReader::path_of(const char* key) const { return path_.empty() ? key : path_ + "." + key; }
 bool JsonReader::has(const char* key) const { return item(key) != nullptr; }
 
 void JsonReader::fail(const char* key, std::string what) {
-  if (good()) fault_ = {at(key), std::move(what)};
+  if (good()) fault_ = {path_of(key), std::move(what)};
 }
 
 std::string JsonReader::text(const char* key) {
@@ -121,7 +121,7 @@
   }
   int i = 0;
   for (const cJSON* element = array->child; element; element = element->next, ++i) {
-    std::string path = at(key) + "[" + std::to_string(i) + "]";
+    std::string path = path_of(key) + "[" + std::to_string(i) + "]";
     if (!cJSON_IsObject(element)) {
       if (good()) fault_ = {path, "is no object"};
       return {};
@@ -134,7 +134,7 @@
 std::optional<JsonReader> JsonReader::object(const char* key) {
   const cJSON* found = item(key);
   if (!found) return std::nullopt;
-  if (cJSON_IsObject(found)) return JsonReader(found, at(key), fault_);
+  if (cJSON_IsObject(found)) return JsonReader(found, path_of(key), fault_);
   fail(key, "is no object");
   return std::nullopt;
 }
--- a/src/catalog/json.h
+++ b/src/catalog/json.h
@@ -1,5 +1,4 @@
-// cJSON behind a reader that knows where it stands: the first fault is kept with the path of its key, and
-// whatever is asked after it gives the fallback.
+// Parsing of JSON with cJSON, and a reader that reports the path of the first invalid value.
 #pragma once
 
 #include <cjson/cJSON.h>
@@ -18,43 +17,47 @@
   std::string text() const { return path.empty() ? what : path + ": " + what; }
 };
 
-// As it stands in JSON, quotes and all.
+// The text as a JSON string, with its quotes.
 std::string quoted(std::string_view text);
 
-struct JsonEnd {
+struct JsonDeleter {
   void operator()(cJSON* json) const { cJSON_Delete(json); }
 };
-using Json = std::unique_ptr<cJSON, JsonEnd>;
+using Json = std::unique_ptr<cJSON, JsonDeleter>;
 
-// The whole text must be one value, nested 32 deep at most. Else nothing, with `fault` naming line and
-// column.
+// Parses a text that must be exactly one value, nested at most 32 levels deep. Otherwise returns null and
+// sets `fault` to the line and column of the error.
 Json parse_json(std::string_view text, Fault& fault);
 
+// Reads the members of a JSON object. The first fault is kept; a value that is missing or invalid reads as
+// the fallback.
 class JsonReader {
  public:
   JsonReader(const cJSON* object, std::string path, Fault& fault)
       : object_(object), path_(std::move(path)), fault_(fault) {}
 
   bool has(const char* key) const;
-  // A key that must be there.
+  // Required members.
   std::string text(const char* key);
   double number(const char* key, double least, double most);
-  // A key that may be absent.
+  // Optional members.
   std::string text_or(const char* key, std::string fallback);
   double number_or(const char* key, double fallback, double least, double most);
   bool flag_or(const char* key, bool fallback);
-  // The objects of an array; none where the key is absent.
+  // A reader for each object of an optional array.
   std::vector<JsonReader> objects(const char* key);
   std::optional<JsonReader> object(const char* key);
+  // A required array of strings.
   std::vector<std::string> texts(const char* key);
 
+  // Reports a fault in the member `key`, unless there was one before.
   void fail(const char* key, std::string what);
   bool good() const { return fault_.what.empty(); }
   const std::string& path() const { return path_; }
 
  private:
   const cJSON* item(const char* key) const;
-  std::string at(const char* key) const;
+  std::string path_of(const char* key) const;
 
   const cJSON* object_;
   std::string path_;
--- a/src/catalog/node_list.cpp
+++ b/src/catalog/node_list.cpp
@@ -40,19 +40,19 @@
   return XXH3_64bits(all.data(), all.size());
 }
 
-NodeList::Taken NodeList::put(const Node& node, std::string* displaced) {
-  if (is_gone(node.id)) return Taken::stale;
+NodeList::PutResult NodeList::put(const Node& node, std::string* displaced) {
+  if (is_retired(node.id)) return PutResult::stale;
   auto found = nodes_.find(node.id);
-  if (found != nodes_.end() && node.sequence < found->second.call) return Taken::stale;
-  if (found != nodes_.end() && found->second.closing && !node.closing) return Taken::stale;
+  if (found != nodes_.end() && node.sequence < found->second.sequence) return PutResult::stale;
+  if (found != nodes_.end() && found->second.closing && !node.closing) return PutResult::stale;
   if (found != nodes_.end() && found->second.same_description(node)) {
-    found->second.call = node.sequence;
+    found->second.sequence = node.sequence;
     found->second.cold_until = node.cold_until;
-    return Taken::same;
+    return PutResult::unchanged;
   }
   if (auto other = by_address_.find(node.address); other != by_address_.end() && other->second != node.id) {
     std::string before = other->second;
-    lose(before);
+    remove(before);
     if (displaced) *displaced = before;
   }
   if (found != nodes_.end()) {
@@ -62,33 +62,33 @@
   by_address_[node.address] = node.id;
   nodes_[node.id] = node;
   digest_ ^= digest_of(node);
-  return Taken::news;
+  return PutResult::changed;
 }
 
-bool NodeList::lose(std::string_view id) {
+bool NodeList::remove(std::string_view id) {
   auto found = nodes_.find(id);
   if (found == nodes_.end()) return false;
   by_address_.erase(found->second.address);
   digest_ ^= digest_of(found->second);
-  // Who was closing is gone for good: a late word of its better days must not open it.
-  if (found->second.closing) bury(found->first);
+  // A delayed heartbeat must not reopen a closing node.
+  if (found->second.closing) remember_retired(found->first);
   nodes_.erase(found);
   return true;
 }
 
-void NodeList::bury(const std::string& id) {
-  if (!gone_.insert(id).second) return;
-  gone_order_.push_back(id);
-  if (gone_order_.size() <= max_retired) return;
-  gone_.erase(gone_order_.front());
-  gone_order_.pop_front();
+void NodeList::remember_retired(const std::string& id) {
+  if (!retired_.insert(id).second) return;
+  retired_order_.push_back(id);
+  if (retired_order_.size() <= max_retired) return;
+  retired_.erase(retired_order_.front());
+  retired_order_.pop_front();
 }
 
-bool NodeList::gone(std::string_view id) {
+bool NodeList::retire(std::string_view id) {
   std::string name(id);
-  bool fresh = !is_gone(name);
-  bury(name);
-  lose(id);
+  bool fresh = !is_retired(name);
+  remember_retired(name);
+  remove(id);
   return fresh;
 }
 
--- a/src/catalog/node_list.h
+++ b/src/catalog/node_list.h
@@ -1,5 +1,6 @@
-// The index servers that are known ("nodes"; the wire's page calls them brokers), and the fold of what they
-// say. A node's life is its id: what is gone never comes back, and what closes never opens again.
+// The list of index servers ("nodes"; the HTTP interface calls them brokers), built from their heartbeats.
+//
+// A node is identified by its id. A retired id never returns, and a node that is closing never opens again.
 #pragma once
 
 #include <chrono>
@@ -23,52 +24,59 @@
   std::string service;
   std::string address;
   std::string zone;
-  std::string software_version;  // of its software
+  std::string software_version;
   int slots = 1;
   bool closing = false;
-  std::uint64_t call = 0;  // the number of the call that said so; rises
-  Time cold_until{};       // slow until then
+  std::uint64_t sequence = 0;  // of the heartbeat that reported this; rises
+  Time cold_until{};           // slow until then
 
-  // The same but for what each call changes.
+  // Compares all fields that the digest covers, but not `sequence` and `cold_until`, which change with every
+  // heartbeat.
   bool same_description(const Node& other) const {
     return service == other.service && address == other.address && zone == other.zone &&
            software_version == other.software_version && slots == other.slots && closing == other.closing;
   }
 };
 
-// Of all that same_description() compares, and the id.
+// Digest of the id and of all fields that Node::same_description() compares.
 std::uint64_t digest_of(const Node& node);
 
-// Nothing, with the fault, where the body is no beat of that id.
+// Parses the body of a heartbeat of the node `id`. Returns nothing, and sets `fault`, where it is not valid.
 std::optional<Node> parse_heartbeat(std::string_view id, std::string_view body, Time now, Fault& fault);
 
 class NodeList {
  public:
-  enum class Taken { news, same, stale };  // same: only its call rose; stale: older than what is known
+  enum class PutResult {
+    changed,
+    unchanged,  // only the sequence number and `cold_until` were updated
+    stale       // older than what is known, or the node is retired
+  };
 
-  // Another node at the same address is lost by it: two cannot stand there.
-  Taken put(const Node& node, std::string* displaced = nullptr);
-  // For good. False where it was gone already.
-  bool gone(std::string_view id);
-  // For now: it may come back by a beat, unless it was closing.
-  bool lose(std::string_view id);
-  bool is_gone(const std::string& id) const { return gone_.count(id) != 0; }
+  // Adds or updates a node. Removes another node that is listed at the same address and stores its id in
+  // `displaced`.
+  PutResult put(const Node& node, std::string* displaced = nullptr);
+  // Removes a node permanently. Returns false where its id was retired already.
+  bool retire(std::string_view id);
+  // Removes a node that may return with its next heartbeat. A closing node is retired instead.
+  bool remove(std::string_view id);
+  bool is_retired(const std::string& id) const { return retired_.count(id) != 0; }
 
   const Node* find(std::string_view id) const;
   const std::map<std::string, Node, std::less<>>& all() const { return nodes_; }
-  const std::deque<std::string>& ended() const { return gone_order_; }
-  // Of the nodes that are listed, in any order: two lists that say the same have the same. Never 0.
+  // Retired ids, oldest first.
+  const std::deque<std::string>& retired() const { return retired_order_; }
+  // Digest of the listed nodes, independent of their order. Never 0.
   std::uint64_t digest() const { return digest_ | 1; }
 
  private:
-  static constexpr std::size_t max_retired = 4096;  // ids kept of those that are gone
-  void bury(const std::string& id);
+  static constexpr std::size_t max_retired = 4096;  // retired ids that are remembered
+  void remember_retired(const std::string& id);
   std::uint64_t digest_ = 0;
 
   std::map<std::string, Node, std::less<>> nodes_;
   std::map<std::string, std::string, std::less<>> by_address_;
-  std::unordered_set<std::string> gone_;
-  std::deque<std::string> gone_order_;
+  std::unordered_set<std::string> retired_;
+  std::deque<std::string> retired_order_;
 };
 
 }  // namespace pearspar::catalog
--- a/src/protocol/delta.cpp
+++ b/src/protocol/delta.cpp
@@ -11,20 +11,22 @@
 namespace pearspar::protocol {
 namespace {
 
-constexpr std::size_t most_pieces = 65536;
+constexpr std::size_t max_pieces = 65536;
+constexpr std::size_t max_piece_fields = 8;
 
+// A piece of the new text: either a range of the old text, or new text where `length` is 0.
 struct Piece {
-  std::size_t at = 0;      // of the old text
-  std::size_t length = 0;  // of it; 0 = `fresh` instead
-  std::string_view fresh;
+  std::size_t at = 0;
+  std::size_t length = 0;
+  std::string_view new_text;
 };
 
-// Where each piece of a text begins.
-std::vector<std::size_t> cuts(std::string_view text) {
-  std::vector<std::size_t> found{0};
-  for (std::size_t at = text.find('{', 1); at != text.npos; at = text.find('{', at + 1)) found.push_back(at);
-  found.push_back(text.size());
-  return found;
+// The offsets at which the pieces of a text begin, and its size.
+std::vector<std::size_t> piece_starts(std::string_view text) {
+  std::vector<std::size_t> starts{0};
+  for (std::size_t at = text.find('{', 1); at != text.npos; at = text.find('{', at + 1)) starts.push_back(at);
+  starts.push_back(text.size());
+  return starts;
 }
 
 void put_digest(Packer& packer, std::string_view text) {
@@ -42,25 +44,25 @@
 }  // namespace
 
 std::string make_delta(std::string_view from, std::string_view to) {
-  std::vector<std::size_t> old_cuts = cuts(from), new_cuts = cuts(to);
+  std::vector<std::size_t> old_starts = piece_starts(from), new_starts = piece_starts(to);
   std::unordered_map<std::string_view, std::vector<std::size_t>> old_pieces;
-  for (std::size_t i = 0; i + 1 < old_cuts.size(); ++i)
-    old_pieces[from.substr(old_cuts[i], old_cuts[i + 1] - old_cuts[i])].push_back(old_cuts[i]);
+  for (std::size_t i = 0; i + 1 < old_starts.size(); ++i)
+    old_pieces[from.substr(old_starts[i], old_starts[i + 1] - old_starts[i])].push_back(old_starts[i]);
   std::vector<Piece> pieces;
-  for (std::size_t i = 0; i + 1 < new_cuts.size(); ++i) {
-    std::string_view text = to.substr(new_cuts[i], new_cuts[i + 1] - new_cuts[i]);
+  for (std::size_t i = 0; i + 1 < new_starts.size(); ++i) {
+    std::string_view text = to.substr(new_starts[i], new_starts[i + 1] - new_starts[i]);
     Piece* last = pieces.empty() ? nullptr : &pieces.back();
-    // Where the old text goes on as the new one does the piece before only grows.
+    // Extends the last piece where the old text continues in the same way.
     if (last && last->length > 0 && from.substr(last->at + last->length).starts_with(text))
       last->length += text.size();
     else if (auto known = old_pieces.find(text); known != old_pieces.end())
       pieces.push_back({known->second.front(), text.size(), {}});
     else if (last && last->length == 0)
-      last->fresh = {last->fresh.data(), last->fresh.size() + text.size()};
+      last->new_text = {last->new_text.data(), last->new_text.size() + text.size()};
     else
       pieces.push_back({0, 0, text});
   }
-  if (pieces.size() > most_pieces) pieces = {{0, 0, to}};
+  if (pieces.size() > max_pieces) pieces = {{0, 0, to}};
   Packer packer;
   packer.array(6);
   put_digest(packer, from);
@@ -71,7 +73,7 @@
     packer.array(3);
     packer.number(piece.at);
     packer.number(piece.length);
-    packer.text(piece.fresh);
+    packer.text(piece.new_text);
   }
   return std::string(packer.view());
 }
@@ -81,17 +83,17 @@
   if (!has_digest(in, from) || !in.good()) return std::nullopt;
   std::uint64_t high = in.number(), low = in.number();
   std::size_t size = in.number();
-  std::size_t count = in.enter(most_pieces);
+  std::size_t count = in.enter(max_pieces);
   if (!in.good() || size > max_frame_bytes) return std::nullopt;
   std::string to;
   to.reserve(size);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
-    in.enter(8);
+    in.enter(max_piece_fields);
     std::size_t at = in.number(), length = in.number();
-    std::string fresh = in.text();
+    std::string new_text = in.text();
     in.leave();
     if (at > from.size() || length > from.size() - at) return std::nullopt;
-    to += length > 0 ? from.substr(at, length) : std::string_view(fresh);
+    to += length > 0 ? from.substr(at, length) : std::string_view(new_text);
     if (to.size() > size) return std::nullopt;
   }
   in.leave();
--- a/src/protocol/delta.h
+++ b/src/protocol/delta.h
@@ -1,5 +1,5 @@
-// What makes one text out of another that the other side has: pieces of the old one and what is new. Cut at
-// opening braces, so that a route or a service that did not change is a piece.
+// Delta encoding of configuration texts: a new text is described by pieces of the old one and by what is new.
+// Texts are split at opening braces, so that an unchanged route or service is one piece.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 namespace pearspar::protocol {
 
 std::string make_delta(std::string_view from, std::string_view to);
-// Nothing where `from` is not the text it was made from, or the bytes are no delta: the whole is wanted then.
+// Returns nothing where `from` is not the text that the delta was made from, or the bytes are not a delta.
 std::optional<std::string> apply_delta(std::string_view from, std::string_view delta);
 
 }  // namespace pearspar::protocol
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -11,31 +11,31 @@
 
 // The first field of each message.
 enum class Tag : std::uint64_t {
-  agreement = 1,
+  raft = 1,
   hello,
   welcome,
-  standing,
+  snapshot,
   changes,
   ping,
   ack,
-  farewell,
-  call,
-  call_answer,
-  want,
-  grant,
-  ask,
-  tell,
+  goodbye,
+  control_call,
+  control_reply,
+  token_request,
+  token_grant,
+  quota_request,
+  quota_reply,
   neighbours,
-  where,
-  there
+  core_query,
+  core_addresses
 };
 
-constexpr std::size_t most_fields = 32;
-constexpr std::size_t most_nodes = 65536;
-constexpr std::size_t most_changes = 65536;
-constexpr std::size_t most_tokens = 4096;
-constexpr std::size_t most_cores = 64;
-constexpr std::size_t most_neighbours = 16;
+constexpr std::size_t max_fields = 32;
+constexpr std::size_t max_nodes = 65536;
+constexpr std::size_t max_changes = 65536;
+constexpr std::size_t max_tokens = 4096;
+constexpr std::size_t max_core_addresses = 64;
+constexpr std::size_t max_neighbours = 16;
 
 void begin(Packer& packer, Tag tag, std::size_t fields) {
   packer.array(fields + 1);
@@ -53,8 +53,8 @@
   return position;
 }
 
-void put(Packer& packer, const NodeUpdate& news) {
-  const catalog::Node& node = news.node;
+void put(Packer& packer, const NodeUpdate& update) {
+  const catalog::Node& node = update.node;
   packer.array(9);
   packer.text(node.id);
   packer.text(node.service);
@@ -64,12 +64,12 @@
   packer.number(static_cast<std::uint64_t>(node.slots));
   packer.flag(node.closing);
   packer.number(node.sequence);
-  packer.number(news.cold_ms);
+  packer.number(update.cold_ms);
 }
-NodeUpdate get_news(Unpacker& in) {
-  NodeUpdate news;
-  catalog::Node& node = news.node;
-  in.enter(most_fields);
+NodeUpdate get_node_update(Unpacker& in) {
+  NodeUpdate update;
+  catalog::Node& node = update.node;
+  in.enter(max_fields);
   node.id = in.text();
   node.service = in.text();
   node.address = in.text();
@@ -78,18 +78,18 @@
   node.slots = static_cast<int>(in.number());
   node.closing = in.flag();
   node.sequence = in.number();
-  news.cold_ms = static_cast<std::uint32_t>(in.number());
+  update.cold_ms = static_cast<std::uint32_t>(in.number());
   in.leave();
-  return news;
+  return update;
 }
 
 void put(Packer& packer, const std::vector<std::string>& texts) {
   packer.array(texts.size());
   for (const std::string& text : texts) packer.text(text);
 }
-std::vector<std::string> get_texts(Unpacker& in, std::size_t most) {
+std::vector<std::string> get_texts(Unpacker& in, std::size_t max_size) {
   std::vector<std::string> texts;
-  std::size_t count = in.enter(most);
+  std::size_t count = in.enter(max_size);
   for (std::size_t i = 0; i < count && in.good(); ++i) texts.push_back(in.text());
   in.leave();
   return texts;
@@ -105,9 +105,9 @@
 }
 std::vector<Tokens> get_tokens(Unpacker& in) {
   std::vector<Tokens> tokens;
-  std::size_t count = in.enter(most_tokens);
+  std::size_t count = in.enter(max_tokens);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
-    in.enter(most_fields);
+    in.enter(max_fields);
     Tokens each;
     each.service = in.text();
     each.count = static_cast<std::uint32_t>(in.number());
@@ -122,10 +122,10 @@
   return in.more() ? static_cast<std::uint32_t>(std::min<std::uint64_t>(100, in.number())) : 100;
 }
 
-struct Put {
+struct MessagePacker {
   Packer& packer;
   void operator()(const raft::Message& message) const {
-    begin(packer, Tag::agreement, 1);
+    begin(packer, Tag::raft, 1);
     pack(packer, message);
   }
   void operator()(const Hello& hello) const {
@@ -141,20 +141,20 @@
   void operator()(const Welcome& welcome) const {
     begin(packer, Tag::welcome, 3);
     packer.number(welcome.term);
-    packer.flag(welcome.leads);
-    put(packer, welcome.cores);
+    packer.flag(welcome.from_leader);
+    put(packer, welcome.core_addresses);
   }
-  void operator()(const StateSnapshot& standing) const {
-    begin(packer, Tag::standing, 9);
-    put(packer, standing.at);
-    packer.flag(standing.complete);
-    packer.number(standing.edges);
-    packer.number(standing.revision);
-    packer.text(standing.configuration);
-    packer.array(standing.nodes.size());
-    for (const NodeUpdate& news : standing.nodes) put(packer, news);
-    put(packer, standing.retired);
-    packer.number(standing.coverage);
+  void operator()(const StateSnapshot& snapshot) const {
+    begin(packer, Tag::snapshot, 9);
+    put(packer, snapshot.at);
+    packer.flag(snapshot.complete);
+    packer.number(snapshot.edges);
+    packer.number(snapshot.revision);
+    packer.text(snapshot.configuration);
+    packer.array(snapshot.nodes.size());
+    for (const NodeUpdate& update : snapshot.nodes) put(packer, update);
+    put(packer, snapshot.retired);
+    packer.number(snapshot.coverage);
   }
   void operator()(const Changes& changes) const {
     begin(packer, Tag::changes, 3);
@@ -182,41 +182,41 @@
     packer.number(ack.coverage);
     packer.number(ack.node_list_digest);
   }
-  void operator()(const Goodbye& farewell) const {
-    begin(packer, Tag::farewell, 1);
-    packer.number(farewell.incarnation);
+  void operator()(const Goodbye& goodbye) const {
+    begin(packer, Tag::goodbye, 1);
+    packer.number(goodbye.incarnation);
   }
-  void operator()(const TokenRequest& want) const {
-    begin(packer, Tag::want, 3);
-    packer.number(want.incarnation);
-    packer.number(want.number);
-    put(packer, want.tokens);
+  void operator()(const TokenRequest& request) const {
+    begin(packer, Tag::token_request, 3);
+    packer.number(request.incarnation);
+    packer.number(request.number);
+    put(packer, request.tokens);
   }
   void operator()(const TokenGrant& grant) const {
-    begin(packer, Tag::grant, 2);
+    begin(packer, Tag::token_grant, 2);
     packer.number(grant.number);
     put(packer, grant.tokens);
   }
   void operator()(const pramperet::Ask& ask) const {
-    begin(packer, Tag::ask, 1);
+    begin(packer, Tag::quota_request, 1);
     pack(packer, ask);
   }
   void operator()(const pramperet::Tell& tell) const {
-    begin(packer, Tag::tell, 1);
+    begin(packer, Tag::quota_reply, 1);
     pack(packer, tell);
   }
   void operator()(const Neighbours& neighbours) const {
     begin(packer, Tag::neighbours, 1);
     put(packer, neighbours.edges);
   }
-  void operator()(const CoreQuery&) const { begin(packer, Tag::where, 0); }
-  void operator()(const CoreAddresses& there) const {
-    begin(packer, Tag::there, 2);
-    packer.number(there.term);
-    put(packer, there.cores);
+  void operator()(const CoreQuery&) const { begin(packer, Tag::core_query, 0); }
+  void operator()(const CoreAddresses& core) const {
+    begin(packer, Tag::core_addresses, 2);
+    packer.number(core.term);
+    put(packer, core.addresses);
   }
   void operator()(const ControlCall& call) const {
-    begin(packer, Tag::call, 7);
+    begin(packer, Tag::control_call, 7);
     packer.number(call.number);
     packer.text(call.from);
     packer.text(call.method);
@@ -225,11 +225,11 @@
     packer.text(call.body);
     packer.number(call.timeout_ms);
   }
-  void operator()(const ControlReply& answer) const {
-    begin(packer, Tag::call_answer, 3);
-    packer.number(answer.number);
-    packer.number(answer.status);
-    packer.text(answer.body);
+  void operator()(const ControlReply& reply) const {
+    begin(packer, Tag::control_reply, 3);
+    packer.number(reply.number);
+    packer.number(reply.status);
+    packer.text(reply.body);
   }
 };
 
@@ -245,36 +245,36 @@
   return hello;
 }
 
-StateSnapshot get_standing(Unpacker& in) {
-  StateSnapshot standing;
-  standing.at = get_position(in);
-  standing.complete = in.flag();
-  standing.edges = static_cast<std::uint32_t>(in.number());
-  standing.revision = in.number();
-  standing.configuration = in.text();
-  std::size_t count = in.enter(most_nodes);
-  for (std::size_t i = 0; i < count && in.good(); ++i) standing.nodes.push_back(get_news(in));
+StateSnapshot get_snapshot(Unpacker& in) {
+  StateSnapshot snapshot;
+  snapshot.at = get_position(in);
+  snapshot.complete = in.flag();
+  snapshot.edges = static_cast<std::uint32_t>(in.number());
+  snapshot.revision = in.number();
+  snapshot.configuration = in.text();
+  std::size_t count = in.enter(max_nodes);
+  for (std::size_t i = 0; i < count && in.good(); ++i) snapshot.nodes.push_back(get_node_update(in));
   in.leave();
-  standing.retired = get_texts(in, most_nodes);
-  standing.coverage = get_coverage(in);
-  return standing;
+  snapshot.retired = get_texts(in, max_nodes);
+  snapshot.coverage = get_coverage(in);
+  return snapshot;
 }
 
 Changes get_changes(Unpacker& in) {
   Changes changes;
   changes.after = get_position(in);
-  std::size_t count = in.enter(most_changes);
+  std::size_t count = in.enter(max_changes);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
     Change change;
-    in.enter(most_fields);
+    in.enter(max_fields);
     std::uint64_t kind = in.number();
     change.kind = static_cast<ChangeKind>(kind);
     change.revision = in.number();
     change.text = in.text();
-    change.update = get_news(in);
+    change.update = get_node_update(in);
     in.leave();
-    // One that a newer program has put here is counted and passed over: its number is a change's that says
-    // nothing.
+    // A kind that only a newer program knows becomes a change without effect, so that the changes after it
+    // keep their numbers.
     if (kind > static_cast<std::uint64_t>(ChangeKind::configuration_delta)) change = {};
     changes.changes.push_back(std::move(change));
   }
@@ -282,7 +282,7 @@
   return changes;
 }
 
-ControlCall get_call(Unpacker& in) {
+ControlCall get_control_call(Unpacker& in) {
   ControlCall call;
   call.number = in.number();
   call.from = in.text();
@@ -296,7 +296,7 @@
 
 std::optional<Message> get(Unpacker& in) {
   switch (static_cast<Tag>(in.number())) {
-    case Tag::agreement: {
+    case Tag::raft: {
       raft::Message message;
       if (!unpack(in, message)) return std::nullopt;
       return message;
@@ -306,12 +306,12 @@
     case Tag::welcome: {
       Welcome welcome;
       welcome.term = in.number();
-      welcome.leads = in.flag();
-      welcome.cores = get_texts(in, most_cores);
+      welcome.from_leader = in.flag();
+      welcome.core_addresses = get_texts(in, max_core_addresses);
       return welcome;
     }
-    case Tag::standing:
-      return get_standing(in);
+    case Tag::snapshot:
+      return get_snapshot(in);
     case Tag::changes:
       return get_changes(in);
     case Tag::ping: {
@@ -330,43 +330,43 @@
       if (in.more()) ack.node_list_digest = in.number();
       return ack;
     }
-    case Tag::farewell:
+    case Tag::goodbye:
       return Goodbye{in.number()};
-    case Tag::call:
-      return get_call(in);
-    case Tag::want: {
-      TokenRequest want;
-      want.incarnation = in.number();
-      want.number = in.number();
-      want.tokens = get_tokens(in);
-      return want;
+    case Tag::control_call:
+      return get_control_call(in);
+    case Tag::token_request: {
+      TokenRequest request;
+      request.incarnation = in.number();
+      request.number = in.number();
+      request.tokens = get_tokens(in);
+      return request;
     }
-    case Tag::grant: {
+    case Tag::token_grant: {
       TokenGrant grant;
       grant.number = in.number();
       grant.tokens = get_tokens(in);
       return grant;
     }
-    case Tag::ask:
+    case Tag::quota_request:
       return unpack_ask(in);
-    case Tag::tell:
+    case Tag::quota_reply:
       return unpack_tell(in);
     case Tag::neighbours:
-      return Neighbours{get_texts(in, most_neighbours)};
-    case Tag::where:
+      return Neighbours{get_texts(in, max_neighbours)};
+    case Tag::core_query:
       return CoreQuery{};
-    case Tag::there: {
-      CoreAddresses there;
-      there.term = in.number();
-      there.cores = get_texts(in, most_cores);
-      return there;
+    case Tag::core_addresses: {
+      CoreAddresses core;
+      core.term = in.number();
+      core.addresses = get_texts(in, max_core_addresses);
+      return core;
     }
-    case Tag::call_answer: {
-      ControlReply answer;
-      answer.number = in.number();
-      answer.status = static_cast<std::uint32_t>(in.number());
-      answer.body = in.text();
-      return answer;
+    case Tag::control_reply: {
+      ControlReply reply;
+      reply.number = in.number();
+      reply.status = static_cast<std::uint32_t>(in.number());
+      reply.body = in.text();
+      return reply;
     }
   }
   return std::nullopt;
@@ -376,7 +376,7 @@
 
 std::string pack(const Message& message) {
   Packer packer;
-  std::visit(Put{packer}, message);
+  std::visit(MessagePacker{packer}, message);
   return std::string(packer.view());
 }
 
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -1,7 +1,8 @@
-// What the system's own processes say to each other, beside the agreement: calls passed on, and the news that
-// a leader pushes to those who follow it (edges, and the other members of the core).
+// The messages between the system's processes apart from Raft's: the stream of updates from the leader to its
+// followers (edges, and the other members of the core), control calls that a member forwards, quota requests,
+// and the search for the core by edges that have lost it.
 //
-// News are numbered within a term: (term, number). A follower that is behind gets a snapshot, then changes.
+// Updates are numbered within a term. A follower that has missed some gets a StateSnapshot, then Changes.
 #pragma once
 
 #include <cstdint>
@@ -18,42 +19,43 @@
 
 namespace pearspar::protocol {
 
-// A process's incarnation; drawn at its start.
+// Identifies one run of a process; drawn at its start.
 using Incarnation = std::uint64_t;
 
 enum class FollowerKind : std::uint8_t { edge, core };
 
+// A position in the leader's stream of updates.
 struct Position {
   raft::Term term = 0;
   std::uint64_t number = 0;
   auto operator<=>(const Position&) const = default;
 };
 
-// Follower to any member, first on each connection, and again when it finds a gap.
+// Follower to member: the first message on each connection, and sent again where updates are missing.
 struct Hello {
   Incarnation incarnation = 0;
   FollowerKind kind = FollowerKind::edge;
   std::string name;
   std::string zone;
-  Position have;
+  Position position;  // of the last update that was applied
   catalog::Revision revision = 0;
-  std::string address = {};  // where an edge answers other edges; empty = nowhere, or an older program
+  std::string address = {};  // where an edge accepts other edges; empty = nowhere, or an older program
 };
 
-// Member to follower: who leads, and where all members are.
+// Member to follower: the addresses of all members.
 struct Welcome {
   raft::Term term = 0;
-  bool leads = false;  // who says this
-  std::vector<std::string> cores;
+  bool from_leader = false;
+  std::vector<std::string> core_addresses;
 };
 
 struct NodeUpdate {
   catalog::Node node;
-  std::uint32_t cold_ms = 0;  // what is left of it
+  std::uint32_t cold_ms = 0;  // time until the node is no longer cold
 };
 
-// Everything that stands at `at`. Where `complete` is false the list of nodes is still being gathered: nodes
-// that it lacks stay as they were.
+// The leader's whole state at one position. While the leader is still collecting the list of nodes
+// (`complete` is false), nodes that are missing from it are not removed.
 struct StateSnapshot {
   Position at;
   bool complete = true;
@@ -61,57 +63,64 @@
   catalog::Revision revision = 0;  // of the newest configuration
   std::string configuration;       // empty where the follower has that revision
   std::vector<NodeUpdate> nodes;
-  std::vector<std::string> ended;  // ids of nodes that are gone for good
-  std::uint32_t coverage = 100;    // percent: mean share of the weight that edges ask
+  std::vector<std::string> retired;  // ids of nodes that never return
+  std::uint32_t coverage = 100;      // percent: mean coverage of the edges, by shard weight
 };
 
-// A delta is made of the configuration before (delta.h): who can't apply it stays behind in its revision,
-// says so when it acknowledges, and is told everything.
-enum class ChangeKind : std::uint8_t { configuration, node, gone, lost, complete, configuration_delta };
+// A `configuration_delta` applies to the configuration before it (delta.h). A follower that cannot apply it
+// reports its old revision in its next Ack and gets a StateSnapshot.
+enum class ChangeKind : std::uint8_t {
+  configuration,
+  node_updated,
+  node_retired,
+  node_removed,
+  list_complete,
+  configuration_delta
+};
 
 struct Change {
   ChangeKind kind = ChangeKind::list_complete;
   catalog::Revision revision = 0;
   std::string text;  // the configuration, its delta, or a node's id
-  NodeUpdate news;
+  NodeUpdate update;
 };
 
-// Those with the numbers after `after`.
+// The changes that directly follow the position `after`.
 struct Changes {
   Position after;
   std::vector<Change> changes;
 };
 
-// Leader to follower, at times: renews the lease of both.
+// Leader to follower, periodically: renews the lease on both sides.
 struct Ping {
   Position at;
   std::uint32_t edges = 0;
   std::uint32_t coverage = 100;  // percent, as in StateSnapshot
 };
 
-// Follower to leader: all up to `at` is in force here.
+// Follower to leader: all updates up to `at` are in force.
 struct Ack {
   Incarnation incarnation = 0;
   Position at;
   catalog::Revision revision = 0;
-  std::uint32_t coverage = 100;  // percent of the weight that it asks; of no meaning for members
-  std::uint64_t list = 0;        // digest of the nodes that it lists at that position; 0 = not told
+  std::uint32_t coverage = 100;        // percent: the edge's own coverage; members send 100
+  std::uint64_t node_list_digest = 0;  // at that position; 0 = not sent
 };
 
-// Follower to leader: this incarnation ends by itself.
+// Follower to leader: the process is shutting down and gives up its lease.
 struct Goodbye {
   Incarnation incarnation = 0;
 };
 
-// Of the slack that a service's second calls may use over all edges (nuvolau): what an edge asks the leader
-// for, and what it gets. Tokens live from the asking on.
+// Retry tokens of one service, out of the budget that all edges share.
 struct Tokens {
   std::string service;
   std::uint32_t count = 0;
 };
+// Edge to leader. Tokens that are granted expire relative to the time of the request.
 struct TokenRequest {
   Incarnation incarnation = 0;
-  std::uint64_t number = 0;  // comes back with the answer
+  std::uint64_t number = 0;  // repeated in the grant
   std::vector<Tokens> tokens;
 };
 struct TokenGrant {
@@ -119,29 +128,29 @@
   std::vector<Tokens> tokens;
 };
 
-// Leader to edge, where the edge has told an address of its own: other edges, to be asked when all members
-// that it knows are gone.
+// Leader to an edge that has sent its own address: other edges, to be queried when all known members are
+// gone.
 struct Neighbours {
   std::vector<std::string> edges;
 };
 
-// Edge to edge: where is the core? And what the other one was told by members, no more: addresses to be
-// tried.
-struct Where {};
+// Edge to edge: asks for the addresses of the core.
+struct CoreQuery {};
+// The addresses that the queried edge has received from members. They are only tried, not trusted.
 struct CoreAddresses {
   raft::Term term = 0;
-  std::vector<std::string> cores;
+  std::vector<std::string> addresses;
 };
 
-// A control call passed on to the member that can settle it, and the answer.
+// A control call forwarded to the member that can answer it.
 struct ControlCall {
   std::uint64_t number = 0;
-  std::string from;  // where the answer goes
+  std::string from;  // address that the reply is sent to
   std::string method;
   std::string path;
   std::string if_match;
   std::string body;
-  std::uint32_t timeout_ms = 0;  // the answer is of use for so long; 0 = not told, by an older program
+  std::uint32_t timeout_ms = 0;  // the caller waits no longer; 0 = not sent, by an older program
 };
 struct ControlReply {
   std::uint64_t number = 0;
@@ -151,12 +160,12 @@
 
 using Message = std::variant<raft::Message, Hello, Welcome, StateSnapshot, Changes, Ping, Ack, Goodbye,
                              ControlCall, ControlReply, TokenRequest, TokenGrant, pramperet::Ask,
-                             pramperet::Tell, Neighbours, Where, CoreAddresses>;
+                             pramperet::Tell, Neighbours, CoreQuery, CoreAddresses>;
 
 std::string pack(const Message& message);
-// Nothing where the bytes are no message that this program knows.
+// Returns nothing where the bytes are not a message that this program knows.
 std::optional<Message> unpack(std::string_view bytes);
 
-inline constexpr std::size_t max_frame_bytes = 4 << 20;  // bytes of one message
+inline constexpr std::size_t max_frame_bytes = 4 << 20;  // of one message
 
 }  // namespace pearspar::protocol
--- a/src/protocol/pack.cpp
+++ b/src/protocol/pack.cpp
@@ -5,30 +5,30 @@
 namespace pearspar::protocol {
 namespace {
 
-constexpr std::uint64_t most_items = 1 << 20;  // in one message; the library takes 24 bytes for each
+constexpr std::uint64_t max_items = 1 << 20;  // in one message; msgpack-c allocates 24 bytes for each
 
-// The library makes room for a list by the length that it claims, before it looks for its items: a few bytes
-// could ask for gigabytes. So all lengths are held against the bytes that are there first.
+// msgpack-c allocates an array by its declared length before it reads the elements, so that a few bytes could
+// claim gigabytes. This checks all declared lengths against the bytes that are present.
 bool lengths_fit(std::string_view bytes) {
   std::size_t at = 0;
-  std::uint64_t wanted = 1, items = 0;
+  std::uint64_t pending = 1, items = 0;
   auto length = [&](int size) {
     std::uint64_t value = 0;
     for (int i = 0; i < size && at < bytes.size(); ++i)
       value = value << 8 | static_cast<unsigned char>(bytes[at++]);
     return value;
   };
-  while (wanted > 0) {
-    if (at >= bytes.size() || ++items > most_items) return false;
-    --wanted;
+  while (pending > 0) {
+    if (at >= bytes.size() || ++items > max_items) return false;
+    --pending;
     unsigned tag = static_cast<unsigned char>(bytes[at++]);
-    std::uint64_t skip = 0, inside = 0;
+    std::uint64_t skip = 0, children = 0;
     if (tag <= 0x7f || tag >= 0xe0 || tag == 0xc0 || tag == 0xc2 || tag == 0xc3)
       skip = 0;
     else if (tag <= 0x8f)
-      inside = 2 * (tag & 15);
+      children = 2 * (tag & 15);
     else if (tag <= 0x9f)
-      inside = tag & 15;
+      children = tag & 15;
     else if (tag <= 0xbf)
       skip = tag & 31;
     else if (tag >= 0xc4 && tag <= 0xc6)
@@ -40,22 +40,22 @@
     else if (tag >= 0xd9 && tag <= 0xdb)
       skip = length(1 << (tag - 0xd9));
     else if (tag == 0xdc || tag == 0xdd)
-      inside = length(tag == 0xdc ? 2 : 4);
+      children = length(tag == 0xdc ? 2 : 4);
     else if (tag == 0xde || tag == 0xdf)
-      inside = 2 * length(tag == 0xde ? 2 : 4);
+      children = 2 * length(tag == 0xde ? 2 : 4);
     else
-      return false;  // extensions: we pack none
-    if (skip > bytes.size() - at || inside > bytes.size() - at) return false;
+      return false;  // extension types are not used
+    if (skip > bytes.size() - at || children > bytes.size() - at) return false;
     at += skip;
-    wanted += inside;
+    pending += children;
   }
   return at == bytes.size();
 }
 
 }  // namespace
 
-// Into a string of ours: the library's own buffer reports a refused allocation to whoever packs a value, and
-// would leave a message with a hole.
+// Writes to a std::string: msgpack_sbuffer reports a failed allocation by the return value of each pack
+// function, which would leave a message incomplete.
 Packer::Packer() { msgpack_packer_init(&packer_, this, append); }
 int Packer::append(void* packer, const char* bytes, std::size_t size) {
   static_cast<Packer*>(packer)->buffer_.append(bytes, size);
@@ -84,23 +84,23 @@
     return;
   good_ = true;
   arrays_[0] = unpacked_.data.via.array;
-  at_[0] = 0;
+  next_[0] = 0;
   depth_ = 1;
 }
 Unpacker::~Unpacker() { msgpack_unpacked_destroy(&unpacked_); }
 
 const msgpack_object* Unpacker::next() {
-  if (!good_ || at_[depth_ - 1] >= arrays_[depth_ - 1].size) {
-    spoil();
+  if (!good_ || next_[depth_ - 1] >= arrays_[depth_ - 1].size) {
+    fail();
     return nullptr;
   }
-  return &arrays_[depth_ - 1].ptr[at_[depth_ - 1]++];
+  return &arrays_[depth_ - 1].ptr[next_[depth_ - 1]++];
 }
 
 std::uint64_t Unpacker::number() {
   const msgpack_object* object = next();
   if (object && object->type == MSGPACK_OBJECT_POSITIVE_INTEGER) return object->via.u64;
-  spoil();
+  fail();
   return 0;
 }
 
@@ -108,33 +108,33 @@
   const msgpack_object* object = next();
   if (object && (object->type == MSGPACK_OBJECT_FLOAT64 || object->type == MSGPACK_OBJECT_FLOAT32))
     return object->via.f64;
-  spoil();
+  fail();
   return 0;
 }
 
 bool Unpacker::flag() {
   const msgpack_object* object = next();
   if (object && object->type == MSGPACK_OBJECT_BOOLEAN) return object->via.boolean;
-  spoil();
+  fail();
   return false;
 }
 
 std::string Unpacker::text() {
   const msgpack_object* object = next();
   if (object && object->type == MSGPACK_OBJECT_BIN) return {object->via.bin.ptr, object->via.bin.size};
-  spoil();
+  fail();
   return {};
 }
 
-std::size_t Unpacker::enter(std::size_t most) {
+std::size_t Unpacker::enter(std::size_t max_size) {
   const msgpack_object* object = next();
-  if (!object || object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size > most ||
+  if (!object || object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size > max_size ||
       depth_ == max_depth) {
-    spoil();
+    fail();
     return 0;
   }
   arrays_[depth_] = object->via.array;
-  at_[depth_] = 0;
+  next_[depth_] = 0;
   ++depth_;
   return object->via.array.size;
 }
--- a/src/protocol/pack.h
+++ b/src/protocol/pack.h
@@ -1,6 +1,4 @@
-// msgpack-c behind two small classes: values go in and come out in one order, and what was packed by somebody
-// else is checked piece by piece. A reader that meets anything but what it was asked for is bad from there on
-// and gives zeros.
+// Writing and reading of msgpack values in a fixed order, on top of msgpack-c.
 #pragma once
 
 #include <msgpack.h>
@@ -30,40 +28,42 @@
   msgpack_packer packer_;
 };
 
+// Reads untrusted bytes value by value. After the first value that is missing or has another type than the
+// one asked for, good() is false and all further values read as zero or empty.
 class Unpacker {
  public:
-  // The bytes must hold one array and nothing behind it. They outlive the reader.
+  // The bytes must hold exactly one array, and must outlive the reader.
   explicit Unpacker(std::string_view bytes);
   ~Unpacker();
   Unpacker(const Unpacker&) = delete;
 
   bool good() const { return good_; }
-  // Everything asked for was there, and no more.
-  bool whole() const { return good_ && depth_ == 1 && at_[0] == arrays_[0].size; }
+  // Whether all reads succeeded and the outermost array has been read to its end.
+  bool at_end() const { return good_ && depth_ == 1 && next_[0] == arrays_[0].size; }
 
   std::uint64_t number();
   double real();
   bool flag();
   std::string text();
-  // Whether the array that it stands in holds more: a field that an older program did not send.
-  bool more() const { return good_ && at_[depth_ - 1] < arrays_[depth_ - 1].size; }
-  // Steps into an array, `most` long at the most; out again with leave(), which passes over what a newer
-  // program put behind the fields that we know.
-  std::size_t enter(std::size_t most);
+  // Whether the current array has another element. Fields that were added later are optional: an older
+  // program does not send them.
+  bool more() const { return good_ && next_[depth_ - 1] < arrays_[depth_ - 1].size; }
+  // Enters a nested array of at most `max_size` elements and returns its size.
+  std::size_t enter(std::size_t max_size);
+  // Returns to the enclosing array. Elements that were not read, the fields of a newer program, are skipped.
   void leave();
-  // For a value that reads and means nothing here.
-  void refuse() { spoil(); }
+  // Marks the input as bad: for a value that is well-formed but not valid.
+  void fail() { good_ = false; }
 
  private:
   const msgpack_object* next();
-  void spoil() { good_ = false; }
 
   static constexpr int max_depth = 8;
   msgpack_unpacked unpacked_;
   bool good_ = false;
   int depth_ = 0;
   msgpack_object_array arrays_[max_depth];
-  std::uint32_t at_[max_depth];
+  std::uint32_t next_[max_depth];
 };
 
 }  // namespace pearspar::protocol
--- a/src/protocol/quota_codec.cpp
+++ b/src/protocol/quota_codec.cpp
@@ -6,8 +6,8 @@
 using pramperet::Amount;
 using pramperet::Leaf;
 
-constexpr std::size_t most_items = 1 << 18;
-constexpr std::size_t most_fields = 32;
+constexpr std::size_t max_items = 1 << 18;
+constexpr std::size_t max_fields = 32;
 
 void put(Packer& packer, const Leaf& leaf) {
   packer.text(leaf.holder);
@@ -30,9 +30,9 @@
 }
 std::vector<Amount> get_amounts(Unpacker& in) {
   std::vector<Amount> amounts;
-  std::size_t count = in.enter(most_items);
+  std::size_t count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
-    in.enter(most_fields);
+    in.enter(max_fields);
     Amount& each = amounts.emplace_back();
     each.leaf = get_leaf(in);
     each.count = in.number();
@@ -42,155 +42,155 @@
   return amounts;
 }
 
-void put(Packer& packer, const std::vector<pramperet::Back>& backs) {
-  packer.array(backs.size());
-  for (const pramperet::Back& each : backs) {
+void put(Packer& packer, const std::vector<pramperet::Back>& returns) {
+  packer.array(returns.size());
+  for (const pramperet::Back& each : returns) {
     packer.array(3);
     put(packer, each.leaf);
     packer.number(each.key);
   }
 }
-std::vector<pramperet::Back> get_backs(Unpacker& in) {
-  std::vector<pramperet::Back> backs;
-  std::size_t count = in.enter(most_items);
+std::vector<pramperet::Back> get_returns(Unpacker& in) {
+  std::vector<pramperet::Back> returns;
+  std::size_t count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
-    in.enter(most_fields);
-    pramperet::Back& each = backs.emplace_back();
+    in.enter(max_fields);
+    pramperet::Back& each = returns.emplace_back();
     each.leaf = get_leaf(in);
     each.key = in.number();
     in.leave();
   }
   in.leave();
-  return backs;
+  return returns;
 }
 
 }  // namespace
 
-void pack(Packer& packer, const pramperet::Ask& ask) {
+void pack(Packer& packer, const pramperet::Ask& request) {
   packer.array(9);
-  packer.number(ask.life);
-  packer.number(ask.number);
-  packer.number(ask.window);
-  packer.array(ask.settled.size());
-  for (const pramperet::Settled& each : ask.settled) {
+  packer.number(request.life);
+  packer.number(request.number);
+  packer.number(request.window);
+  packer.array(request.settled.size());
+  for (const pramperet::Settled& each : request.settled) {
     packer.array(4);
     put(packer, each.leaf);
     packer.number(each.window);
     packer.array(each.keys.size());
     for (pramperet::Key key : each.keys) packer.number(key);
   }
-  put(packer, ask.back);
-  put(packer, ask.unsure);
-  put(packer, ask.returned);
-  put(packer, ask.refused);
-  put(packer, ask.wants);
+  put(packer, request.back);
+  put(packer, request.unsure);
+  put(packer, request.returned);
+  put(packer, request.refused);
+  put(packer, request.wants);
 }
 
 pramperet::Ask unpack_ask(Unpacker& in) {
-  pramperet::Ask ask;
-  in.enter(most_fields);
-  ask.life = in.number();
-  ask.number = in.number();
-  ask.window = in.number();
-  std::size_t count = in.enter(most_items);
+  pramperet::Ask request;
+  in.enter(max_fields);
+  request.life = in.number();
+  request.number = in.number();
+  request.window = in.number();
+  std::size_t count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
-    in.enter(most_fields);
-    pramperet::Settled& each = ask.settled.emplace_back();
+    in.enter(max_fields);
+    pramperet::Settled& each = request.settled.emplace_back();
     each.leaf = get_leaf(in);
     each.window = in.number();
-    std::size_t keys = in.enter(most_items);
+    std::size_t keys = in.enter(max_items);
     for (std::size_t j = 0; j < keys && in.good(); ++j) each.keys.push_back(in.number());
     in.leave();
     in.leave();
   }
   in.leave();
-  ask.back = get_backs(in);
-  ask.unsure = get_backs(in);
-  ask.returned = get_amounts(in);
-  ask.refused = get_amounts(in);
-  ask.wants = get_amounts(in);
+  request.back = get_returns(in);
+  request.unsure = get_returns(in);
+  request.returned = get_amounts(in);
+  request.refused = get_amounts(in);
+  request.wants = get_amounts(in);
   in.leave();
-  return ask;
+  return request;
 }
 
-void pack(Packer& packer, const pramperet::Tell& tell) {
+void pack(Packer& packer, const pramperet::Tell& reply) {
   packer.array(6);
-  packer.number(tell.number);
-  packer.number(tell.window);
-  packer.number(tell.left_ms);
-  packer.flag(tell.gone);
-  packer.array(tell.given.size());
-  for (const pramperet::Given& each : tell.given) {
+  packer.number(reply.number);
+  packer.number(reply.window);
+  packer.number(reply.left_ms);
+  packer.flag(reply.gone);
+  packer.array(reply.given.size());
+  for (const pramperet::Given& each : reply.given) {
     packer.array(4);
     put(packer, each.leaf);
     packer.number(each.count);
     packer.flag(each.exhausted);
   }
-  packer.array(tell.recalled.size());
-  for (const Leaf& leaf : tell.recalled) {
+  packer.array(reply.recalled.size());
+  for (const Leaf& leaf : reply.recalled) {
     packer.array(2);
     put(packer, leaf);
   }
 }
 
 pramperet::Tell unpack_tell(Unpacker& in) {
-  pramperet::Tell tell;
-  in.enter(most_fields);
-  tell.number = in.number();
-  tell.window = in.number();
-  tell.left_ms = in.number();
-  tell.gone = in.flag();
-  std::size_t count = in.enter(most_items);
+  pramperet::Tell reply;
+  in.enter(max_fields);
+  reply.number = in.number();
+  reply.window = in.number();
+  reply.left_ms = in.number();
+  reply.gone = in.flag();
+  std::size_t count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
-    in.enter(most_fields);
-    pramperet::Given& each = tell.given.emplace_back();
+    in.enter(max_fields);
+    pramperet::Given& each = reply.given.emplace_back();
     each.leaf = get_leaf(in);
     each.count = in.number();
     each.exhausted = in.flag();
     in.leave();
   }
   in.leave();
-  count = in.enter(most_items);
+  count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
-    in.enter(most_fields);
-    tell.recalled.push_back(get_leaf(in));
+    in.enter(max_fields);
+    reply.recalled.push_back(get_leaf(in));
     in.leave();
   }
   in.leave();
   in.leave();
-  return tell;
+  return reply;
 }
 
-std::string pack_quota_commands(const std::vector<QuotaCommand>& steps) {
+std::string pack_quota_commands(const std::vector<QuotaCommand>& commands) {
   Packer packer;
-  packer.array(steps.size());
-  for (const QuotaCommand& step : steps) {
+  packer.array(commands.size());
+  for (const QuotaCommand& command : commands) {
     packer.array(2);
-    packer.number(step.index());
-    if (const auto* ask = std::get_if<pramperet::Ask>(&step))
-      pack(packer, *ask);
-    else if (const auto* turn = std::get_if<AdvanceWindow>(&step))
-      packer.number(turn->window);
+    packer.number(command.index());
+    if (const auto* request = std::get_if<pramperet::Ask>(&command))
+      pack(packer, *request);
+    else if (const auto* advance = std::get_if<AdvanceWindow>(&command))
+      packer.number(advance->window);
     else
-      packer.number(std::get<ExpireEdge>(step).life);
+      packer.number(std::get<ExpireEdge>(command).life);
   }
   return std::string(packer.view());
 }
 
 std::optional<std::vector<QuotaCommand>> unpack_quota_commands(std::string_view bytes) {
   Unpacker in(bytes);
-  std::vector<QuotaCommand> steps;
+  std::vector<QuotaCommand> commands;
   while (in.good() && in.more()) {
-    in.enter(most_fields);
+    in.enter(max_fields);
     switch (in.number()) {
       case 0:
-        steps.emplace_back(unpack_ask(in));
+        commands.emplace_back(unpack_ask(in));
         break;
       case 1:
-        steps.emplace_back(AdvanceWindow{in.number()});
+        commands.emplace_back(AdvanceWindow{in.number()});
         break;
       case 2:
-        steps.emplace_back(ExpireEdge{in.number()});
+        commands.emplace_back(ExpireEdge{in.number()});
         break;
       default:
         return std::nullopt;
@@ -198,7 +198,7 @@
     in.leave();
   }
   if (!in.good()) return std::nullopt;
-  return steps;
+  return commands;
 }
 
 }  // namespace pearspar::protocol
--- a/src/protocol/quota_codec.h
+++ b/src/protocol/quota_codec.h
@@ -1,4 +1,4 @@
-// The allowance's words as bytes: on links, and as entries of the log.
+// Encoding of quota requests and replies for the links, and of quota commands as log entries.
 #pragma once
 
 #include <cstdint>
@@ -18,17 +18,19 @@
 void pack(Packer& packer, const pramperet::Tell& tell);
 pramperet::Tell unpack_tell(Unpacker& in);
 
-// What one entry does, in this order.
+// Starts the given window.
 struct AdvanceWindow {
   pramperet::Window window = 0;
 };
+// Settles what was granted to an edge that no longer renews it.
 struct ExpireEdge {
   pramperet::Life life = 0;
 };
 using QuotaCommand = std::variant<pramperet::Ask, AdvanceWindow, ExpireEdge>;
 
-std::string pack_quota_commands(const std::vector<QuotaCommand>& steps);
-// Nothing where the bytes hold none.
+// The commands of one log entry, in the order in which they are applied.
+std::string pack_quota_commands(const std::vector<QuotaCommand>& commands);
+// Returns nothing where the bytes cannot be read.
 std::optional<std::vector<QuotaCommand>> unpack_quota_commands(std::string_view bytes);
 
 }  // namespace pearspar::protocol
--- a/src/protocol/raft_codec.cpp
+++ b/src/protocol/raft_codec.cpp
@@ -5,8 +5,10 @@
 
 using namespace raft;
 
-constexpr std::size_t most_members = 64;
-constexpr std::size_t most_entries = 4096;
+constexpr std::size_t max_fields = 16;
+constexpr std::size_t max_message_fields = 32;
+constexpr std::size_t max_members = 64;
+constexpr std::size_t max_entries = 4096;
 
 void put(Packer& packer, const Membership& membership) {
   packer.array(2);
@@ -21,11 +23,11 @@
 
 Membership get_membership(Unpacker& unpacker) {
   Membership membership;
-  unpacker.enter(16);
+  unpacker.enter(max_fields);
   membership.wanted = static_cast<std::uint32_t>(unpacker.number());
-  std::size_t count = unpacker.enter(most_members);
+  std::size_t count = unpacker.enter(max_members);
   for (std::size_t i = 0; i < count && unpacker.good(); ++i) {
-    unpacker.enter(16);
+    unpacker.enter(max_fields);
     Member member;
     member.id = unpacker.number();
     member.address = unpacker.text();
@@ -48,10 +50,10 @@
 
 Entry get_entry(Unpacker& unpacker) {
   Entry entry;
-  unpacker.enter(16);
+  unpacker.enter(max_fields);
   entry.index = unpacker.number();
   entry.term = unpacker.number();
-  // A kind that only a newer program knows: the whole is refused, nothing is taken for what it is not.
+  // An entry of a kind that only a newer program knows must not be read as another kind.
   std::uint64_t kind = unpacker.number();
   if (kind > static_cast<std::uint64_t>(EntryKind::membership)) unpacker.fail();
   entry.kind = static_cast<EntryKind>(kind);
@@ -71,7 +73,7 @@
 
 Snapshot get_snapshot(Unpacker& unpacker) {
   Snapshot snapshot;
-  unpacker.enter(16);
+  unpacker.enter(max_fields);
   snapshot.index = unpacker.number();
   snapshot.term = unpacker.number();
   snapshot.membership = get_membership(unpacker);
@@ -104,14 +106,14 @@
   packer.flag(message.yes);
   packer.array(message.entries.size());
   for (const Entry& entry : message.entries) put(packer, entry);
-  bool of_pieces = message.kind == MessageKind::piece || message.kind == MessageKind::piece_held;
+  bool is_chunk = message.kind == MessageKind::piece || message.kind == MessageKind::piece_held;
   bool has_snapshot = message.kind == MessageKind::install || message.kind == MessageKind::piece;
   packer.array(has_snapshot ? 1 : 0);
   if (has_snapshot) put(packer, message.snapshot);
-  // What the first program did not send; it passes over it.
+  // Fields that the first version of the program did not send; it skips them.
   packer.number(message.can);
-  packer.array(of_pieces ? 3 : 0);
-  if (of_pieces) {
+  packer.array(is_chunk ? 3 : 0);
+  if (is_chunk) {
     packer.number(message.offset);
     packer.number(message.total);
     packer.number(message.digest);
@@ -120,7 +122,7 @@
 }
 
 bool unpack(Unpacker& unpacker, Message& message) {
-  unpacker.enter(32);
+  unpacker.enter(max_message_fields);
   std::uint64_t kind = unpacker.number();
   if (kind > static_cast<std::uint64_t>(MessageKind::leave)) return false;
   message.kind = static_cast<MessageKind>(kind);
@@ -133,14 +135,14 @@
   message.commit = unpacker.number();
   message.round = unpacker.number();
   message.yes = unpacker.flag();
-  std::size_t count = unpacker.enter(most_entries);
+  std::size_t count = unpacker.enter(max_entries);
   for (std::size_t i = 0; i < count && unpacker.good(); ++i) message.entries.push_back(get_entry(unpacker));
   unpacker.leave();
   if (unpacker.enter(1) == 1) message.snapshot = get_snapshot(unpacker);
   unpacker.leave();
   if (unpacker.more()) message.can = unpacker.number();
   if (unpacker.more()) {
-    if (unpacker.enter(16) >= 3) {
+    if (unpacker.enter(max_fields) >= 3) {
       message.offset = unpacker.number();
       message.total = unpacker.number();
       message.digest = unpacker.number();
--- a/src/subscription/cluster_view.cpp
+++ b/src/subscription/cluster_view.cpp
@@ -8,73 +8,74 @@
 
 using protocol::ChangeKind;
 
-void ClusterView::take(catalog::ConfigurationPtr configuration) {
+void ClusterView::adopt(catalog::ConfigurationPtr configuration) {
   if (configuration && configuration->revision > revision()) configuration_ = std::move(configuration);
 }
 
-void ClusterView::take_text(const std::string& text, catalog::Revision received_revision) {
+void ClusterView::adopt_text(const std::string& text, catalog::Revision received_revision) {
   if (text.empty() || received_revision <= revision()) return;
   catalog::Fault fault;
-  take(catalog::parse_configuration(text, fault));
+  adopt(catalog::parse_configuration(text, fault));
 }
 
-// One that does not fit leaves the revision as it was; the leader sees it in what we acknowledge.
-void ClusterView::take_delta(const std::string& delta, catalog::Revision received_revision) {
+// A delta that does not apply is ignored; the leader sees the old revision in the next acknowledgement.
+void ClusterView::adopt_delta(const std::string& delta, catalog::Revision received_revision) {
   if (!configuration_ || received_revision <= revision()) return;
-  if (auto text = protocol::apply_delta(configuration_->text, delta)) take_text(*text, received_revision);
+  if (auto text = protocol::apply_delta(configuration_->text, delta)) adopt_text(*text, received_revision);
 }
 
-void ClusterView::put(Time now, const protocol::NodeUpdate& news) {
-  catalog::Node node = news.node;
-  node.cold_until = now + std::chrono::milliseconds(news.cold_ms);
+void ClusterView::put(Time now, const protocol::NodeUpdate& update) {
+  catalog::Node node = update.node;
+  node.cold_until = now + std::chrono::milliseconds(update.cold_ms);
   std::string displaced;
-  if (nodes_.put(node, &displaced) == catalog::NodeList::Taken::news) touched_.push_back(node.id);
-  if (!displaced.empty()) touched_.push_back(displaced);
+  if (nodes_.put(node, &displaced) == catalog::NodeList::PutResult::changed)
+    changed_nodes_.push_back(node.id);
+  if (!displaced.empty()) changed_nodes_.push_back(displaced);
 }
 
-ClusterView::ApplyResult ClusterView::apply(Time now, const protocol::StateSnapshot& standing) {
-  if (standing.at < at_) return Taken::old;
-  at_ = standing.at;
-  edges_ = standing.edges;
-  coverage_ = standing.coverage / 100.0;
-  take_text(standing.configuration, standing.revision);
-  for (const std::string& id : standing.retired)
-    if (nodes_.gone(id)) touched_.push_back(id);
+ClusterView::ApplyResult ClusterView::apply(Time now, const protocol::StateSnapshot& snapshot) {
+  if (snapshot.at < at_) return ApplyResult::stale;
+  at_ = snapshot.at;
+  edge_count_ = snapshot.edges;
+  coverage_ = snapshot.coverage / 100.0;
+  adopt_text(snapshot.configuration, snapshot.revision);
+  for (const std::string& id : snapshot.retired)
+    if (nodes_.retire(id)) changed_nodes_.push_back(id);
   std::set<std::string_view> listed;
-  for (const protocol::NodeUpdate& news : standing.nodes) {
-    put(now, news);
-    listed.insert(news.node.id);
+  for (const protocol::NodeUpdate& update : snapshot.nodes) {
+    put(now, update);
+    listed.insert(update.node.id);
   }
-  if (!standing.complete) return Taken::news;
-  std::vector<std::string> lost;
+  if (!snapshot.complete) return ApplyResult::applied;
+  std::vector<std::string> missing;
   for (const auto& [id, node] : nodes_.all())
-    if (!listed.count(id)) lost.push_back(id);
-  for (const std::string& id : lost) {
-    nodes_.lose(id);
-    touched_.push_back(id);
+    if (!listed.count(id)) missing.push_back(id);
+  for (const std::string& id : missing) {
+    nodes_.remove(id);
+    changed_nodes_.push_back(id);
   }
-  return Taken::news;
+  return ApplyResult::applied;
 }
 
 ClusterView::ApplyResult ClusterView::apply(Time now, const protocol::Changes& changes) {
   protocol::Position end{changes.after.term, changes.after.number + changes.changes.size()};
-  if (changes.after.term < at_.term || end <= at_) return Taken::old;
-  if (changes.after.term > at_.term || changes.after.number > at_.number) return Taken::behind;
+  if (changes.after.term < at_.term || end <= at_) return ApplyResult::stale;
+  if (changes.after.term > at_.term || changes.after.number > at_.number) return ApplyResult::gap;
   for (std::size_t i = at_.number - changes.after.number; i < changes.changes.size(); ++i)
     apply(now, changes.changes[i]);
   at_ = end;
-  return Taken::news;
+  return ApplyResult::applied;
 }
 
 ClusterView::ApplyResult ClusterView::apply(const protocol::Ping& ping) {
-  if (ping.at.term < at_.term) return Taken::old;
-  if (ping.at > at_) return Taken::behind;
-  edges_ = ping.edges;
+  if (ping.at.term < at_.term) return ApplyResult::stale;
+  if (ping.at > at_) return ApplyResult::gap;
+  edge_count_ = ping.edges;
   coverage_ = ping.coverage / 100.0;
-  return Taken::news;
+  return ApplyResult::applied;
 }
 
-void ClusterView::lead(Time now, protocol::Position at, const protocol::Change& change) {
+void ClusterView::apply_own(Time now, protocol::Position at, const protocol::Change& change) {
   apply(now, change);
   at_ = at;
 }
@@ -82,16 +83,16 @@
 void ClusterView::apply(Time now, const protocol::Change& change) {
   switch (change.kind) {
     case ChangeKind::configuration:
-      return take_text(change.text, change.revision);
+      return adopt_text(change.text, change.revision);
     case ChangeKind::configuration_delta:
-      return take_delta(change.text, change.revision);
+      return adopt_delta(change.text, change.revision);
     case ChangeKind::node_updated:
       return put(now, change.update);
     case ChangeKind::node_retired:
-      if (nodes_.gone(change.text)) touched_.push_back(change.text);
+      if (nodes_.retire(change.text)) changed_nodes_.push_back(change.text);
       return;
     case ChangeKind::node_removed:
-      if (nodes_.lose(change.text)) touched_.push_back(change.text);
+      if (nodes_.remove(change.text)) changed_nodes_.push_back(change.text);
       return;
     case ChangeKind::list_complete:
       return;
--- a/src/subscription/cluster_view.h
+++ b/src/subscription/cluster_view.h
@@ -1,6 +1,8 @@
-// What a process knows by the leader's news: the newest configuration, the nodes, how far it has followed.
-// Free of I/O. Never back in one incarnation: neither to an older revision, nor to an older term's news, nor
-// from closing to open.
+// The state of the cluster as learned from the leader's updates: the newest configuration and the list of
+// nodes. Free of I/O.
+//
+// Invariant: within one run of a process the view never goes back to an older revision of the configuration,
+// to updates of an older term, or from a closing node to an open one.
 #pragma once
 
 #include <string>
@@ -18,43 +20,45 @@
 
 class ClusterView {
  public:
-  enum class Taken {
-    news,   // taken; acknowledge it
-    old,    // nothing in it that was not known
-    behind  // something before it is missing: ask for what stands
+  enum class ApplyResult {
+    applied,  // to be acknowledged
+    stale,    // nothing new
+    gap       // earlier updates are missing: a snapshot has to be requested
   };
 
-  Taken apply(Time now, const protocol::StateSnapshot& standing);
-  Taken apply(Time now, const protocol::Changes& changes);
-  Taken apply(const protocol::Ping& ping);
-  // One change of our own making: the leader's way.
-  void lead(Time now, protocol::Position at, const protocol::Change& change);
+  ApplyResult apply(Time now, const protocol::StateSnapshot& snapshot);
+  ApplyResult apply(Time now, const protocol::Changes& changes);
+  ApplyResult apply(const protocol::Ping& ping);
+  // Applies a change that this process has made as the leader.
+  void apply_own(Time now, protocol::Position at, const protocol::Change& change);
 
   const protocol::Position& at() const { return at_; }
   const catalog::ConfigurationPtr& configuration() const { return configuration_; }
   catalog::Revision revision() const { return configuration_ ? configuration_->revision : 0; }
-  void take(catalog::ConfigurationPtr configuration);
+  // Replaces the configuration if the revision is newer.
+  void adopt(catalog::ConfigurationPtr configuration);
   const catalog::NodeList& nodes() const { return nodes_; }
   catalog::NodeList& nodes() { return nodes_; }
-  std::uint32_t edges() const { return edges_; }
-  // Share of the weight that edges ask on average, as the leader told last.
+  std::uint32_t edge_count() const { return edge_count_; }
+  // Mean coverage of the edges, as last reported by the leader (0 to 1).
   double coverage() const { return coverage_; }
-  // Nodes that have changed since the last call: found in nodes(), or not any more.
-  std::vector<std::string> take_changed_nodes() { return std::exchange(touched_, {}); }
+  // Ids of nodes that were changed or removed since the last call.
+  std::vector<std::string> take_changed_nodes() { return std::exchange(changed_nodes_, {}); }
+  // Whether there is a configuration and at least one node.
   bool is_usable() const { return configuration_ && !nodes_.all().empty(); }
 
  private:
   void apply(Time now, const protocol::Change& change);
-  void put(Time now, const protocol::NodeUpdate& news);
-  void take_text(const std::string& text, catalog::Revision revision);
-  void take_delta(const std::string& delta, catalog::Revision revision);
+  void put(Time now, const protocol::NodeUpdate& update);
+  void adopt_text(const std::string& text, catalog::Revision received_revision);
+  void adopt_delta(const std::string& delta, catalog::Revision received_revision);
 
   protocol::Position at_;
   catalog::ConfigurationPtr configuration_;
   catalog::NodeList nodes_;
-  std::uint32_t edges_ = 0;
+  std::uint32_t edge_count_ = 0;
   double coverage_ = 1;
-  std::vector<std::string> touched_;
+  std::vector<std::string> changed_nodes_;
 };
 
 }  // namespace pearspar::subscription
--- a/src/subscription/core_discovery.cpp
+++ b/src/subscription/core_discovery.cpp
@@ -7,43 +7,42 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration first_within = 1s;        // all that lose the core at once do not ask at once
-constexpr Duration answered_within = 700ms;  // a dial and an answer
-constexpr Duration least_pause = 500ms;
-// A cut that ends is found out within one pause, one answer and one dial.
-constexpr Duration most_pause = 1600ms;
-constexpr Duration most_pause_with_members = 8s;  // they answer, and nobody leads: they will know first
+constexpr Duration max_initial_delay = 1s;  // spreads the first queries of edges that lose the core together
+constexpr Duration query_timeout = 700ms;   // covers connecting and one reply
+constexpr Duration min_delay = 500ms;       // between queries; doubled after each
+constexpr Duration max_delay = 1600ms;
+constexpr Duration max_delay_with_members = 8s;  // members are connected, so they report a new leader first
 
 }  // namespace
 
-bool CoreDiscovery::tick(Time now, bool lost, bool members_answer) {
-  if (!lost) {
+bool CoreDiscovery::tick(Time now, bool core_lost, bool members_reachable) {
+  if (!core_lost) {
     due_ = Time::max();
-    pause_ = {};
-    bool asked = !asked_.empty();
-    asked_.clear();
-    return asked;
+    delay_ = {};
+    bool was_querying = !queried_.empty();
+    queried_.clear();
+    return was_querying;
   }
   if (neighbours_.empty()) return false;
-  if (due_ == Time::max()) due_ = now + drawn({}, first_within);
+  if (due_ == Time::max()) due_ = now + random_duration({}, max_initial_delay);
   if (now < due_) return false;
-  if (!asked_.empty()) {
-    asked_.clear();
-    pause_ = std::clamp(pause_ * 2, least_pause, members_answer ? most_pause_with_members : most_pause);
-    due_ = now + drawn(pause_ / 2, pause_);
+  if (!queried_.empty()) {
+    queried_.clear();
+    delay_ = std::clamp(delay_ * 2, min_delay, members_reachable ? max_delay_with_members : max_delay);
+    due_ = now + random_duration(delay_ / 2, delay_);
     return true;
   }
-  for (std::size_t i = 0; i < std::min(at_once, neighbours_.size()); ++i)
-    asked_.push_back(neighbours_[next_++ % neighbours_.size()]);
-  due_ = now + answered_within;
+  for (std::size_t i = 0; i < std::min(max_queried, neighbours_.size()); ++i)
+    queried_.push_back(neighbours_[next_++ % neighbours_.size()]);
+  due_ = now + query_timeout;
   return true;
 }
 
-void CoreDiscovery::hear(const std::vector<std::string>& cores) {
-  for (std::size_t i = 0; i < std::min(cores.size(), most_heard); ++i) {
-    if (std::find(heard_.begin(), heard_.end(), cores[i]) != heard_.end()) continue;
-    if (heard_.size() == most_heard) heard_.erase(heard_.begin());
-    heard_.push_back(cores[i]);
+void CoreDiscovery::add_candidates(const std::vector<std::string>& addresses) {
+  for (std::size_t i = 0; i < std::min(addresses.size(), max_candidates); ++i) {
+    if (std::find(candidates_.begin(), candidates_.end(), addresses[i]) != candidates_.end()) continue;
+    if (candidates_.size() == max_candidates) candidates_.erase(candidates_.begin());
+    candidates_.push_back(addresses[i]);
   }
 }
 
--- a/src/subscription/core_discovery.h
+++ b/src/subscription/core_discovery.h
@@ -1,8 +1,8 @@
-// An edge that hears of no leader asks other edges where the core is: whom, when, and what they said. Their
-// word adds addresses to be tried and nothing else. Free of I/O.
+// How an edge that has lost the core queries other edges for the addresses of the core's members. Addresses
+// that it gets this way are only tried. Free of I/O.
 //
-// Always true: at most two are asked at once, at most most_heard addresses are tried for it, and nobody is
-// asked while a leader is heard.
+// Invariants: at most two edges are queried at once, at most max_candidates addresses are kept, and no edge
+// is queried while updates of a leader arrive.
 #pragma once
 
 #include <chrono>
@@ -20,35 +20,35 @@
 
 class CoreDiscovery {
  public:
-  static constexpr std::size_t at_once = 2;
-  static constexpr std::size_t most_heard = 16;
+  static constexpr std::size_t max_queried = 2;
+  static constexpr std::size_t max_candidates = 16;
 
   explicit CoreDiscovery(std::uint64_t seed) : random_(static_cast<std::minstd_rand::result_type>(seed)) {}
 
-  // By the leader.
+  // The edges to query, as named by the leader.
   void set_neighbours(std::vector<std::string> edges) { neighbours_ = std::move(edges); }
   const std::vector<std::string>& neighbours() const { return neighbours_; }
-  // To be called often. True where other edges are asked than before.
-  bool tick(Time now, bool lost, bool members_answer);
+  // Starts and ends queries. Returns whether queried() has changed.
+  bool tick(Time now, bool core_lost, bool members_reachable);
   Time due() const { return due_; }
-  // Those that are asked now: a link to each is wanted.
-  const std::vector<std::string>& asked() const { return asked_; }
-  // What one of them said.
-  void hear(const std::vector<std::string>& cores);
-  const std::vector<std::string>& heard() const { return heard_; }
-  void forget() { heard_.clear(); }
+  // The edges that are being queried: a link to each is needed.
+  const std::vector<std::string>& queried() const { return queried_; }
+  // Adds the addresses of a reply.
+  void add_candidates(const std::vector<std::string>& addresses);
+  const std::vector<std::string>& candidates() const { return candidates_; }
+  void clear_candidates() { candidates_.clear(); }
 
  private:
-  Duration drawn(Duration least, Duration most) {
-    return Duration(std::uniform_real_distribution<double>(least.count(), most.count())(random_));
+  Duration random_duration(Duration min, Duration max) {
+    return Duration(std::uniform_real_distribution<double>(min.count(), max.count())(random_));
   }
 
   std::minstd_rand random_;
   std::vector<std::string> neighbours_;
-  std::vector<std::string> asked_;
-  std::vector<std::string> heard_;
-  std::size_t next_ = 0;  // of the neighbours
-  Duration pause_{};
+  std::vector<std::string> queried_;
+  std::vector<std::string> candidates_;
+  std::size_t next_ = 0;  // index of the next neighbour to query
+  Duration delay_{};      // between queries
   Time due_ = Time::max();
 };
 
--- a/src/subscription/follower.cpp
+++ b/src/subscription/follower.cpp
@@ -9,28 +9,28 @@
 
 using namespace std::chrono_literals;
 
-constexpr Duration touch_every = 1s;
-constexpr Duration leader_silent = 3500ms;   // three pings and a half
-constexpr Duration leader_may_come = 120ms;  // before members that do not lead are believed
-constexpr std::size_t most_provisional = 8;
-constexpr Duration want_every = 100ms;
-constexpr Duration want_for = 500ms;         // an answer comes in that time, or the question is asked anew
-constexpr Duration gather_at_most = 1500ms;  // a list that is still being gathered will do after it
+constexpr Duration contact_interval = 1s;
+constexpr Duration max_leader_silence = 3500ms;  // three missed pings
+constexpr Duration provisional_delay = 120ms;    // time for a leader to send its snapshot first
+constexpr std::size_t max_provisional = 8;
+constexpr Duration token_request_interval = 100ms;
+constexpr Duration token_request_timeout = 500ms;
+constexpr Duration max_list_wait = 1500ms;  // then an incomplete list of nodes is used
 
 }  // namespace
 
-Follower::Follower(transport::Transport& wire, FollowerOptions options)
-    : wire_(wire), options_(std::move(options)), asking_(options_.incarnation) {}
+Follower::Follower(transport::Transport& transport, FollowerOptions options)
+    : transport_(transport), options_(std::move(options)), discovery_(options_.incarnation) {}
 
 void Follower::start(Time now) {
-  news_ = now;
-  touch_due_ = now + touch_every;
-  wire_.set_targets(options_.seeds);
+  last_update_ = now;
+  next_contact_ = now + contact_interval;
+  transport_.set_targets(options_.seeds);
 }
 
 void Follower::set_seeds(std::vector<std::string> seeds) {
   options_.seeds = std::move(seeds);
-  if (cores_.empty()) wire_.set_targets(options_.seeds);
+  if (core_addresses_.empty()) transport_.set_targets(options_.seeds);
 }
 
 std::string Follower::hello() const {
@@ -43,171 +43,172 @@
       protocol::Ack{options_.incarnation, view_.at(), view_.revision(), coverage_, view_.nodes().digest()});
 }
 
-bool Follower::silent(Time now) const { return now - news_ > leader_silent; }
+bool Follower::leader_is_silent(Time now) const { return now - last_update_ > max_leader_silence; }
 
-// While the core is lost all that may know it are dialled; those that edges name never in place of ours.
-void Follower::keep_links() {
-  std::vector<std::string> wanted = cores_;
-  auto add = [&](const std::vector<std::string>& more) {
-    for (const std::string& address : more)
-      if (std::find(wanted.begin(), wanted.end(), address) == wanted.end()) wanted.push_back(address);
+// While the core is lost, also dials the seeds and the addresses received from edges.
+void Follower::update_targets() {
+  std::vector<std::string> targets = core_addresses_;
+  auto add = [&](const std::vector<std::string>& addresses) {
+    for (const std::string& address : addresses)
+      if (std::find(targets.begin(), targets.end(), address) == targets.end()) targets.push_back(address);
   };
-  if (lost_ || cores_.empty()) add(options_.seeds);
-  if (lost_) add(asking_.heard());
-  add(asking_.asked());
-  wire_.set_targets(wanted);
+  if (core_lost_ || core_addresses_.empty()) add(options_.seeds);
+  if (core_lost_) add(discovery_.candidates());
+  add(discovery_.queried());
+  transport_.set_targets(targets);
 }
 
 void Follower::link_up(transport::LinkId link, const std::string& address) {
-  const auto& asked = asking_.asked();
-  if (std::find(asked.begin(), asked.end(), address) != asked.end()) {
-    edges_.push_back(link);
-    wire_.send(link, protocol::pack(protocol::CoreQuery{}));
+  const auto& queried = discovery_.queried();
+  if (std::find(queried.begin(), queried.end(), address) != queried.end()) {
+    edge_links_.push_back(link);
+    transport_.send(link, protocol::pack(protocol::CoreQuery{}));
     return;
   }
-  up_.push_back(link);
-  wire_.send(link, hello());
+  member_links_.push_back(link);
+  transport_.send(link, hello());
 }
 
 void Follower::link_down(transport::LinkId link) {
-  std::erase(up_, link);
-  std::erase(edges_, link);
+  std::erase(member_links_, link);
+  std::erase(edge_links_, link);
   if (link == leader_link_) leader_link_ = 0;
 }
 
-bool Follower::want(Time now, std::vector<protocol::Tokens> tokens) {
+bool Follower::request_tokens(Time now, std::vector<protocol::Tokens> tokens) {
   if (!can_request_tokens(now)) return false;
-  asked_at_ = now;
-  want_due_ = now + want_for;
-  return wire_.send(leader_link_, protocol::pack(protocol::TokenRequest{options_.incarnation, ++asked_,
-                                                                        std::move(tokens)}));
+  token_request_at_ = now;
+  token_request_due_ = now + token_request_timeout;
+  return transport_.send(leader_link_, protocol::pack(protocol::TokenRequest{
+                                           options_.incarnation, ++token_request_, std::move(tokens)}));
 }
 
-bool Follower::ask(const pramperet::Ask& ask) {
-  return leader_link_ != 0 && wire_.send(leader_link_, protocol::pack(ask));
+bool Follower::send_quota_request(const pramperet::Ask& request) {
+  return leader_link_ != 0 && transport_.send(leader_link_, protocol::pack(request));
 }
 
-bool Follower::frame(Time now, transport::LinkId link, std::string_view bytes) {
+bool Follower::link_frame(Time now, transport::LinkId link, std::string_view bytes) {
   auto message = protocol::unpack(bytes);
   if (!message) {
-    ++unread_;
+    ++unreadable_frames_;
     return false;
   }
-  if (std::find(up_.begin(), up_.end(), link) == up_.end()) {
-    hear_edge(link, *message);
+  if (std::find(member_links_.begin(), member_links_.end(), link) == member_links_.end()) {
+    handle_edge_message(link, *message);
     return false;
   }
-  if (const auto* standing = std::get_if<protocol::StateSnapshot>(&*message)) {
-    if (standing->at == protocol::Position{}) {
-      if (view_.at() != protocol::Position{} || provisional_.size() >= most_provisional) return false;
-      if (provisional_due_ == Time::max()) provisional_due_ = now + leader_may_come;
-      provisional_.push_back(*standing);
+  if (const auto* snapshot = std::get_if<protocol::StateSnapshot>(&*message)) {
+    if (snapshot->at == protocol::Position{}) {
+      if (view_.at() != protocol::Position{} || provisional_.size() >= max_provisional) return false;
+      if (provisional_due_ == Time::max()) provisional_due_ = now + provisional_delay;
+      provisional_.push_back(*snapshot);
       return false;
     }
-    auto result = view_.apply(now, *standing);
-    if (result == ClusterView::ApplyResult::applied && standing->complete) listed_ = true;
-    return taken(now, link, result);
+    auto result = view_.apply(now, *snapshot);
+    if (result == ClusterView::ApplyResult::applied && snapshot->complete) list_complete_ = true;
+    return handle_result(now, link, result);
   }
   if (const auto* changes = std::get_if<protocol::Changes>(&*message))
-    return taken(now, link, view_.apply(now, *changes));
-  if (const auto* ping = std::get_if<protocol::Ping>(&*message)) return taken(now, link, view_.apply(*ping));
+    return handle_result(now, link, view_.apply(now, *changes));
+  if (const auto* ping = std::get_if<protocol::Ping>(&*message))
+    return handle_result(now, link, view_.apply(*ping));
   if (const auto* grant = std::get_if<protocol::TokenGrant>(&*message)) {
-    // Their incarnation is counted from the asking: the leader's count of them begins later.
-    if (grant->number != asked_) return false;
-    want_due_ = asked_at_ + want_every;
+    // Lifetimes count from the request, so that tokens expire here before they expire at the leader.
+    if (grant->number != token_request_) return false;
+    token_request_due_ = token_request_at_ + token_request_interval;
     for (const protocol::Tokens& each : grant->tokens)
-      granted_.emplace_back(asked_at_ + nuvolau::token_life, each);
+      granted_tokens_.emplace_back(token_request_at_ + nuvolau::token_life, each);
     return false;
   }
-  if (const auto* tell = std::get_if<pramperet::Tell>(&*message)) {
-    tells_.push_back(*tell);
+  if (const auto* reply = std::get_if<pramperet::Tell>(&*message)) {
+    quota_replies_.push_back(*reply);
     return false;
   }
   if (const auto* neighbours = std::get_if<protocol::Neighbours>(&*message))
-    if (link == leader_link_) asking_.set_neighbours(neighbours->edges);
-  if (const auto* welcome = std::get_if<protocol::Welcome>(&*message)) take_welcome(*welcome);
+    if (link == leader_link_) discovery_.set_neighbours(neighbours->edges);
+  if (const auto* welcome = std::get_if<protocol::Welcome>(&*message)) handle_welcome(*welcome);
   return false;
 }
 
-// A member that is behind must not take us back to members that are gone: within a term only the leader is
-// believed over the leader.
-void Follower::take_welcome(const protocol::Welcome& welcome) {
-  if (welcome.cores.empty() || welcome.term < cores_term_) return;
-  if (welcome.term == cores_term_ && cores_by_leader_ && !welcome.leads) return;
-  cores_by_leader_ = welcome.leads;
-  cores_term_ = welcome.term;
-  bool found = lost_ && welcome.leads;
-  if (cores_ == welcome.cores && !found) return;
-  cores_ = welcome.cores;
+// A member that lags behind may send outdated addresses: within a term, addresses from the leader are
+// replaced only by the leader.
+void Follower::handle_welcome(const protocol::Welcome& welcome) {
+  if (welcome.core_addresses.empty() || welcome.term < core_term_) return;
+  if (welcome.term == core_term_ && core_from_leader_ && !welcome.from_leader) return;
+  core_from_leader_ = welcome.from_leader;
+  core_term_ = welcome.term;
+  bool found = core_lost_ && welcome.from_leader;
+  if (core_addresses_ == welcome.core_addresses && !found) return;
+  core_addresses_ = welcome.core_addresses;
   if (found) {
-    lost_ = false;
-    asking_.forget();
+    core_lost_ = false;
+    discovery_.clear_candidates();
   }
-  keep_links();
+  update_targets();
 }
 
-// On a link that is to no member. An edge tells what members told it, and never what it heard of edges: a lie
-// goes no further than one step.
-void Follower::hear_edge(transport::LinkId link, const protocol::Message& message) {
+// Handles a message on a link that does not lead to a member. Replies contain only addresses received from
+// members, so that a wrong address from an edge spreads no further than one edge.
+void Follower::handle_edge_message(transport::LinkId link, const protocol::Message& message) {
   if (std::get_if<protocol::CoreQuery>(&message)) {
-    wire_.send(link, protocol::pack(protocol::CoreAddresses{cores_term_, cores_}));
+    transport_.send(link, protocol::pack(protocol::CoreAddresses{core_term_, core_addresses_}));
     return;
   }
-  const auto* there = std::get_if<protocol::CoreAddresses>(&message);
-  if (!there || std::find(edges_.begin(), edges_.end(), link) == edges_.end()) return;
-  if (!lost_ || there->term < view_.at().term) return;
-  asking_.hear(there->cores);
-  keep_links();
+  const auto* core = std::get_if<protocol::CoreAddresses>(&message);
+  if (!core || std::find(edge_links_.begin(), edge_links_.end(), link) == edge_links_.end()) return;
+  if (!core_lost_ || core->term < view_.at().term) return;
+  discovery_.add_candidates(core->addresses);
+  update_targets();
 }
 
-bool Follower::taken(Time now, transport::LinkId link, ClusterView::ApplyResult taken) {
-  if (taken == ClusterView::ApplyResult::stale) return false;
-  news_ = now;
+bool Follower::handle_result(Time now, transport::LinkId link, ClusterView::ApplyResult result) {
+  if (result == ClusterView::ApplyResult::stale) return false;
+  last_update_ = now;
   leader_link_ = link;
-  if (taken == ClusterView::ApplyResult::gap) {
-    wire_.send(link, hello());
+  if (result == ClusterView::ApplyResult::gap) {
+    transport_.send(link, hello());
     return false;
   }
   if (!has_nodes_ && !view_.nodes().all().empty()) {
     has_nodes_ = true;
     first_nodes_ = now;
   }
-  wire_.send(link, ack());
+  transport_.send(link, ack());
   return true;
 }
 
-// Also lets dead links be found out: who is gone acknowledges nothing.
+// The periodic messages also make TCP detect dead links, on which nothing is acknowledged.
 bool Follower::tick(Time now) {
-  bool changed = take_provisional(now);
-  bool silent = this->silent(now);
-  if (asking_.tick(now, silent, !up_.empty())) keep_links();
-  if (now < touch_due_) return changed;
-  touch_due_ = now + touch_every;
-  std::string word = silent ? hello() : ack();
-  for (transport::LinkId link : std::vector(up_)) wire_.send(link, word);
+  bool changed = apply_provisional(now);
+  bool silent = leader_is_silent(now);
+  if (discovery_.tick(now, silent, !member_links_.empty())) update_targets();
+  if (now < next_contact_) return changed;
+  next_contact_ = now + contact_interval;
+  std::string frame = silent ? hello() : ack();
+  for (transport::LinkId link : std::vector(member_links_)) transport_.send(link, frame);
   if (silent) {
-    lost_ = true;
-    keep_links();
+    core_lost_ = true;
+    update_targets();
   }
-  if (!listed_ && has_nodes_ && now - first_nodes_ > gather_at_most) listed_ = true;
+  if (!list_complete_ && has_nodes_ && now - first_nodes_ > max_list_wait) list_complete_ = true;
   return changed;
 }
 
-// Nobody leads: what members have applied will do until somebody does. Nothing in it is newer than what a
-// leader will say, and all of it was in force.
-bool Follower::take_provisional(Time now) {
+// Without a leader, uses the state that members have applied: it was in force, and it is not newer than the
+// state of the next leader.
+bool Follower::apply_provisional(Time now) {
   if (now < provisional_due_) return false;
   provisional_due_ = Time::max();
-  std::vector<protocol::StateSnapshot> told = std::exchange(provisional_, {});
+  std::vector<protocol::StateSnapshot> snapshots = std::exchange(provisional_, {});
   if (view_.at() != protocol::Position{}) return false;
-  for (const protocol::StateSnapshot& standing : told) view_.apply(now, standing);
-  listed_ = view_.is_usable();
+  for (const protocol::StateSnapshot& snapshot : snapshots) view_.apply(now, snapshot);
+  list_complete_ = view_.is_usable();
   return true;
 }
 
-void Follower::farewell() {
-  for (transport::LinkId link : std::vector(up_))
-    wire_.send(link, protocol::pack(protocol::Goodbye{options_.incarnation}));
+void Follower::send_goodbye() {
+  for (transport::LinkId link : std::vector(member_links_))
+    transport_.send(link, protocol::pack(protocol::Goodbye{options_.incarnation}));
 }
 
 }  // namespace pearspar::subscription
--- a/src/subscription/follower.h
+++ b/src/subscription/follower.h
@@ -1,8 +1,9 @@
-// The following itself: links to all members of the core, whose newest leader's news fold into the view; the
-// lease that acknowledgements renew; what is done when nobody leads. Free of I/O.
+// The subscription of a process to the leader's updates: links to all members of the core, the ClusterView
+// that is built from the updates of the newest leader, the lease that acknowledgements renew, and the search
+// for a leader when none is heard of. Free of I/O. (Not to be confused with Raft's role of the same name.)
 //
-// Always true: news are taken of links to addresses that are tried as members, never of a link that somebody
-// else has opened nor of another edge. What another edge says is only tried.
+// Invariant: updates are accepted only on links that this process has dialled to members, never on accepted
+// links or on links to other edges. Addresses received from other edges are only tried.
 #pragma once
 
 #include <algorithm>
@@ -20,80 +21,82 @@
   protocol::Incarnation incarnation = 0;
   std::string name;
   std::string zone;
-  std::vector<std::string> seeds;  // inner addresses
-  std::string address = {};        // where other edges may ask us; empty = nowhere
+  std::vector<std::string> seeds;  // addresses of members
+  std::string address = {};        // where this edge accepts other edges; empty = nowhere
 };
 
 class Follower {
  public:
-  Follower(transport::Transport& wire, FollowerOptions options);
+  Follower(transport::Transport& transport, FollowerOptions options);
 
   void start(Time now);
   void set_seeds(std::vector<std::string> seeds);
   void link_up(transport::LinkId link, const std::string& address);
   void link_down(transport::LinkId link);
-  // True where the view has changed; false too for what is no frame of ours.
-  bool frame(Time now, transport::LinkId link, std::string_view bytes);
-  // True where the view has changed.
+  // Returns whether the view has changed.
+  bool link_frame(Time now, transport::LinkId link, std::string_view bytes);
+  // Returns whether the view has changed.
   bool tick(Time now);
-  Time due() const { return std::min({touch_due_, provisional_due_, asking_.due()}); }
-  // This incarnation ends: it holds no lease any more.
-  void farewell();
+  Time due() const { return std::min({next_contact_, provisional_due_, discovery_.due()}); }
+  // Gives up the lease, before the process ends.
+  void send_goodbye();
 
   ClusterView& view() { return view_; }
   const ClusterView& view() const { return view_; }
-  // A configuration, and a list of nodes that is whole, or has been gathered for long enough.
-  // What acknowledgements tell of us: the share of the weight that we ask, in percent.
+  // Sets this edge's coverage in percent, which acknowledgements report.
   void set_coverage(std::uint32_t percent) { coverage_ = percent; }
-  // Asks the leader for tokens, where one is known and the question before was answered or is old.
-  bool want(Time now, std::vector<protocol::Tokens> tokens);
-  bool can_request_tokens(Time now) const { return leader_link_ != 0 && now >= want_due_; }
-  // A question about the allowance; false where no leader is known.
-  bool ask(const pramperet::Ask& ask);
-  std::vector<pramperet::Tell> take_quota_replies() { return std::exchange(tells_, {}); }
-  // What was granted since the last call, each good until the time with it.
-  std::vector<std::pair<Time, protocol::Tokens>> take_granted_tokens() { return std::exchange(granted_, {}); }
-  bool is_usable() const { return view_.is_usable() && listed_; }
-  std::uint64_t unread() const { return unread_; }
-  const std::vector<std::string>& cores() const { return cores_; }
-  const CoreDiscovery& asking() const { return asking_; }
+  // Requests retry tokens from the leader. Returns false where none was sent.
+  bool request_tokens(Time now, std::vector<protocol::Tokens> tokens);
+  // Whether a leader is known, and no token request is pending.
+  bool can_request_tokens(Time now) const { return leader_link_ != 0 && now >= token_request_due_; }
+  // Returns false where no leader is known.
+  bool send_quota_request(const pramperet::Ask& request);
+  std::vector<pramperet::Tell> take_quota_replies() { return std::exchange(quota_replies_, {}); }
+  // The tokens granted since the last call, each with the time at which it expires.
+  std::vector<std::pair<Time, protocol::Tokens>> take_granted_tokens() {
+    return std::exchange(granted_tokens_, {});
+  }
+  // Whether the view has a configuration and a list of nodes that is complete, or was awaited long enough.
+  bool is_usable() const { return view_.is_usable() && list_complete_; }
+  std::uint64_t unreadable_frames() const { return unreadable_frames_; }
+  const std::vector<std::string>& core_addresses() const { return core_addresses_; }
+  const CoreDiscovery& discovery() const { return discovery_; }
 
  private:
   std::string hello() const;
   std::string ack() const;
-  bool taken(Time now, transport::LinkId link, ClusterView::ApplyResult taken);
-  bool take_provisional(Time now);
-  bool silent(Time now) const;
-  void keep_links();
-  void take_welcome(const protocol::Welcome& welcome);
-  void hear_edge(transport::LinkId link, const protocol::Message& message);
+  bool handle_result(Time now, transport::LinkId link, ClusterView::ApplyResult result);
+  bool apply_provisional(Time now);
+  bool leader_is_silent(Time now) const;
+  void update_targets();
+  void handle_welcome(const protocol::Welcome& welcome);
+  void handle_edge_message(transport::LinkId link, const protocol::Message& message);
 
-  transport::Transport& wire_;
+  transport::Transport& transport_;
   FollowerOptions options_;
   ClusterView view_;
-  std::vector<transport::LinkId> up_;     // to members
-  std::vector<transport::LinkId> edges_;  // to edges that are asked
-  CoreDiscovery asking_;
-  bool lost_ = false;  // no leader was heard for long, and none has told since where the core is
-  std::vector<std::string> cores_;
-  raft::Term cores_term_ = 0;
-  bool cores_by_leader_ = false;  // the leader of that term has told them
-  bool listed_ = false;
-  std::vector<protocol::StateSnapshot>
-      provisional_;  // by members that do not lead, until we hear of one that does
+  std::vector<transport::LinkId> member_links_;
+  std::vector<transport::LinkId> edge_links_;  // to edges that are being queried
+  CoreDiscovery discovery_;
+  bool core_lost_ = false;  // the leader fell silent, and no leader has sent the members' addresses since
+  std::vector<std::string> core_addresses_;
+  raft::Term core_term_ = 0;       // in which core_addresses_ was received
+  bool core_from_leader_ = false;  // whether core_addresses_ was sent by the leader of that term
+  bool list_complete_ = false;
+  std::vector<protocol::StateSnapshot> provisional_;  // from members other than the leader, while none leads
   Time provisional_due_ = Time::max();
   bool has_nodes_ = false;
   Time first_nodes_{};
-  Time news_{};  // last heard of a leader
-  Time touch_due_{};
-  transport::LinkId leader_link_ = 0;  // by which the newest news came; 0 = none
+  Time last_update_{};  // from a leader
+  Time next_contact_{};
+  transport::LinkId leader_link_ = 0;  // on which the last update arrived; 0 = none
   std::uint32_t coverage_ = 100;
-  std::uint64_t asked_ = 0;  // number of the newest question
-  Time asked_at_{};
-  Time want_due_{};
-  std::vector<std::pair<Time, protocol::Tokens>> granted_;
-  std::vector<pramperet::Tell> tells_;
-  std::uint64_t unread_ = 0;
+  std::uint64_t token_request_ = 0;  // number of the newest one
+  Time token_request_at_{};
+  Time token_request_due_{};
+  std::vector<std::pair<Time, protocol::Tokens>> granted_tokens_;
+  std::vector<pramperet::Tell> quota_replies_;
+  std::uint64_t unreadable_frames_ = 0;
 };
 
 }  // namespace pearspar::subscription
--- a/src/transport/tcp_transport.h
+++ b/src/transport/tcp_transport.h
@@ -1,5 +1,6 @@
-// Held connections between the system's own processes: frames of four bytes of length, greatest first, and as
-// many bytes. Those that we dial are dialled again when they end; what is queued on one that ends is lost.
+// TCP connections between the system's own processes. A frame is a length of four bytes, big-endian, and that
+// many bytes. Dialled links are dialled again when they end; frames that are queued on a link that ends are
+// lost.
 #pragma once
 
 #include <cstdint>
@@ -20,55 +21,55 @@
 
 class TcpTransport : public Transport {
  public:
-  TcpTransport(net::Loop& loop, TransportHandler& user) : loop_(loop), user_(user) {}
+  TcpTransport(net::Loop& loop, TransportHandler& handler) : loop_(loop), handler_(handler) {}
 
-  // What others may open here: so many links, with frames of so many bytes.
-  struct Bounds {
-    std::size_t links = 8192;
-    std::size_t frame = protocol::max_frame_bytes;
+  // Limits on the links that other processes open.
+  struct InboundLimits {
+    std::size_t max_links = 8192;
+    std::size_t max_frame_bytes = protocol::max_frame_bytes;
   };
-  // Bytes held for all links together, at the most: frames that are coming and what has not been taken yet.
-  // Beyond them the link that holds the most is closed; one that we dialled comes up again.
+  // Bounds the buffers of all links together. Beyond it the link with the largest buffers is closed; if it
+  // was dialled, it is dialled again.
   void set_memory_bound(std::size_t bytes) { memory_bound_ = bytes; }
   std::size_t held_bytes() const { return held_bytes_; }
   std::uint64_t closed_for_memory() const { return closed_for_memory_; }
-  // Closes the link that holds the most; false where none holds anything.
+  // Closes the link with the largest buffers. Returns false where all buffers are empty.
   bool close_largest();
 
-  // Throws std::system_error where the address cannot be had.
-  void listen(const net::Address& address, const Bounds& bounds);
-  void listen(const net::Address& address) { listen(address, Bounds()); }
+  // Throws std::system_error where the address cannot be bound.
+  void listen(const net::Address& address, const InboundLimits& limits);
+  void listen(const net::Address& address) { listen(address, InboundLimits()); }
   void set_targets(const std::vector<std::string>& addresses) override;
   bool send_to(const std::string& address, std::string_view frame) override;
   bool send(LinkId link, std::string_view frame) override;
-  // Ends every link that we dialled; they come up again.
-  void redial();
+  // Closes all dialled links; they are dialled again.
+  void reconnect();
   std::size_t count() const { return links_.size(); }
   std::uint64_t dropped() const { return dropped_; }
-  // For want of descriptors.
+  // Connections that were not accepted because no file descriptor was free.
   std::uint64_t accept_failures() const { return accept_failures_; }
 
  private:
   struct Link {
     net::Fd fd;
     net::Watch watch;
-    net::Timer timer;     // while it comes up
-    std::string address;  // of one that we dialled
+    net::Timer timer;     // bounds the connection attempt; afterwards a pending close
+    std::string address;  // of a dialled link; empty = accepted
     bool up = false;
     net::Buffer in;
     std::string out;
-    std::size_t written = 0;
-    std::size_t held = 0;  // as counted in held_bytes_
+    std::size_t written = 0;  // bytes of `out`
+    std::size_t held = 0;     // share of held_bytes_
   };
-  struct Dial {
+  struct Target {
     net::SlotId link;
-    net::Timer again;
-    net::Duration pause{};
+    net::Timer redial;
+    net::Duration redial_delay{};
   };
-  static constexpr std::size_t most_queued = 8 << 20;  // bytes on one link
+  static constexpr std::size_t max_queued_bytes = 8 << 20;  // on one link
 
-  static LinkId number(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
-  static net::SlotId slot(LinkId id) {
+  static LinkId link_id(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
+  static net::SlotId slot_id(LinkId id) {
     return {static_cast<std::uint32_t>(id >> 32), static_cast<std::uint32_t>(id)};
   }
   void accept_waiting();
@@ -78,22 +79,22 @@
   void on_ready(net::SlotId id, short events);
   bool read(net::SlotId id);
   void write(net::SlotId id);
-  void account(Link& link);
-  void make_room();
+  void update_held_bytes(Link& link);
+  void enforce_memory_bound();
   void close(net::SlotId id);
 
   net::Loop& loop_;
-  TransportHandler& user_;
+  TransportHandler& handler_;
   net::Fd listener_;
   net::Watch listener_watch_;
-  net::Timer accept_again_;
-  Bounds bounds_;
+  net::Timer resume_accepting_;
+  InboundLimits inbound_limits_;
   std::size_t accepted_ = 0;
   net::SlotTable<Link> links_;
-  std::map<std::string, Dial> dials_;
+  std::map<std::string, Target> targets_;
   std::size_t memory_bound_ = std::numeric_limits<std::size_t>::max();
   std::size_t held_bytes_ = 0;
-  net::Timer make_room_;
+  net::Timer memory_timer_;
   std::uint64_t closed_for_memory_ = 0;
   std::uint64_t dropped_ = 0;
   std::uint64_t accept_failures_ = 0;
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -1,5 +1,4 @@
-// What a process needs of the links to others; the real ones are transport::TcpTransport, the rig has its
-// own.
+// Connections to the system's other processes, as an interface; the simulation has its own implementation.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +13,19 @@
 class Transport {
  public:
   virtual ~Transport() = default;
-  // Keeps a link to each of these, and no others that were dialled.
+  // Keeps a link to each of these addresses, and closes all other links that were dialled.
   virtual void set_targets(const std::vector<std::string>& addresses) = 0;
-  // Queues the frame, on a link that is dialled for it if need be. False where it is dropped.
+  // Queues a frame on the link to the address, which is dialled if needed. Returns false where it is dropped.
   virtual bool send_to(const std::string& address, std::string_view frame) = 0;
+  // Queues a frame. Returns false where the link does not exist any more.
   virtual bool send(LinkId link, std::string_view frame) = 0;
 };
 
-// Whom the wire tells what happens on it.
+// Receives the events of a Transport.
 class TransportHandler {
  public:
   virtual ~TransportHandler() = default;
-  // A link that we dialled is up.
+  // A dialled link is connected.
   virtual void link_up(LinkId link, const std::string& address) = 0;
   virtual void link_frame(LinkId link, std::string_view frame) = 0;
   virtual void link_down(LinkId link) = 0;
