--- a/tests/system/links_test.cpp
+++ b/tests/system/links_test.cpp
@@ -1,4 +1,4 @@
-// The two sides that touch sockets, on loopback with scripted peers: connections to nodes, links between
+// The modules that use sockets, on loopback with scripted peers: connections to nodes and links between
 // processes.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
@@ -21,10 +21,10 @@
 
 namespace {
 
-// A node that answers each request as the script says.
+// A node whose responses are given by a script.
 class ScriptedNode {
  public:
-  using Script = std::function<std::string(const std::string& request, int number)>;  // "" = silence
+  using Script = std::function<std::string(const std::string& request, int number)>;  // "" = no response
   ScriptedNode(net::Loop& loop, Script script)
       : loop_(loop), script_(std::move(script)), listener_(loop, {0x7f000001, 0}, [this](net::Fd fd) {
           auto id = connections_.add();
@@ -64,12 +64,12 @@
   net::Listener listener_;
 };
 
-// A connection that comes up, takes so many bytes, and then breaks; what came before can still be read.
+// A connection that is established, accepts `writable_bytes` and then breaks; `answer` can be read from it.
 struct BreakingKernel : net::Kernel {
-  std::size_t takes = 0;
+  std::size_t writable_bytes = 0;
   std::string answer;
-  bool comes = false;  // a connection to the listener
-  bool lives = false;  // where nothing is to be read
+  bool connection_waits = false;  // on the listener
+  bool stays_open = false;        // after `answer` has been read
   net::Time at{};
 
   net::Time now() override { return at; }
@@ -81,7 +81,7 @@
   net::Address local_address(int) override { return {}; }
   net::AcceptResult accept(int, int& accepted) override {
     accepted = 8;
-    return std::exchange(comes, false) ? net::AcceptResult::accepted : net::AcceptResult::none;
+    return std::exchange(connection_waits, false) ? net::AcceptResult::accepted : net::AcceptResult::none;
   }
   int connect(const net::Address&, int&) override { return 7; }
   int connect_error(int) override { return 0; }
@@ -89,11 +89,11 @@
   net::IoResult read(int, char* into, std::size_t most, std::size_t& got) override {
     got = answer.copy(into, most);
     answer.erase(0, got);
-    return got > 0 ? net::IoResult::some : lives ? net::IoResult::none : net::IoResult::failed;
+    return got > 0 ? net::IoResult::some : stays_open ? net::IoResult::none : net::IoResult::failed;
   }
   net::IoResult write(int, std::string_view bytes, std::size_t& written) override {
-    written = std::min(bytes.size(), takes);
-    takes -= written;
+    written = std::min(bytes.size(), writable_bytes);
+    writable_bytes -= written;
     return written > 0 ? net::IoResult::some : net::IoResult::failed;
   }
   void end_sending(int) override {}
@@ -172,7 +172,7 @@
 
  public:
   void setUp() override {
-    loop.turn(net::Duration(0));  // its clock stood still while other suites ran
+    loop.turn(net::Duration(0));  // updates its clock
     ended.clear();
     next = 0;
     links =
@@ -183,7 +183,7 @@
   }
   void tearDown() override { links.reset(); }
 
-  // The last connection to a node is closed while another call to it begins.
+  // The only connection to a node expires while a request to it starts.
   void expiredConnectionIsNotReused() {
     ScriptedNode node(loop, [](const std::string&, int n) {
       return reply("id" + std::to_string(n), "body", "Keep-Alive: timeout=0\r\n");
@@ -197,11 +197,11 @@
                       [](const std::string&, int n) { return reply("id" + std::to_string(n), "body"); });
     for (int i = 0; i < 5; ++i) CPPUNIT_ASSERT_EQUAL(std::string("body"), get(node.address()).body);
     CPPUNIT_ASSERT_EQUAL(1, node.accepted);
-    ScriptedNode shy(loop, [this](const std::string&, int) {
+    ScriptedNode closing(loop, [this](const std::string&, int) {
       return reply("id" + std::to_string(next), "b", "Connection: close\r\n");
     });
-    for (int i = 0; i < 3; ++i) get(shy.address());
-    CPPUNIT_ASSERT_EQUAL(3, shy.accepted);
+    for (int i = 0; i < 3; ++i) get(closing.address());
+    CPPUNIT_ASSERT_EQUAL(3, closing.accepted);
   }
 
   void responseToAnotherRequestClosesTheConnection() {
@@ -292,10 +292,10 @@
   }
 
   void responseToHeadHasNoBody() {
-    bool careless = false;
+    bool sends_body = false;
     ScriptedNode node(loop, [&](const std::string& request, int) {
       std::string whole = reply("id" + std::to_string(next), "a body");
-      return request.starts_with("HEAD") && !careless ? whole.substr(0, whole.size() - 6) : whole;
+      return request.starts_with("HEAD") && !sends_body ? whole.substr(0, whole.size() - 6) : whole;
     });
     for (int i = 0; i < 2; ++i) {
       Ended head = get(node.address(), "HEAD");
@@ -304,8 +304,8 @@
       CPPUNIT_ASSERT_EQUAL(std::string("a body"), get(node.address()).body);
     }
     CPPUNIT_ASSERT_EQUAL(1, node.accepted);
-    // A body that came with it belongs to nobody.
-    careless = true;
+    // A body that is sent nevertheless makes the connection unusable.
+    sends_body = true;
     CPPUNIT_ASSERT(get(node.address(), "HEAD").ending == pederu::Ending::answered);
     CPPUNIT_ASSERT_EQUAL(std::string("a body"), get(node.address()).body);
     CPPUNIT_ASSERT_EQUAL(2, node.accepted);
@@ -316,7 +316,7 @@
       return reply("id" + std::to_string(next), "b", "Request-Id: other\r\n");
     });
     CPPUNIT_ASSERT(get(node.address()).ending == pederu::Ending::broken);
-    // Lines behind the last chunk are none of its head.
+    // Trailers are not headers.
     ScriptedNode late(loop, [this](const std::string&, int) {
       return fmt::format(
           "HTTP/1.1 200 X\r\nRequest-Id: id{}\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -346,7 +346,7 @@
     CPPUNIT_ASSERT(loop.now() - before < net::Duration(1));
   }
 
-  // The node has ended it, and no turn has shown that yet: what is sent on it would be lost.
+  // The node has closed the connection, and the loop has not reported it yet: a request on it would be lost.
   void connectionClosedByTheNodeIsNotReused() {
     ScriptedNode node(loop, [this](const std::string&, int) {
       return reply("id" + std::to_string(next), "body") + "<end>";
@@ -358,47 +358,47 @@
   void unsentRequestIsReportedAsNotRun() {
     BreakingKernel kernel;
     net::StandIn in(kernel);
-    net::Loop turns;
-    std::vector<pederu::Ending> told;
+    net::Loop test_loop;
+    std::vector<pederu::Ending> outcomes;
     upstream::NodeLinks breaking(
-        turns, [&](pederu::CallId, const pederu::CallEnd& end) { told.push_back(end.ending); });
-    auto ends = [&](std::size_t takes, const std::string& answer) {
-      kernel.takes = takes;
+        test_loop, [&](pederu::CallId, const pederu::CallEnd& end) { outcomes.push_back(end.ending); });
+    auto ends = [&](std::size_t writable_bytes, const std::string& answer) {
+      kernel.writable_bytes = writable_bytes;
       kernel.answer = answer;
       pederu::KnownNode node;
       node.address = "10.0.0.1:1";
       CPPUNIT_ASSERT(breaking.start({++next, 1}, node, 4, {"GET /x HTTP/1.1\r\nRequest-Id: id\r\n", "n", ""},
                                     kernel.at + net::Duration(3)));
-      told.clear();
-      for (int i = 0; i < 5 && told.empty(); ++i) turns.turn(net::Duration(0));
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told.size());
-      return told[0];
+      outcomes.clear();
+      for (int i = 0; i < 5 && outcomes.empty(); ++i) test_loop.turn(net::Duration(0));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, outcomes.size());
+      return outcomes[0];
     };
     CPPUNIT_ASSERT(ends(0, "") == pederu::Ending::no_way);
     CPPUNIT_ASSERT(ends(10, "") == pederu::Ending::broken);
-    // The node's word came before the rest was written.
+    // The node refused before the whole request was written.
     CPPUNIT_ASSERT(ends(10, reply("id", "", "Not-Run: 1\r\n", 503)) == pederu::Ending::not_run);
   }
 
-  // What is left of it would stand before the answer.
+  // The rest of a partly written "100 Continue" would precede the response.
   void partialContinueResponseClosesTheConnection() {
-    struct Nobody : clients::FrontUser {
+    struct NoHandler : clients::FrontUser {
       void request_arrived(net::SlotId, const http::Message&) override {}
       void client_left(net::SlotId) override {}
-    } nobody;
-    for (std::size_t takes : {10, 100}) {
+    } no_handler;
+    for (std::size_t writable_bytes : {10, 100}) {
       BreakingKernel kernel;
       net::StandIn in(kernel);
-      kernel.comes = kernel.lives = true;
-      kernel.takes = takes;
+      kernel.connection_waits = kernel.stays_open = true;
+      kernel.writable_bytes = writable_bytes;
       kernel.answer = "POST /x HTTP/1.1\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n";
-      net::Loop turns;
+      net::Loop test_loop;
       clients::Front front(
-          turns, [](std::string_view) {}, 8, nobody);
+          test_loop, [](std::string_view) {}, 8, no_handler);
       front.listen({1, 1});
-      for (int i = 0; i < 3; ++i) turns.turn(net::Duration(0));
+      for (int i = 0; i < 3; ++i) test_loop.turn(net::Duration(0));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, front.counters().accepted);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{takes == 10 ? 0u : 1u}, front.connections());
+      CPPUNIT_ASSERT_EQUAL(std::size_t{writable_bytes == 10 ? 0u : 1u}, front.connections());
     }
   }
 
@@ -437,7 +437,7 @@
     clear();
     net::Address address = free_address();
     transport::TcpTransport here(loop, *this);
-    here.keep({address.text()});
+    here.set_targets({address.text()});
     {
       transport::TcpTransport there(loop, *this);
       there.listen(address);
@@ -447,21 +447,20 @@
     transport::TcpTransport again(loop, *this);
     again.listen(address);
     until([&] { return up.size() == 2; });
-    here.keep({});
+    here.set_targets({});
     CPPUNIT_ASSERT(!here.send(up[1], "x"));
   }
 
-  // A cut can take one end's last word with it. Links carry words one way each, so the other end, which has
-  // nothing to read, would keep what it writes for good: found as a member that nobody heard any more after a
-  // cut.
+  // A partition can swallow the end of a connection. Without keepalive and a user timeout the other end would
+  // keep writing to a dead link.
   void bothEndsOfALinkDetectSilence() {
     clear();
     net::Address address = free_address();
     transport::TcpTransport here(loop, *this), there(loop, *this);
     there.listen(address);
-    here.keep({address.text()});
+    here.set_targets({address.text()});
     until([&] { return up.size() == 1 && there.count() == 1; });
-    int ends = 0;
+    int probed_ends = 0;
     for (int fd = 3; fd < 256; ++fd) {
       sockaddr_in peer{}, own{};
       socklen_t size = sizeof peer;
@@ -479,9 +478,9 @@
                      value(IPPROTO_TCP, TCP_KEEPINTVL) * value(IPPROTO_TCP, TCP_KEEPCNT);
       CPPUNIT_ASSERT(within_s <= 3);
       CPPUNIT_ASSERT(value(IPPROTO_TCP, TCP_USER_TIMEOUT) <= 1200);
-      ++ends;
+      ++probed_ends;
     }
-    CPPUNIT_ASSERT_EQUAL(2, ends);
+    CPPUNIT_ASSERT_EQUAL(2, probed_ends);
   }
 
   void oversizedFrameClosesItsLink() {
@@ -500,66 +499,66 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, there.count());
   }
 
-  // Each frame is inside its bound; the link that holds the most goes, and others carry theirs meanwhile.
+  // Each frame is within its limit. The links with the largest buffers are closed, and the others keep
+  // working.
   void buffersOfAllLinksAreBoundedTogether() {
     clear();
     net::Address address = free_address();
     transport::TcpTransport there(loop, *this), here(loop, *this);
     there.listen(address);
     there.set_memory_bound(1 << 20);
-    here.keep({address.text()});
+    here.set_targets({address.text()});
     until([&] { return there.count() == 1; });
-    const std::string beginning =
+    const std::string incomplete_frame =
         std::string("\0\x0f\x42\x40", 4) + std::string(400'000, 'x');  // of 1,000,000
-    std::vector<net::Fd> strangers;
+    std::vector<net::Fd> connections;
     std::size_t peak = 0;
     for (int i = 0; i < 8; ++i) {
       int error = 0;
-      strangers.push_back(net::start_connect(address, error));
+      connections.push_back(net::start_connect(address, error));
       std::size_t sent = 0;
       until([&] {
         std::size_t written = 0;
-        net::write_from(strangers.back(), std::string_view(beginning).substr(sent), written);
+        net::write_from(connections.back(), std::string_view(incomplete_frame).substr(sent), written);
         sent += written;
         peak = std::max(peak, there.held_bytes());
-        return sent == beginning.size() || written == 0;
+        return sent == incomplete_frame.size() || written == 0;
       });
     }
     until([&] { return there.closed_for_memory() >= 4; });
     CPPUNIT_ASSERT(there.closed_for_memory() >= 4);
-    // One read may pass the bound before it is looked at.
+    // The bound is checked after each read.
     CPPUNIT_ASSERT(peak <= (1 << 20) + 4 * 64 * 1024);
     CPPUNIT_ASSERT(here.send_to(address.text(), "still carried"));
     until([&] { return !frames.empty(); });
     CPPUNIT_ASSERT_EQUAL(std::string("still carried"), frames.back());
-    strangers.clear();
+    connections.clear();
     until([&] { return there.count() == 1; });
     CPPUNIT_ASSERT(there.held_bytes() < 100'000);
   }
 
-  // As edges do for other edges: two at once, short words; room again when one has gone.
-  // A listener that stays ready while no descriptor is free: it is looked at again after a pause, not at
-  // once.
+  // A listener that stays readable while no descriptor is free is polled again after a pause, not at once.
   void acceptingPausesWithoutDescriptors() {
     struct FullKernel : BreakingKernel {
-      int looks = 0;
+      int accept_calls = 0;
       net::AcceptResult accept(int, int&) override {
-        ++looks;
+        ++accept_calls;
         return net::AcceptResult::no_descriptors;
       }
     } kernel;
     net::StandIn stands_in(kernel);
-    net::Loop turns;
-    transport::TcpTransport links(turns, *this);
+    net::Loop test_loop;
+    transport::TcpTransport links(test_loop, *this);
     links.listen({0x7f000001, 0});
-    for (int i = 0; i < 100; ++i) turns.turn(net::Duration(0));
-    CPPUNIT_ASSERT_EQUAL(1, kernel.looks);
+    for (int i = 0; i < 100; ++i) test_loop.turn(net::Duration(0));
+    CPPUNIT_ASSERT_EQUAL(1, kernel.accept_calls);
     kernel.at += net::Duration(0.05);
-    for (int i = 0; i < 100; ++i) turns.turn(net::Duration(0));
-    CPPUNIT_ASSERT_EQUAL(2, kernel.looks);
+    for (int i = 0; i < 100; ++i) test_loop.turn(net::Duration(0));
+    CPPUNIT_ASSERT_EQUAL(2, kernel.accept_calls);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, links.accept_failures());
   }
 
+  // As edges listen for other edges: two links at once with short frames.
   void inboundLimitsAreEnforced() {
     clear();
     net::Address address = free_address();
@@ -568,7 +567,7 @@
     transport::TransportHandler& user = *this;
     std::vector<std::unique_ptr<transport::TcpTransport>> here;
     for (int i = 0; i < 3; ++i)
-      here.emplace_back(std::make_unique<transport::TcpTransport>(loop, user))->keep({address.text()});
+      here.emplace_back(std::make_unique<transport::TcpTransport>(loop, user))->set_targets({address.text()});
     until([&] { return up.size() >= 3 && !down.empty(); });
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, there.count());
     for (auto& each : here) each->send_to(address.text(), std::string(65, 'x'));
@@ -582,25 +581,25 @@
     });
   }
 
-  // A process that stood still while its connection came up.
+  // The process was suspended while the connection was being established.
   void requestExpiredWhileConnectingIsNotSent() {
     BreakingKernel kernel;
     net::StandIn stands_in(kernel);
-    net::Loop turns;
-    std::vector<pederu::Ending> told;
-    upstream::NodeLinks late(turns,
-                             [&](pederu::CallId, const pederu::CallEnd& end) { told.push_back(end.ending); });
+    net::Loop test_loop;
+    std::vector<pederu::Ending> outcomes;
+    upstream::NodeLinks late(
+        test_loop, [&](pederu::CallId, const pederu::CallEnd& end) { outcomes.push_back(end.ending); });
     constexpr std::size_t room = 1000;
-    kernel.takes = room;
-    kernel.lives = true;
+    kernel.writable_bytes = room;
+    kernel.stays_open = true;
     pederu::KnownNode node;
     node.address = "10.0.0.1:1";
     CPPUNIT_ASSERT(late.start({++next, 1}, node, 4, {"GET /x HTTP/1.1\r\nRequest-Id: id\r\n", "n", ""},
                               kernel.at + net::Duration(3)));
     kernel.at += net::Duration(10);
-    for (int i = 0; i < 5 && told.empty(); ++i) turns.turn(net::Duration(0));
-    CPPUNIT_ASSERT((told == std::vector{pederu::Ending::no_way}));
-    CPPUNIT_ASSERT_EQUAL(room, kernel.takes);
+    for (int i = 0; i < 5 && outcomes.empty(); ++i) test_loop.turn(net::Duration(0));
+    CPPUNIT_ASSERT((outcomes == std::vector{pederu::Ending::no_way}));
+    CPPUNIT_ASSERT_EQUAL(room, kernel.writable_bytes);
   }
 };
 
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -1,5 +1,5 @@
-// The packages below the cluster, by themselves: configurations, nodes, news, codecs, the store on a real
-// folder, settings.
+// The components below the cluster: configurations, nodes, updates, codecs, the store in a real directory,
+// the settings.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
@@ -33,14 +33,14 @@
   return text.replace(at, from.size(), to);
 }
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream out;
   out << in.rdbuf();
   return out.str();
 }
 
-void spill(const std::string& path, const std::string& bytes) {
+void write_file(const std::string& path, const std::string& bytes) {
   std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
@@ -106,27 +106,27 @@
     const std::string good =
         R"({"depot":"d","address":"1.2.3.4:5","nodeState":"closing_out","coldLeftMs":500,"callSeq":4})";
     auto node = catalog::parse_heartbeat("i-1", good, catalog::Time(catalog::Duration(10)), fault);
-    CPPUNIT_ASSERT(node && node->closing && node->call == 4);
+    CPPUNIT_ASSERT(node && node->closing && node->sequence == 4);
     CPPUNIT_ASSERT_EQUAL(10.5, node->cold_until.time_since_epoch().count());
     for (const char* broken : {"\"depot\":\"d\",", "\"callSeq\":4", "closing_out", "\"1.2.3.4:5\""})
       CPPUNIT_ASSERT(!catalog::parse_heartbeat("i-1", with(good, broken, ""), {}, fault));
   }
 
   void closingAndRetiredNodesNeverReopen() {
-    using Taken = catalog::NodeList::Taken;
+    using PutResult = catalog::NodeList::PutResult;
     catalog::NodeList list;
     catalog::Node node{"a", "d", "1:1", "z", "v", 1, false, 1, {}};
-    CPPUNIT_ASSERT(list.put(node) == Taken::news);
+    CPPUNIT_ASSERT(list.put(node) == PutResult::changed);
     node.sequence = 2;
-    CPPUNIT_ASSERT(list.put(node) == Taken::same);
+    CPPUNIT_ASSERT(list.put(node) == PutResult::unchanged);
     node.closing = true;
     node.sequence = 3;
-    CPPUNIT_ASSERT(list.put(node) == Taken::news);
+    CPPUNIT_ASSERT(list.put(node) == PutResult::changed);
     node.closing = false;
-    node.sequence = 4;  // late, whatever its number says
-    CPPUNIT_ASSERT(list.put(node) == Taken::stale);
-    CPPUNIT_ASSERT(list.gone("a"));
-    CPPUNIT_ASSERT(list.put(node) == Taken::stale);
+    node.sequence = 4;  // delayed, despite its higher number
+    CPPUNIT_ASSERT(list.put(node) == PutResult::stale);
+    CPPUNIT_ASSERT(list.retire("a"));
+    CPPUNIT_ASSERT(list.put(node) == PutResult::stale);
     CPPUNIT_ASSERT(list.all().empty());
   }
 
@@ -152,90 +152,90 @@
     CPPUNIT_ASSERT(message.entries == append.entries && message.snapshot.state == "state" &&
                    message.term == 9);
 
-    protocol::StateSnapshot standing;
-    standing.at = {4, 17};
-    standing.complete = false;
-    standing.revision = 7;
-    standing.configuration = good_config;
-    standing.nodes.push_back({{"a", "d", "1:1", "z", "v", 3, true, 9, {}}, 250});
-    standing.retired = {"b", "c"};
-    auto stood = protocol::unpack(protocol::pack(standing));
-    CPPUNIT_ASSERT(stood);
-    const auto& again = std::get<protocol::StateSnapshot>(*stood);
-    CPPUNIT_ASSERT(again.at == standing.at && again.nodes[0].cold_ms == 250 && again.nodes[0].node.closing);
-    CPPUNIT_ASSERT(again.ended == standing.retired && again.configuration == good_config);
+    protocol::StateSnapshot snapshot;
+    snapshot.at = {4, 17};
+    snapshot.complete = false;
+    snapshot.revision = 7;
+    snapshot.configuration = good_config;
+    snapshot.nodes.push_back({{"a", "d", "1:1", "z", "v", 3, true, 9, {}}, 250});
+    snapshot.retired = {"b", "c"};
+    auto unpacked_snapshot = protocol::unpack(protocol::pack(snapshot));
+    CPPUNIT_ASSERT(unpacked_snapshot);
+    const auto& again = std::get<protocol::StateSnapshot>(*unpacked_snapshot);
+    CPPUNIT_ASSERT(again.at == snapshot.at && again.nodes[0].cold_ms == 250 && again.nodes[0].node.closing);
+    CPPUNIT_ASSERT(again.retired == snapshot.retired && again.configuration == good_config);
   }
 
-  // Whatever comes off a link, the reader takes it or says no; it never reads past its end.
+  // Bytes from a link are either accepted or rejected, and never read past their end.
   void corruptMessagesAreReadSafely() {
     std::mt19937 random(7);
     protocol::Changes changes;
     changes.after = {2, 3};
     changes.changes.resize(3);
     const std::string whole = protocol::pack(changes);
-    int taken = 0;
+    int accepted = 0;
     for (int i = 0; i < 20000; ++i) {
       std::string bytes = whole;
       if (i % 3 == 0) bytes.resize(random() % whole.size());
       for (unsigned flips = random() % 4; flips > 0 && !bytes.empty(); --flips)
         bytes[random() % bytes.size()] = static_cast<char>(random());
-      if (protocol::unpack(bytes)) ++taken;
+      if (protocol::unpack(bytes)) ++accepted;
     }
-    CPPUNIT_ASSERT(taken > 0);
+    CPPUNIT_ASSERT(accepted > 0);
     CPPUNIT_ASSERT(!protocol::unpack(whole.substr(0, whole.size() - 1)));
     CPPUNIT_ASSERT(!protocol::unpack(whole + "x"));
   }
 
   void updatesApplyInOrderAndNeverGoBack() {
-    using Taken = subscription::ClusterView::ApplyResult;
+    using ApplyResult = subscription::ClusterView::ApplyResult;
     subscription::ClusterView view;
     catalog::Time now{};
-    protocol::StateSnapshot standing;
-    standing.at = {2, 5};
-    standing.revision = 7;
-    standing.configuration = good_config;
-    standing.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
-    CPPUNIT_ASSERT(view.apply(now, standing) == Taken::news);
+    protocol::StateSnapshot snapshot;
+    snapshot.at = {2, 5};
+    snapshot.revision = 7;
+    snapshot.configuration = good_config;
+    snapshot.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
+    CPPUNIT_ASSERT(view.apply(now, snapshot) == ApplyResult::applied);
     protocol::Change gone;
     gone.kind = protocol::ChangeKind::node_retired;
     gone.text = "a";
-    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 7}, {gone}}) == Taken::behind);
-    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{3, 1}, {gone}}) == Taken::behind);
-    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{1, 9}, {gone}}) == Taken::old);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 7}, {gone}}) == ApplyResult::gap);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{3, 1}, {gone}}) == ApplyResult::gap);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{1, 9}, {gone}}) == ApplyResult::stale);
     CPPUNIT_ASSERT(view.nodes().find("a"));
-    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 5}, {gone}}) == Taken::news);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 5}, {gone}}) == ApplyResult::applied);
     CPPUNIT_ASSERT(!view.nodes().find("a"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, view.at().number);
-    // Partly known news are taken from where they go on.
+    // Changes that are partly known are applied from the first unknown one on.
     protocol::Change lost;
     lost.kind = protocol::ChangeKind::node_removed;
-    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 5}, {gone, lost}}) == Taken::news);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 5}, {gone, lost}}) == ApplyResult::applied);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, view.at().number);
-    // A newer leader that lags in its configuration takes none away.
-    standing.at = {3, 1};
-    standing.revision = 3;
-    standing.configuration = with(good_config, "\"edition\":7", "\"edition\":3");
-    CPPUNIT_ASSERT(view.apply(now, standing) == Taken::news);
+    // A newer leader with an older configuration does not replace the newer one.
+    snapshot.at = {3, 1};
+    snapshot.revision = 3;
+    snapshot.configuration = with(good_config, "\"edition\":7", "\"edition\":3");
+    CPPUNIT_ASSERT(view.apply(now, snapshot) == ApplyResult::applied);
     CPPUNIT_ASSERT_EQUAL(catalog::Revision{7}, view.revision());
-    CPPUNIT_ASSERT(!view.nodes().find("a"));  // gone is gone
-    standing.at = {2, 99};
-    CPPUNIT_ASSERT(view.apply(now, standing) == Taken::old);
+    CPPUNIT_ASSERT(!view.nodes().find("a"));  // retired for good
+    snapshot.at = {2, 99};
+    CPPUNIT_ASSERT(view.apply(now, snapshot) == ApplyResult::stale);
   }
 
   void incompleteListRemovesNoNodes() {
     subscription::ClusterView view;
-    protocol::StateSnapshot standing;
-    standing.at = {2, 1};
-    standing.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
-    view.apply({}, standing);
-    standing.at = {3, 1};
-    standing.nodes.clear();
-    standing.complete = false;
-    view.apply({}, standing);
+    protocol::StateSnapshot snapshot;
+    snapshot.at = {2, 1};
+    snapshot.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
+    view.apply({}, snapshot);
+    snapshot.at = {3, 1};
+    snapshot.nodes.clear();
+    snapshot.complete = false;
+    view.apply({}, snapshot);
     CPPUNIT_ASSERT(view.nodes().find("a"));
-    standing.at = {3, 2};
-    standing.complete = true;
-    view.apply({}, standing);
+    snapshot.at = {3, 2};
+    snapshot.complete = true;
+    view.apply({}, snapshot);
     CPPUNIT_ASSERT(!view.nodes().find("a"));
   }
 
@@ -294,8 +294,8 @@
     CPPUNIT_ASSERT(store.load(stored) == storage::Fault::other_format);
   }
 
-  // Power goes in the middle of a commit: of the pages that it wrote, any may be there or not, as long as the
-  // page that names them (the meta page, written after they are synced) is the old one.
+  // After a power loss during a commit any of its pages may be missing, but the meta page, which is written
+  // after they are synced, is the old one.
   void tornWriteKeepsThePreviousCommit() {
     constexpr std::size_t page = 4096, metas = 2;
     Folder folder;
@@ -307,9 +307,9 @@
       store.save_self(42);
       store.replace_tail(1, {entry(1, std::string(9000, 'a'))});
       store.save_vote({3, 1});
-      old_bytes = slurp(file);
+      old_bytes = read_file(file);
       store.replace_tail(2, {entry(2, std::string(20000, 'b'))});
-      new_bytes = slurp(file);
+      new_bytes = read_file(file);
     }
     CPPUNIT_ASSERT(old_bytes != new_bytes);
     for (int round = 0; round < 50; ++round) {
@@ -320,7 +320,7 @@
         for (std::size_t i = at; i < at + page && i < torn.size(); ++i)
           torn[i] = i < old_bytes.size() ? old_bytes[i] : '\0';
       }
-      spill(file, torn);
+      write_file(file, torn);
       storage::LmdbStore store(folder.path());
       raft::Stored stored;
       CPPUNIT_ASSERT(!store.load(stored));
--- a/tests/system/raft_cluster.h
+++ b/tests/system/raft_cluster.h
@@ -1,6 +1,6 @@
-// A few members of the agreement on disks in memory, links that can be cut one way, clocks of their own rate,
-// freezes to the millisecond; and a walk through troubles on them. What must hold in every run is judged at
-// each step.
+// A Raft cluster in simulated time: members with disks in memory and clocks of their own rate, links that can
+// be cut in one direction, and frozen members; and a random sequence of faults on such a cluster. The
+// invariants of every run are checked after each step.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,16 +20,17 @@
 using biella::SimDisk;
 using biella::World;
 
-constexpr Duration step_of_time = std::chrono::milliseconds(1);
+constexpr Duration tick_length = std::chrono::milliseconds(1);
 
+// A machine that a member runs on.
 struct Place : StateMachine {
   std::string address;
   double rate = 1;  // of its clock
   Time clock{Duration(1000)};
   std::unique_ptr<SimDisk> disk;
-  std::unique_ptr<Core> core;  // none = down
+  std::unique_ptr<Core> core;  // null = not running
   Time frozen_until{};
-  std::vector<std::string> held;  // changes applied
+  std::vector<std::string> held;  // the changes that were applied
   bool spoke = false;
 
   void apply(const Entry& change) override { held.push_back(change.data); }
@@ -52,7 +53,7 @@
     for (std::size_t i = 0; i < founders; ++i) start(add(), true);
   }
 
-  // A place that is not started yet: "m0", "m1", ...
+  // Adds a machine without starting a member on it: "m0", "m1", ...
   std::size_t add() {
     places_.push_back(std::make_unique<Place>());
     places_.back()->address = "m" + std::to_string(places_.size() - 1);
@@ -63,7 +64,7 @@
     Place& place = *places_[at];
     Options options;
     options.address = place.address;
-    for (std::size_t i = 0; i < founders_; ++i) options.founders.push_back(places_name(i));
+    for (std::size_t i = 0; i < founders_; ++i) options.founders.push_back(address_of(i));
     options.seeds = options.founders;
     for (const auto& other : places_)
       if (other->core) options.seeds.push_back(other->address);
@@ -101,10 +102,10 @@
   void run(double seconds) {
     for (Time end = world_.now() + Duration(seconds); world_.now() < end;) turn();
   }
-  // Until `what` holds; false after `seconds`.
-  template <typename What>
-  bool until(double seconds, What what) {
-    for (Time end = world_.now() + Duration(seconds); !what();) {
+  // Runs until the condition holds. Returns false where it does not within `seconds`.
+  template <typename Condition>
+  bool until(double seconds, Condition condition) {
+    for (Time end = world_.now() + Duration(seconds); !condition();) {
       if (world_.now() >= end) return false;
       turn();
     }
@@ -122,14 +123,14 @@
     const Place& place = *places_[at];
     return place.core && place.frozen_until <= world_.now() && place.core->may_speak(place.clock);
   }
-  // Who may speak; the number of places where nobody does.
+  // The first member that holds a leader's lease; places() if there is none.
   std::size_t speaker() const {
     std::size_t at = 0;
     while (at < places_.size() && !speaks(at)) ++at;
     return at;
   }
   std::size_t led() {
-    CPPUNIT_ASSERT_MESSAGE("somebody leads", until(5, [&] { return speaker() < places_.size(); }));
+    CPPUNIT_ASSERT_MESSAGE("there is no leader", until(5, [&] { return speaker() < places_.size(); }));
     return speaker();
   }
   const Membership& count(std::size_t at) { return core(at).log().membership(); }
@@ -139,24 +140,25 @@
     return up(at) && count(leader).has(core(at).self());
   }
 
-  // Taken within the time: then it is to be held for ever.
-  bool change(std::size_t at, double within = 1) {
+  // Proposes a change. Returns whether it was committed in time; from then on it must never be lost.
+  bool change(std::size_t at, double timeout_s = 1) {
     std::string data = "change " + std::to_string(++changes_);
     auto index = core(at).propose(now(at), data);
     if (!index) return false;
     Term term = core(at).term();
-    bool sure = until(within, [&] { return core(at).commit() >= *index || core(at).term() != term; }) &&
-                core(at).term() == term;
-    if (sure) taken_.push_back(data);
-    return sure;
+    bool committed =
+        until(timeout_s, [&] { return core(at).commit() >= *index || core(at).term() != term; }) &&
+        core(at).term() == term;
+    if (committed) committed_changes_.push_back(data);
+    return committed;
   }
-  // The first fault; empty = none.
+  // The first violation of an invariant; empty = none.
   std::string judged() {
     std::size_t leader = speaker();
-    if (leader == places_.size()) fail("nobody speaks");
-    for (const std::string& data : taken_)
+    if (leader == places_.size()) fail("there is no leader");
+    for (const std::string& data : committed_changes_)
       if (leader < places_.size() && std::ranges::count(place(leader).held, data) == 0)
-        fail(data + " was taken and is not held");
+        fail(data + " was committed and is lost");
     return fault_;
   }
   void good() {
@@ -164,14 +166,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), judged());
   }
   const std::string& fault() const { return fault_; }
-  std::size_t least_count() const { return least_count_; }
+  std::size_t least_count() const { return min_voters_; }
   void hand(std::size_t to, const Message& message) { core(to).step(now(to), message); }
 
  private:
-  static std::string places_name(std::size_t at) { return "m" + std::to_string(at); }
+  static std::string address_of(std::size_t at) { return "m" + std::to_string(at); }
   void turn() {
-    world_.run_until(world_.now() + step_of_time);
-    for (auto& place : places_) place->clock += place->rate * step_of_time;
+    world_.run_until(world_.now() + tick_length);
+    for (auto& place : places_) place->clock += place->rate * tick_length;
     for (std::size_t at = 0; at < places_.size(); ++at) {
       Place& place = *places_[at];
       if (!place.core || place.frozen_until > world_.now()) continue;
@@ -186,13 +188,13 @@
         if (!cut_.contains({at, to}) && places_[to]->core) inbox_[to].push_back(std::move(out.message));
       }
     }
-    judge();
+    check_invariants();
   }
 
-  void judge() {
-    std::size_t speakers = 0;
-    for (std::size_t at = 0; at < places_.size(); ++at) speakers += speaks(at);
-    if (speakers > 1) fail("two speak at once");
+  void check_invariants() {
+    std::size_t lease_holders = 0;
+    for (std::size_t at = 0; at < places_.size(); ++at) lease_holders += speaks(at);
+    if (lease_holders > 1) fail("two members hold the lease at once");
     for (const auto& place : places_) {
       if (!place->core) continue;
       const Log& log = place->core->log();
@@ -210,7 +212,7 @@
         auto [entry, fresh] = committed_.emplace(i, log.at(i));
         if (!fresh && !(entry->second == log.at(i))) fail("two entries committed at " + std::to_string(i));
       }
-      if (!before->voters.empty()) least_count_ = std::min(least_count_, before->voters.size());
+      if (!before->voters.empty()) min_voters_ = std::min(min_voters_, before->voters.size());
     }
   }
   void fail(const std::string& what) {
@@ -224,112 +226,114 @@
   std::map<std::size_t, std::vector<Message>> inbox_;
   std::set<std::pair<std::size_t, std::size_t>> cut_;
   std::map<Index, Entry> committed_;
-  std::vector<std::string> taken_;
+  std::vector<std::string> committed_changes_;
   std::uint64_t changes_ = 0;
-  std::size_t least_count_ = 99;
+  std::size_t min_voters_ = 99;
   std::string fault_;
 };
 
-// Every kind of loss, return, replacement, leave and suspicion in any order, with no more lost at once than a
-// core of `members` bears; who is back, or new, counts as lost for four seconds more.
+// A random sequence of crashes, wiped disks, freezes, partitions and replacements, with a majority of the
+// members available at any time. A member that is back, or new, counts as lost until it has had time to catch
+// up.
 class Walk {
  public:
-  Walk(std::size_t members, std::uint64_t seed) : band_(members, seed), bears_((members - 1) / 2) {}
+  Walk(std::size_t members, std::uint64_t seed) : band_(members, seed), max_lost_((members - 1) / 2) {}
 
-  // What went wrong; empty = nothing.
-  std::string play(int events, double most_without) {
+  // Returns the first violation; empty = none.
+  std::string play(int events, double max_without_leader) {
     band_.run(3);
-    for (int i = 0; i < events && longest_ <= most_without; ++i) {
-      strike();
-      watch(world_.uniform(0.05, 3));
+    for (int i = 0; i < events && longest_without_leader_ <= max_without_leader; ++i) {
+      inject_fault();
+      run_and_watch(world_.uniform(0.05, 3));
     }
-    watch(12);
-    if (longest_ > most_without) return std::to_string(longest_) + " s without a leader";
+    run_and_watch(12);
+    if (longest_without_leader_ > max_without_leader)
+      return std::to_string(longest_without_leader_) + " s without a leader";
     return band_.judged();
   }
-  const std::vector<std::string>& story() const { return story_; }
+  const std::vector<std::string>& story() const { return events_; }
 
  private:
-  static constexpr double catch_up = 4, grace = 5.1;
+  static constexpr double catch_up_s = 4, leave_timeout_s = 5.1;
 
-  void watch(double seconds) {
+  void run_and_watch(double seconds) {
     for (double end = band_.seconds() + seconds; band_.seconds() < end; band_.run(0.02)) {
-      if (band_.speaker() < band_.places()) silent_since_ = band_.seconds();
-      longest_ = std::max(longest_, band_.seconds() - silent_since_);
+      if (band_.speaker() < band_.places()) without_leader_since_ = band_.seconds();
+      longest_without_leader_ = std::max(longest_without_leader_, band_.seconds() - without_leader_since_);
       if (world_.chance(0.01) && band_.speaker() < band_.places()) band_.change(band_.speaker(), 0.2);
     }
   }
-  void say(const std::string& what, std::size_t at) {
-    story_.push_back(std::to_string(band_.seconds() - 1000) + " " + what + " m" + std::to_string(at));
+  void log_event(const std::string& what, std::size_t at) {
+    events_.push_back(std::to_string(band_.seconds() - 1000) + " " + what + " m" + std::to_string(at));
   }
   std::size_t lost() const {
     return static_cast<std::size_t>(std::count_if(
         lost_.begin(), lost_.end(), [&](const auto& each) { return each.second > band_.seconds(); }));
   }
-  void lose(std::size_t at, double for_s) { lost_[at] = band_.seconds() + for_s + catch_up; }
+  void lose(std::size_t at, double for_s) { lost_[at] = band_.seconds() + for_s + catch_up_s; }
 
-  void strike() {
+  void inject_fault() {
     std::size_t at = world_.below(band_.places());
     bool leader = world_.chance(0.4) && band_.speaker() < band_.places();
     if (leader) at = band_.speaker();
     if (!band_.up(at) || leaving_.contains(at) || lost_[at] > band_.seconds()) return;
     int kind = static_cast<int>(world_.below(6));
     double span = world_.uniform(0.1, 6);
-    if (lost() >= bears_) return;
-    if (kind == 5) return plan(at);
+    if (lost() >= max_lost_) return;
+    if (kind == 5) return replace_member(at);
     lose(at, span);
     if (kind == 0 || kind == 1) {
-      say(kind == 0 ? "killed" : "wiped", at);
+      log_event(kind == 0 ? "killed" : "wiped", at);
       kind == 0 ? band_.end(at) : band_.wipe(at);
       world_.in(Duration(span), [this, at] { band_.start(at); });
     } else if (kind == 2) {
-      say("frozen", at);
+      log_event("frozen", at);
       band_.freeze(at, span);
     } else if (kind == 3) {
-      say("cut off", at);
+      log_event("cut off", at);
       std::uint64_t way = world_.below(3);
       band_.cut_off(at, way != 1, way != 2);
       world_.in(Duration(span), [this, at] { band_.join(at); });
     } else {
-      say("gone for good", at);
+      log_event("gone for good", at);
       band_.end(at);
       std::size_t fresh = band_.add();
       world_.in(Duration(span), [this, fresh] { band_.start(fresh); });
     }
   }
-  // A successor comes, has its time, and the other is asked to end; troubles go on meanwhile.
-  void plan(std::size_t at) {
+  // Starts a replacement for the member and then asks it to leave, while faults go on.
+  void replace_member(std::size_t at) {
     if (!leaving_.empty()) return;
-    say("leaves", at);
+    log_event("leaves", at);
     leaving_.insert(at);
     std::size_t fresh = band_.add();
     band_.start(fresh);
     lose(fresh, 0);
-    world_.in(Duration(world_.uniform(catch_up, 7)), [this, at] {
-      say("asked to end", at);
-      asked_ = band_.seconds();
+    world_.in(Duration(world_.uniform(catch_up_s, 7)), [this, at] {
+      log_event("asked to end", at);
+      leave_asked_at_ = band_.seconds();
       band_.core(at).leave(band_.now(at));
-      look(at);
+      await_leave(at);
     });
   }
-  void look(std::size_t at) {
-    double since = band_.seconds() - asked_;
-    if ((since < 0.4 || !band_.core(at).may_end()) && since < grace)
-      return world_.in(Duration(0.02), [this, at] { look(at); });
-    say("ended", at);
+  void await_leave(std::size_t at) {
+    double since = band_.seconds() - leave_asked_at_;
+    if ((since < 0.4 || !band_.core(at).may_end()) && since < leave_timeout_s)
+      return world_.in(Duration(0.02), [this, at] { await_leave(at); });
+    log_event("ended", at);
     band_.end(at);
     leaving_.clear();
   }
 
   RaftCluster band_;
   World& world_ = band_.world();
-  std::size_t bears_;
+  std::size_t max_lost_;
   std::map<std::size_t, double> lost_;
   std::set<std::size_t> leaving_;
-  double asked_ = 0;
-  double silent_since_ = 1003;
-  double longest_ = 0;
-  std::vector<std::string> story_;
+  double leave_asked_at_ = 0;
+  double without_leader_since_ = 1003;
+  double longest_without_leader_ = 0;
+  std::vector<std::string> events_;
 };
 
 }  // namespace pearspar::raft
--- a/tests/system/start_test.cpp
+++ b/tests/system/start_test.cpp
@@ -1,13 +1,13 @@
-// Starts of members: founders in any order, again and late; ids drawn anew; small cores that change hands.
+// Starting Raft members: founders in any order, late or repeatedly; new member ids; replacement of members.
 #include "raft_cluster.h"
 
 namespace pearspar::raft {
 namespace {
 
-// Power is lost before one of the writes.
-class CutStore : public Store {
+// Fails all writes after the first `writes`, as a power loss does.
+class FailingStore : public Store {
  public:
-  CutStore(Store& store, int writes) : store_(store), left_(writes) {}
+  FailingStore(Store& store, int writes) : store_(store), writes_left_(writes) {}
   std::error_code load(Stored& stored) override { return store_.load(stored); }
   std::error_code save_self(MemberId self) override {
     return write([&] { return store_.save_self(self); });
@@ -28,11 +28,11 @@
  private:
   template <typename Work>
   std::error_code write(Work work) {
-    if (left_-- <= 0) return std::make_error_code(std::errc::io_error);
+    if (writes_left_-- <= 0) return std::make_error_code(std::errc::io_error);
     return work();
   }
   Store& store_;
-  int left_;
+  int writes_left_;
 };
 
 }  // namespace
@@ -56,11 +56,11 @@
     for (std::size_t members : {3, 5})
       for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         RaftCluster cluster(members, seed);
-        std::size_t never = cluster.world().below(members);
+        std::size_t absent = cluster.world().below(members);
         for (std::size_t at = 0; at < members; ++at) cluster.wipe(at);
         std::vector<std::size_t> order;
         for (std::size_t at = 0; at < members; ++at)
-          if (at != never) order.push_back(at);
+          if (at != absent) order.push_back(at);
         while (!order.empty()) {
           std::size_t at = cluster.world().below(order.size());
           cluster.start(order[at], true);
@@ -74,7 +74,7 @@
       }
   }
 
-  // The whole system runs, its log is folded, or somebody else has come to its address meanwhile.
+  // Meanwhile the others run, their log is compacted, or another member has started at its address.
   void lateFounderJoins() {
     for (int how = 0; how < 3; ++how) {
       RaftCluster cluster(3, 5);
@@ -104,18 +104,18 @@
         RaftCluster cluster(3, 9);
         cluster.wipe(2);
         CPPUNIT_ASSERT(cluster.change(cluster.led()));
-        Place machine;
-        CutStore cut(*cluster.place(2).disk, writes);
+        Place state_machine;
+        FailingStore failing_store(*cluster.place(2).disk, writes);
         Options options;
         options.address = "m2";
         options.founders = options.seeds = {"m0", "m1", "m2"};
         options.first_start = true;
         options.fresh_id = 77;
-        CPPUNIT_ASSERT(Core(cut, machine, options).start(cluster.now(2)));
+        CPPUNIT_ASSERT(Core(failing_store, state_machine, options).start(cluster.now(2)));
         cluster.run(1);
         cluster.start(2, first);
         CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(2); }));
-        // Once more, before anything was written since.
+        // Started once more, before anything else was written.
         cluster.end(2);
         cluster.start(2, false);
         CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(2); }));
@@ -126,7 +126,7 @@
       }
   }
 
-  // Let go, it knows of it; then its settings say once more that all start for the first time.
+  // The member left, and its settings still declare a first start.
   void founderThatLeftAndReturnsCountsOnce() {
     RaftCluster cluster(3);
     std::size_t newcomer = cluster.add();
@@ -143,7 +143,7 @@
     cluster.good();
   }
 
-  // Found out three times in one life: by words of a leader that no disk brings about so often.
+  // The member has to draw a new id five times, each time since the leader claims an entry that it has lost.
   void eachNewMemberIdIsUnique() {
     RaftCluster cluster(3);
     std::size_t a = cluster.led(), c = a == 2 ? 1 : 2;
@@ -158,21 +158,21 @@
       append.index = append.acknowledged = cluster.core(c).log().last() + 1;
       append.log_term = append.term;
       cluster.hand(c, append);
-      CPPUNIT_ASSERT_MESSAGE("an id that was not there before", ids.insert(cluster.core(c).self()).second);
+      CPPUNIT_ASSERT_MESSAGE("the id was used before", ids.insert(cluster.core(c).self()).second);
     }
     CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(c); }));
     cluster.good();
   }
 
-  // One, two, four: a successor comes, and somebody is asked to end, twice, the leader too.
+  // In clusters of one, two and four a newcomer joins, then a member or the leader is asked to leave, twice.
   void smallClustersReplaceMembers() {
     for (std::size_t members : {1, 2, 4})
       for (bool leader : {true, false}) {
         RaftCluster cluster(members, 3);
-        std::size_t a = cluster.led(), fresh = cluster.add();
+        std::size_t a = cluster.led(), newcomer = cluster.add();
         CPPUNIT_ASSERT(cluster.change(a));
-        cluster.start(fresh);
-        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(fresh); }));
+        cluster.start(newcomer);
+        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(newcomer); }));
         a = cluster.led();
         std::size_t leaver = leader ? a : (a + 1) % members;
         cluster.core(leaver).leave(cluster.now(leaver));
@@ -183,7 +183,7 @@
         CPPUNIT_ASSERT(cluster.change(cluster.led()));
         CPPUNIT_ASSERT_EQUAL(members, cluster.voters(cluster.led()));
         CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(members), cluster.count(cluster.led()).wanted);
-        // Back, its wish is forgotten.
+        // A restart withdraws the request to leave.
         cluster.start(leaver);
         CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.counts(leaver); }));
         cluster.run(3);
@@ -192,8 +192,8 @@
       }
   }
 
-  // Out, and slow to end: taken in again it would leave a voter that is about to go. Started anew it asks,
-  // and is, though the leader's rounds reach it first.
+  // A member that has been removed and still runs must not become a voter again, since it is about to end.
+  // After a restart it rejoins, although messages of the leader reach it first.
   void removedMemberIsNotReadmittedUntilRestart() {
     RaftCluster cluster(3);
     std::size_t newcomer = cluster.add();
@@ -237,7 +237,7 @@
       }
   }
 
-  // Of each member in turn, while one with a lost disk comes back to a folded log.
+  // The disk of one member is full while another one with a wiped disk rejoins and needs a snapshot.
   void fullDiskDuringReplacementLosesNothing() {
     for (int moment = 0; moment < 60; ++moment) {
       RaftCluster cluster(3, 13);
@@ -263,16 +263,16 @@
   void leaderLeavesWhileNewcomerCatchesUp() {
     for (int moment = 0; moment < 40; ++moment) {
       RaftCluster cluster(3, 11);
-      std::size_t a = cluster.led(), fresh = cluster.add();
+      std::size_t a = cluster.led(), newcomer = cluster.add();
       CPPUNIT_ASSERT(cluster.change(a));
-      cluster.start(fresh);
+      cluster.start(newcomer);
       cluster.run(0.001 * moment);
       cluster.core(a).leave(cluster.now(a));
       double asked = cluster.seconds();
       CPPUNIT_ASSERT(
           cluster.until(4, [&] { return cluster.seconds() > asked + 0.4 && cluster.core(a).may_end(); }));
       cluster.end(a);
-      CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.speaker() < 4 && cluster.counts(fresh); }));
+      CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.speaker() < 4 && cluster.counts(newcomer); }));
       cluster.run(3);
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voters(cluster.led()));
       CPPUNIT_ASSERT(cluster.change(cluster.led()));
--- a/tests/system/wire_fuzz_test.cpp
+++ b/tests/system/wire_fuzz_test.cpp
@@ -1,6 +1,6 @@
-// Frames between our processes: what each kind becomes when its bytes are spoilt, and what a member and an
-// edge make of it. None may end the process; what reads must read the same when it is written again.
-// PEARSPAR_WIRE_ROUNDS in the environment makes the search longer.
+// Corrupt frames between the system's processes: none may crash a member or an edge, and a frame that is
+// readable must be unchanged when it is encoded and decoded again. PEARSPAR_WIRE_ROUNDS sets the number of
+// rounds.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <cstdlib>
@@ -31,8 +31,8 @@
   return {node, 20};
 }
 
-// One of each kind, and of each kind of the agreement's.
-std::vector<std::string> true_frames() {
+// A message of each kind, and a Raft message of each kind.
+std::vector<std::string> valid_frames() {
   std::vector<protocol::Message> all{
       protocol::Hello{7, protocol::FollowerKind::edge, "e", "z", {2, 3}, 4},
       protocol::Hello{9, protocol::FollowerKind::core, "c", "z", {}, 0},
@@ -77,9 +77,9 @@
   return frames;
 }
 
-class Spoiler {
+class FrameCorrupter {
  public:
-  explicit Spoiler(std::uint64_t seed) : random_(seed) {}
+  explicit FrameCorrupter(std::uint64_t seed) : random_(seed) {}
 
   std::string frame() {
     std::string bytes = pick();
@@ -90,13 +90,13 @@
       case 1:
         bytes = bytes.substr(0, below(bytes.size())) + pick().substr(below(3));
         break;
-      case 2:  // nested as deep as it goes, and a claim to more than there is
+      case 2:  // deep nesting, and an array longer than the frame
         bytes = std::string(below(5000), '\x91') + "\xdd\xff\xff\xff\xff" + bytes;
         break;
       case 3:
         for (std::size_t i = below(60); i > 0; --i) bytes.insert(below(bytes.size() + 1), 1, any());
         break;
-      case 4: {  // a number far beyond what is meant, where one stands
+      case 4: {  // a number that is far too large
         static const std::string great = "\xcf\xff\xff\xff\xff\xff\xff\xff\xff";
         bytes.replace(below(bytes.size()), 1, great.substr(0, below(2) ? 9 : 5));
         break;
@@ -116,7 +116,7 @@
   const std::string& pick() { return frames_[below(frames_.size())]; }
   char any() { return static_cast<char>(random_()); }
   std::mt19937_64 random_;
-  std::vector<std::string> frames_ = true_frames();
+  std::vector<std::string> frames_ = valid_frames();
 };
 
 int rounds(int usual) {
@@ -124,7 +124,7 @@
   return more ? std::atoi(more) : usual;
 }
 
-struct NoWire : transport::Transport {
+struct NullTransport : transport::Transport {
   void set_targets(const std::vector<std::string>&) override {}
   bool send_to(const std::string&, std::string_view) override { return true; }
   bool send(transport::LinkId, std::string_view) override { return true; }
@@ -142,21 +142,21 @@
 
  public:
   void readableFramesRoundTrip() {
-    for (const std::string& frame : true_frames()) {
+    for (const std::string& frame : valid_frames()) {
       auto message = protocol::unpack(frame);
       CPPUNIT_ASSERT(message && protocol::pack(*message) == frame);
     }
-    Spoiler spoiler(11);
+    FrameCorrupter corrupter(11);
     int read = 0;
     for (int i = rounds(20000); i > 0; --i) {
-      std::string bytes = spoiler.frame();
+      std::string bytes = corrupter.frame();
       if (auto message = protocol::unpack(bytes)) {
         ++read;
         std::string again = protocol::pack(*message);
         auto second = protocol::unpack(again);
         CPPUNIT_ASSERT(second && protocol::pack(*second) == again);
       }
-      // And the readers of what lies on the disk and in the log.
+      // The decoders of stored data and of log entries must not crash either.
       static_cast<void>(protocol::unpack_entry(bytes));
       static_cast<void>(protocol::unpack_snapshot(bytes));
       static_cast<void>(protocol::unpack_vote(bytes));
@@ -169,40 +169,40 @@
     CPPUNIT_ASSERT(read > 1000);
   }
 
-  // The member may lose its lead by them, and stands for it again.
+  // The member may lose its leadership by a corrupt frame; it then stands for election again.
   void memberAndEdgeSurviveCorruptFrames() {
     for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(rounds(20)); ++seed) {
-      Spoiler spoiler(seed);
+      FrameCorrupter corrupter(seed);
       biella::World world{seed};
       biella::SimDisk disk{world};
-      NoWire wire;
-      raft::Options agreement;
-      agreement.address = "a:1";
-      agreement.founders = agreement.seeds = {"a:1"};
-      agreement.first_start = true;
-      agreement.fresh_id = 5;
+      NullTransport transport;
+      raft::Options raft_options;
+      raft_options.address = "a:1";
+      raft_options.founders = raft_options.seeds = {"a:1"};
+      raft_options.first_start = true;
+      raft_options.fresh_id = 5;
       sennes::OfficeOptions office;
       office.inner_address = "a:1";
       office.incarnation = 5;
-      sennes::Member member(wire, disk, agreement, office);
+      sennes::Member member(transport, disk, raft_options, office);
       CPPUNIT_ASSERT(!member.start(world.now()));
-      subscription::Follower edge(wire, {77, "e", "z", {"a:1"}});
+      subscription::Follower edge(transport, {77, "e", "z", {"a:1"}});
       edge.start(world.now());
       edge.link_up(1, "a:1");
       for (int i = 0; i < 300; ++i) {
         world.run_until(world.now() + catalog::Duration(0.01));
-        std::string frame = spoiler.frame();
-        member.link_frame(world.now(), 1 + spoiler.below(4), frame);
-        if (spoiler.below(40) == 0) member.link_down(1 + spoiler.below(4));
+        std::string frame = corrupter.frame();
+        member.link_frame(world.now(), 1 + corrupter.below(4), frame);
+        if (corrupter.below(40) == 0) member.link_down(1 + corrupter.below(4));
         member.advance([&] { return world.now(); });
-        edge.frame(world.now(), 1, frame);
+        edge.link_frame(world.now(), 1, frame);
         edge.tick(world.now());
       }
-      CPPUNIT_ASSERT(member.unread() > 0 && edge.unread() > 0);
+      CPPUNIT_ASSERT(member.unread() > 0 && edge.unreadable_frames() > 0);
     }
   }
 
-  // Passed over, and its number with it: else all that follow it stand one place too early.
+  // A change of an unknown kind is skipped, but counted: the changes after it must keep their numbers.
   void unknownChangeKeepsItsNumber() {
     protocol::Changes changes{
         {2, 3}, {{ChangeKind::node_retired, 0, "n", {}}, {}, {ChangeKind::node_retired, 0, "m", {}}}};
@@ -217,8 +217,8 @@
     CPPUNIT_ASSERT(view.nodes().is_retired("n") && view.nodes().is_retired("m"));
   }
 
-  // Configurations like nothing before them, while an edge is cut off: a frame of them all would end its link
-  // each time that it comes back.
+  // Large configurations without common parts, while an edge is disconnected: one frame with all of them
+  // would exceed the limit and close the link each time.
   void laggingEdgeGetsFramesWithinTheLimit() {
     catalog::Time now{catalog::Duration(50)};
     subscription::ClusterView view, edge;
