--- a/src/transport/tcp_transport.cpp
+++ b/src/transport/tcp_transport.cpp
@@ -241,10 +241,10 @@
   if (address.empty()) return static_cast<void>(--accepted_);
   auto found = targets_.find(address);
   if (found == targets_.end() || found->second.link != id) return;
-  Target& target = found->second;
-  target.link = {};
-  target.redial_delay = std::clamp(target.redial_delay * 2, min_redial_delay, max_redial_delay);
-  target.redial = loop_.at(loop_.now() + target.redial_delay, [this, address] { dial(address); });
+  found->second.link = {};
+  found->second.redial_delay = std::clamp(found->second.redial_delay * 2, min_redial_delay, max_redial_delay);
+  found->second.redial =
+      loop_.at(loop_.now() + found->second.redial_delay, [this, address] { dial(address); });
 }
 
 }  // namespace pearspar::transport
