--- a/src/catalog/json.cpp
+++ b/src/catalog/json.cpp
@@ -88,20 +88,20 @@
   return has(key) ? text(key) : std::move(fallback);
 }
 
-double JsonReader::number(const char* key, double least, double most) {
+double JsonReader::number(const char* key, double min, double max) {
   const cJSON* found = item(key);
   if (!cJSON_IsNumber(found)) {
     fail(key, found ? "is no number" : "is missing");
-    return least;
+    return min;
   }
   double value = found->valuedouble;
-  if (std::isfinite(value) && value >= least && value <= most) return value;
+  if (std::isfinite(value) && value >= min && value <= max) return value;
   fail(key, "is out of range");
-  return least;
+  return min;
 }
 
-double JsonReader::number_or(const char* key, double fallback, double least, double most) {
-  return has(key) ? number(key, least, most) : fallback;
+double JsonReader::number_or(const char* key, double fallback, double min, double max) {
+  return has(key) ? number(key, min, max) : fallback;
 }
 
 bool JsonReader::flag_or(const char* key, bool fallback) {
--- a/src/catalog/json.h
+++ b/src/catalog/json.h
@@ -39,10 +39,10 @@
   bool has(const char* key) const;
   // Required members.
   std::string text(const char* key);
-  double number(const char* key, double least, double most);
+  double number(const char* key, double min, double max);
   // Optional members.
   std::string text_or(const char* key, std::string fallback);
-  double number_or(const char* key, double fallback, double least, double most);
+  double number_or(const char* key, double fallback, double min, double max);
   bool flag_or(const char* key, bool fallback);
   // A reader for each object of an optional array.
   std::vector<JsonReader> objects(const char* key);
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -197,13 +197,13 @@
     packer.number(grant.number);
     put(packer, grant.tokens);
   }
-  void operator()(const pramperet::Ask& ask) const {
+  void operator()(const pramperet::Ask& request) const {
     begin(packer, Tag::quota_request, 1);
-    pack(packer, ask);
+    pack(packer, request);
   }
-  void operator()(const pramperet::Tell& tell) const {
+  void operator()(const pramperet::Tell& reply) const {
     begin(packer, Tag::quota_reply, 1);
-    pack(packer, tell);
+    pack(packer, reply);
   }
   void operator()(const Neighbours& neighbours) const {
     begin(packer, Tag::neighbours, 1);
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -172,18 +172,18 @@
     protocol::Changes changes;
     changes.after = {2, 3};
     changes.changes.resize(3);
-    const std::string whole = protocol::pack(changes);
+    const std::string packed = protocol::pack(changes);
     int accepted = 0;
     for (int i = 0; i < 20000; ++i) {
-      std::string bytes = whole;
-      if (i % 3 == 0) bytes.resize(random() % whole.size());
+      std::string bytes = packed;
+      if (i % 3 == 0) bytes.resize(random() % packed.size());
       for (unsigned flips = random() % 4; flips > 0 && !bytes.empty(); --flips)
         bytes[random() % bytes.size()] = static_cast<char>(random());
       if (protocol::unpack(bytes)) ++accepted;
     }
     CPPUNIT_ASSERT(accepted > 0);
-    CPPUNIT_ASSERT(!protocol::unpack(whole.substr(0, whole.size() - 1)));
-    CPPUNIT_ASSERT(!protocol::unpack(whole + "x"));
+    CPPUNIT_ASSERT(!protocol::unpack(packed.substr(0, packed.size() - 1)));
+    CPPUNIT_ASSERT(!protocol::unpack(packed + "x"));
   }
 
   void updatesApplyInOrderAndNeverGoBack() {
--- a/tests/system/wire_fuzz_test.cpp
+++ b/tests/system/wire_fuzz_test.cpp
@@ -23,7 +23,7 @@
          "\",\"postalRoutes\":[],\"depots\":[]}";
 }
 
-protocol::NodeUpdate news(const std::string& id) {
+protocol::NodeUpdate node_update(const std::string& id) {
   catalog::Node node;
   node.id = id;
   node.service = "d";
@@ -37,11 +37,12 @@
       protocol::Hello{7, protocol::FollowerKind::edge, "e", "z", {2, 3}, 4},
       protocol::Hello{9, protocol::FollowerKind::core, "c", "z", {}, 0},
       protocol::Welcome{3, true, {"a:1", "b:1"}},
-      protocol::StateSnapshot{{2, 3}, true, 4, 5, config(5, 40), {news("n"), news("m")}, {"x", "y"}, 90},
-      protocol::StateSnapshot{{}, false, 4, 5, config(5, 40), {news("n")}, {}, 100},
+      protocol::StateSnapshot{
+          {2, 3}, true, 4, 5, config(5, 40), {node_update("n"), node_update("m")}, {"x", "y"}, 90},
+      protocol::StateSnapshot{{}, false, 4, 5, config(5, 40), {node_update("n")}, {}, 100},
       protocol::Changes{
           {2, 3},
-          {{ChangeKind::node_updated, 0, "", news("k")},
+          {{ChangeKind::node_updated, 0, "", node_update("k")},
            {ChangeKind::node_retired, 0, "n", {}},
            {ChangeKind::node_removed, 0, "m", {}},
            {ChangeKind::configuration, 6, config(6, 9), {}},
