--- a/src/altavia/edge.h
+++ b/src/altavia/edge.h
@@ -1,4 +1,4 @@
-// A process that clients reach: the door with its station, the check of its readiness, the links to the core,
+// A process that clients reach: the door with its gateway, the check of its readiness, the links to the core,
 // and how it ends.
 #pragma once
 
@@ -10,11 +10,11 @@
 #include "coldai/settings.h"
 #include "metrics/metrics.h"
 #include "net/loop.h"
-#include "transport/links.h"
+#include "transport/tcp_transport.h"
 
 namespace pearspar::altavia {
 
-class Edge : private transport::LinksUser, private clients::FrontUser {
+class Edge : private transport::TransportHandler, private clients::FrontUser {
  public:
   // Throws std::system_error where an address cannot be had.
   Edge(net::Loop& loop, const coldai::Settings& settings, std::uint64_t life);
@@ -30,7 +30,7 @@
   std::size_t client_bytes() const { return door_.front().held_bytes() + check_.held_bytes(); }
   std::size_t server_bytes() const { return door_.nodes().held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
-  bool ready() const { return !stopping_ && door_.station().ready(); }
+  bool ready() const { return !stopping_ && door_.gateway().ready(); }
 
  private:
   // The check of our readiness.
@@ -51,7 +51,7 @@
   net::Loop& loop_;
   coldai::Settings settings_;
   clients::Front check_;
-  transport::Links links_;
+  transport::TcpTransport links_;
   Door door_;
   net::Timer second_;
   net::Timer due_;
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -1,5 +1,5 @@
 // A process of the core: the control port, the links to other members and to those that follow, the store,
-// around sennes::Member, which decides.
+// around control_plane::Member, which decides.
 #pragma once
 
 #include <memory>
@@ -7,15 +7,15 @@
 
 #include "clients/front.h"
 #include "coldai/settings.h"
+#include "control_plane/member.h"
 #include "metrics/metrics.h"
 #include "net/loop.h"
-#include "sennes/member.h"
 #include "storage/lmdb_store.h"
-#include "transport/links.h"
+#include "transport/tcp_transport.h"
 
 namespace pearspar::altavia {
 
-class Member : private clients::FrontUser, private transport::LinksUser {
+class Member : private clients::FrontUser, private transport::TransportHandler {
  public:
   // Throws std::system_error where an address cannot be had.
   Member(net::Loop& loop, const coldai::Settings& settings, std::uint64_t seed);
@@ -32,7 +32,7 @@
   std::size_t client_bytes() const { return front_.held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
   bool stopped() const {
-    return stopping_ && loop_.now() >= stop_at_ && (member_.may_end() || loop_.now() >= grace_over_);
+    return stopping_ && loop_.now() >= stop_at_ && (member_.may_shut_down() || loop_.now() >= grace_over_);
   }
 
  private:
@@ -50,9 +50,9 @@
   net::Loop& loop_;
   coldai::Settings settings_;
   clients::Front front_;
-  transport::Links links_;
+  transport::TcpTransport links_;
   storage::LmdbStore store_;
-  sennes::Member member_;
+  control_plane::Member member_;
   net::Time start_again_{};
   net::Timer timer_;
   bool led_ = false;
--- a/src/benchlink/frame.h
+++ b/src/benchlink/frame.h
@@ -1,5 +1,5 @@
-// The bench's frames: records of a batch decoded into interface events, actions encoded into a reply.
-// Everything that knows codes, offsets and the wire's words is in frame.cpp and settings.cpp.
+// The simulator's frame format: decodes the records of a batch into events of the decision module and encodes
+// its actions into a reply. All record codes and offsets are in frame.cpp.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace pearspar::benchlink {
 
-// What cannot be read as the wire page says; the text is one plain line.
-class WireError : public std::runtime_error {
+// A frame that does not follow the format. The message is a single line.
+class FrameError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -26,41 +26,51 @@
 inline constexpr std::size_t batch_header_size = 16;
 inline constexpr std::size_t max_frame_size = std::size_t{1} << 30;
 
-struct InstanceNamed {
+// The records that follow are for this instance.
+struct InstanceSelected {
   std::uint32_t instance = 0;
 };
-struct InstanceOpened {
+// Starts a new instance under the selected number.
+struct InstanceStarted {
   std::uint64_t seed = 0;
   std::string settings;
 };
-struct ListKept {
-  std::uint8_t page = 0;
+// A member list that MemberListChanged records may refer to by its slot.
+struct MemberListStored {
+  std::uint8_t slot = 0;
   MemberList members;
 };
-struct ListNews {
-  ListForm form = ListForm::changes;
+// The selected instance's member list has changed to the one in the slot.
+struct MemberListChanged {
+  MemberListForm form = MemberListForm::delta;
   std::uint32_t version = 0;
-  std::uint8_t page = 0;
+  std::uint8_t slot = 0;
 };
-struct InstanceKilled {};
+// Discards the selected instance with its state.
+struct InstanceStopped {};
 
-using Record = std::variant<InstanceNamed, InstanceOpened, ListKept, ListNews, InstanceKilled, Event>;
+using Record = std::variant<InstanceSelected, InstanceStarted, MemberListStored, MemberListChanged,
+                            InstanceStopped, Event>;
 
+// The records of one frame, all at the same time.
 struct Batch {
   Time now{};
   std::vector<Record> records;
 };
 
-// The whole frame's length as its header states it; throws where no frame can be so long.
-std::size_t stated_frame_size(std::span<const std::uint8_t> header);
+// Returns the frame's length, header included, from its header; throws FrameError if it is out of range.
+std::size_t declared_frame_size(std::span<const std::uint8_t> header);
+// Decodes a whole frame; throws FrameError if it is malformed.
 Batch decode_batch(std::span<const std::uint8_t> frame);
 
+// Encodes a reply record by record.
 class ReplyWriter {
  public:
-  void instance(std::uint32_t number);
-  void action(const Action& action);
-  // The module has thrown: the bench is to show `text` and stop.
-  void crashed(const std::string& text);
+  // The actions that follow are of this instance.
+  void begin_instance(std::uint32_t number);
+  void add_action(const Action& action);
+  // The decision module has thrown: the simulator shows `text` and stops.
+  void add_crash(const std::string& text);
   Bytes finish() const;
 
  private:
--- a/src/benchlink/host.cpp
+++ b/src/benchlink/host.cpp
@@ -7,66 +7,66 @@
 namespace pearspar::benchlink {
 namespace {
 
-Settings settings_of(const std::string& text) {
+Settings parse_settings(const std::string& text) {
   try {
     return settings::read_settings(settings::values_of_lines(text));
   } catch (const settings::SettingsError& error) {
-    throw WireError(error.what());
+    throw FrameError(error.what());
   }
 }
 
 }  // namespace
 
-Host::Instance& Host::open_instance(std::uint32_t number) {
+Host::Instance& Host::find_instance(std::uint32_t number) {
   auto found = instances_.find(number);
   if (found == instances_.end())
-    throw WireError("an event for instance " + std::to_string(number) + ", which is not open");
+    throw FrameError("event for instance " + std::to_string(number) + ", which is not open");
   return found->second;
 }
 
-void Host::take(std::uint32_t number, Record& record) {
-  if (auto* opened = std::get_if<InstanceOpened>(&record)) {
+void Host::apply_record(std::uint32_t number, Record& record) {
+  if (auto* started = std::get_if<InstanceStarted>(&record)) {
     if (instances_.count(number) != 0)
-      throw WireError("instance " + std::to_string(number) + " is opened while it is open");
-    Settings settings = settings_of(opened->settings);
+      throw FrameError("instance " + std::to_string(number) + " is already open");
+    Settings settings = parse_settings(started->settings);
     Instance& instance = instances_[number];
-    instance.classes = static_cast<int>(settings.classes.size());
-    instance.policy = make_policy(settings, opened->seed);
-  } else if (std::get_if<InstanceKilled>(&record)) {
-    open_instance(number);
+    instance.class_count = static_cast<int>(settings.classes.size());
+    instance.policy = make_policy(settings, started->seed);
+  } else if (std::get_if<InstanceStopped>(&record)) {
+    find_instance(number);
     instances_.erase(number);
-  } else if (auto* news = std::get_if<ListNews>(&record)) {
-    MembersChanged changed{news->form, news->version, nullptr};
-    if (news->form != ListForm::failed) {
-      if (news->page >= lists_.size() || !lists_[news->page])
-        throw WireError("a list is named by number " + std::to_string(news->page) + ", which holds none");
-      changed.members = lists_[news->page];
+  } else if (auto* change = std::get_if<MemberListChanged>(&record)) {
+    MembersChanged changed{change->form, change->version, nullptr};
+    if (change->form != MemberListForm::failed) {
+      if (change->slot >= member_lists_.size() || !member_lists_[change->slot])
+        throw FrameError("member list number " + std::to_string(change->slot) + " is not stored");
+      changed.members = member_lists_[change->slot];
     }
-    open_instance(number).events.emplace_back(std::move(changed));
+    find_instance(number).events.emplace_back(std::move(changed));
   } else {
-    take_event(number, std::get<Event>(record));
+    add_event(number, std::get<Event>(record));
   }
 }
 
-void Host::take_event(std::uint32_t number, Event& event) {
-  Instance& instance = open_instance(number);
-  if (auto* query = std::get_if<QueryArrived>(&event); query && query->cls >= instance.classes)
-    throw WireError("a query of class " + std::to_string(query->cls) + ", which the settings do not hold");
+void Host::add_event(std::uint32_t number, Event& event) {
+  Instance& instance = find_instance(number);
+  if (auto* query = std::get_if<QueryArrived>(&event); query && query->cls >= instance.class_count)
+    throw FrameError("query class " + std::to_string(query->cls) + " is not in the settings");
   instance.events.push_back(std::move(event));
 }
 
-Bytes Host::answer(std::span<const std::uint8_t> frame) {
+Bytes Host::handle_frame(std::span<const std::uint8_t> frame) {
   Batch batch = decode_batch(frame);
   std::optional<std::uint32_t> current;
   for (Record& record : batch.records) {
-    if (auto* named = std::get_if<InstanceNamed>(&record)) {
-      current = named->instance;
-    } else if (auto* kept = std::get_if<ListKept>(&record)) {
-      lists_[kept->page] = kept->members;
+    if (auto* selected = std::get_if<InstanceSelected>(&record)) {
+      current = selected->instance;
+    } else if (auto* stored = std::get_if<MemberListStored>(&record)) {
+      member_lists_[stored->slot] = stored->members;
     } else if (!current) {
-      throw WireError("a record for an instance before any instance is named");
+      throw FrameError("record for an instance before any instance is selected");
     } else {
-      take(*current, record);
+      apply_record(*current, record);
     }
   }
   ReplyWriter reply;
@@ -77,14 +77,14 @@
     try {
       instance.policy->handle(batch.now, instance.events, actions);
     } catch (const std::exception& error) {
-      reply.instance(number);
-      reply.crashed(error.what());
+      reply.begin_instance(number);
+      reply.add_crash(error.what());
       return reply.finish();
     }
     instance.events.clear();
     if (actions.empty()) continue;
-    reply.instance(number);
-    for (const Action& action : actions) reply.action(action);
+    reply.begin_instance(number);
+    for (const Action& action : actions) reply.add_action(action);
   }
   return reply.finish();
 }
--- a/src/biella/cluster_ballast.cpp
+++ b/src/biella/cluster_ballast.cpp
@@ -1,6 +1,6 @@
 // Large states in the rig: what members find on their disks, what it costs to move, and who holds it all.
 #include "biella/cluster_parts.h"
-#include "fanes/allowance.h"
+#include "protocol/quota_codec.h"
 
 namespace pearspar::biella {
 namespace {
@@ -11,10 +11,10 @@
 // A state as its own entries make it: one configuration, then reports of an edge on retrievals of so many
 // keys.
 std::string folded(const std::string& text, std::size_t bytes) {
-  sennes::State state;
+  control_plane::ReplicatedState state;
   raft::Entry entry;
   entry.kind = raft::EntryKind::change;
-  entry.data = sennes::State::change(0, 1, sennes::digest_of(text), text);
+  entry.data = control_plane::ReplicatedState::encode_change(0, 1, control_plane::digest_of(text), text);
   state.apply(entry);
   pramperet::Ask ask;
   ask.life = 1;
@@ -25,9 +25,10 @@
   settled.window = 1;
   for (std::size_t key = 1; key <= bytes / claim_bytes; ++key) settled.keys.push_back(key << 20);
   ask.settled.push_back(std::move(settled));
-  entry.data = sennes::State::allowance(fanes::pack_steps({fanes::Turn{1}, ask}));
+  entry.data = control_plane::ReplicatedState::encode_quota_commands(
+      protocol::pack_quota_commands({protocol::AdvanceWindow{1}, ask}));
   state.apply(entry);
-  return state.fold();
+  return state.take_snapshot();
 }
 
 }  // namespace
@@ -41,7 +42,7 @@
   net_.set_bandwidth(core.address, options_.bandwidth);
 }
 
-// Every member holds the same snapshot, in which edition 1 stands.
+// Every member holds the same snapshot, in which revision 1 stands.
 void Cluster::lay_ballast() {
   options_.allowances =
       R"({"windowMs":600000,"holderHeader":"Holder","keyHeader":"Retrieval-Key","accounts":[]})";
@@ -51,12 +52,12 @@
   checker_.change_sent(0, 1, text);
   checker_.change_answered(seconds(), 0, 1, text, 200);
   for (auto& who : operators_) who->seen = 1;
-  raft::Stored past;
+  raft::PersistentState past;
   past.vote.term = 1;
   past.commit = past.snapshot.index = 2;
   past.snapshot.term = 1;
   past.snapshot.state = folded(text, options_.ballast);
-  past.snapshot.membership.wanted = static_cast<std::uint32_t>(options_.cores);
+  past.snapshot.membership.target_size = static_cast<std::uint32_t>(options_.cores);
   for (std::size_t i = 0; i < cores_.size(); ++i)
     past.snapshot.membership.voters.push_back({2 * i + 1, cores_[i]->address});
   for (std::size_t i = 0; i < cores_.size(); ++i) {
@@ -78,7 +79,7 @@
 }
 
 bool Cluster::caught_up(std::size_t core, raft::Index commit) const {
-  const sennes::Member* here = member(core);
+  const control_plane::Member* here = member(core);
   if (!here) return false;
   const raft::Log& log = here->core().log();
   return log.membership().has(here->core().self()) && log.last() >= commit;
--- a/src/biella/cluster_core.cpp
+++ b/src/biella/cluster_core.cpp
@@ -11,9 +11,9 @@
 
 // Whether the others can do without it, where members know that of themselves.
 template <typename Member>
-bool may_end(const Member& member) {
-  if constexpr (requires { member.may_end(); })
-    return member.may_end();
+bool may_shut_down(const Member& member) {
+  if constexpr (requires { member.may_shut_down(); })
+    return member.may_shut_down();
   else
     return true;
 }
@@ -32,16 +32,16 @@
   agreement.founders = agreement.seeds = seeds();
   agreement.fresh_id = number;
   agreement.seed = number;
-  sennes::OfficeOptions office;
-  office.inner_address = core.address;
-  office.control_address = core.address;
-  office.life = number;
-  office.name = core.address;
-  office.beat = Duration(options_.beat_s);
-  office.pool = {options_.shared_budget ? options_.retry_slack : 0, std::chrono::seconds(10)};
+  control_plane::ControllerOptions controller;
+  controller.inner_address = core.address;
+  controller.control_address = core.address;
+  controller.incarnation = number;
+  controller.name = core.address;
+  controller.heartbeat_interval = Duration(options_.beat_s);
+  controller.pool = {options_.shared_budget ? options_.retry_slack : 0, std::chrono::seconds(10)};
   core.first_start = false;
-  process.member =
-      std::make_unique<sennes::Member>(process.port, core.disk, std::move(agreement), std::move(office));
+  process.member = std::make_unique<control_plane::Member>(process.port, core.disk, std::move(agreement),
+                                                           std::move(controller));
   if (options_.clock_drift > 0)
     process.rate = 1 + world_.uniform(-options_.clock_drift / 2, options_.clock_drift / 2);
   process.step = core.clock_step;
@@ -68,26 +68,26 @@
       }
       return now;
     };
-    for (sennes::Reply& reply : process.member->advance(clock)) {
-      auto asker = process.askers.find(reply.asker);
-      if (asker == process.askers.end()) {
+    for (control_plane::Reply& reply : process.member->advance(clock)) {
+      auto caller = process.askers.find(reply.caller);
+      if (caller == process.askers.end()) {
         checker_.broken("ANSWER", core.address + " answers somebody who asks nothing");
         continue;
       }
-      checker_.call_answered(asker->second.call, reply.status, reply.body);
-      world_.at(ready(), [this, &core, from = asker->second.from, answer = asker->second.answer, reply,
+      checker_.call_answered(caller->second.call, reply.status, reply.body);
+      world_.at(ready(), [this, &core, from = caller->second.from, answer = caller->second.answer, reply,
                           alive = process.life.alive] {
         if (!*alive) return;  // it died before it could say so
         if (!core.callers_hear || (lost_answers_ > 0 && world_.chance(lost_answers_))) return;
         if (!net_.reaches(core.address, from)) return;
         world_.in(net_.delay(core.address, from), [answer, reply] { answer(reply.status, reply.body); });
       });
-      process.askers.erase(asker);
+      process.askers.erase(caller);
     }
-    if (process.member->started() && process.member->core().may_speak(process.own(ready())))
+    if (process.member->started() && process.member->core().holds_lease(process.own(ready())))
       for (const auto& other : cores_)
         if (other.get() != &core && other->process && ready() == world_.now() &&
-            other->process->member->core().may_speak(other->process->now()))
+            other->process->member->core().holds_lease(other->process->now()))
           checker_.broken("LEASE", core.address + " and " + other->address + " lead at once");
     Time due = world_.now() + Duration(0.3);
     if (process.member->started()) due = process.worlds(process.member->due());
@@ -103,7 +103,7 @@
 
 int Cluster::leader() const {
   for (std::size_t i = 0; i < cores_.size(); ++i)
-    if (const auto* m = member(i); m && m->core().may_speak(cores_[i]->process->now()))
+    if (const auto* m = member(i); m && m->core().holds_lease(cores_[i]->process->now()))
       return static_cast<int>(i);
   return -1;
 }
@@ -140,7 +140,7 @@
   disturbed(seconds());
   core.process->stopping = true;
   Core::Process& process = *core.process;
-  process.life.run([&process] { process.member->hand_over(process.now()); });
+  process.life.run([&process] { process.member->transfer_leadership(process.now()); });
   finish_stop(core, seconds(), back_s, process.life.alive);
 }
 
@@ -150,7 +150,8 @@
     if (!*alive) return;  // killed meanwhile, and back by that
     double held = seconds() - asked;
     bool awake = core.process->life.frozen_until <= world_.now();
-    bool ends = awake && held >= stop_within && (may_end(*core.process->member) || held >= stop_at_last);
+    bool ends =
+        awake && held >= stop_within && (may_shut_down(*core.process->member) || held >= stop_at_last);
     if (!ends && held < killed_at) return finish_stop(core, asked, back_s, alive);
     end_core(core, false);
     if (back_s < 0) {
@@ -236,7 +237,7 @@
       core->process->life.run(
           [this, process = core->process.get()] { process->member->set_seeds(told_seeds_); });
   for (auto& edge : edges_)
-    if (edge->process) edge->process->station.follower().set_seeds(told_seeds_);
+    if (edge->process) edge->process->gateway.follower().set_seeds(told_seeds_);
 }
 
 void Cluster::wipe_core(std::size_t index, double back_s) {
--- a/src/biella/schedule.cpp
+++ b/src/biella/schedule.cpp
@@ -51,7 +51,7 @@
   in(0.02, [this] { tell_core(); });
   std::string now;
   for (std::size_t i = 0; i < cluster_.cores(); ++i) {
-    const sennes::Member* member = cluster_.member(i);
+    const control_plane::Member* member = cluster_.member(i);
     if (!member) continue;
     const raft::Core& core = member->core();
     now += "  " + cluster_.core_address(i).substr(7, 2) + ":";
@@ -206,7 +206,7 @@
   };
   Cluster::Order order;
   order.on_top_of = std::max(cluster.newest_seen(0), cluster.newest_seen(1));
-  order.edition = order.on_top_of + 1;
+  order.revision = order.on_top_of + 1;
   order.first = static_cast<int>(place);
   order.only_there = true;
   order.every_s = 0.02;
--- /dev/null
+++ b/src/control_plane/controller.cpp
@@ -0,0 +1,185 @@
+#include "control_plane/controller.h"
+
+#include <algorithm>
+
+namespace pearspar::control_plane {
+namespace {
+
+using namespace std::chrono_literals;
+
+// Heartbeat intervals after an election until the list of nodes counts as complete.
+constexpr double list_gathering_heartbeats = 2.5;
+
+}  // namespace
+
+Controller::Controller(ControllerOptions options, raft::Core& core, ReplicatedState& state)
+    : options_(std::move(options)),
+      core_(core),
+      state_(state),
+      followers_(view_),
+      forwarded_(options_.incarnation) {
+  pool_.set(options_.pool);
+}
+
+protocol::Hello Controller::hello() const {
+  return {options_.incarnation, protocol::FollowerKind::core, options_.name, options_.zone, view_.at(),
+          view_.revision()};
+}
+
+// Followers must still find the core when all members that they started with have been replaced.
+void Controller::publish_members() {
+  std::vector<std::string> cores = core_.addresses();
+  if (cores == published_members_) return;
+  published_members_ = cores;
+  std::string bytes = protocol::pack(protocol::Welcome{core_.term(), true, std::move(cores)});
+  for (const auto& [link, follower] : followers_.all()) link_frames_.push_back({link, bytes});
+}
+
+void Controller::activate(Time now) {
+  published_members_.clear();
+  view_.adopt(state_.configuration());
+  last_heartbeats_.clear();
+  for (const auto& [id, node] : view_.nodes().all()) last_heartbeats_[id] = now;
+  list_complete_at_ = now + options_.heartbeat_interval * list_gathering_heartbeats;
+  next_expiry_ = now;
+  followers_.open(now, core_.term(), false);
+  pool_.open(now);
+  bursar_.open(now, state_.accounts());
+  // The empty first change moves this member's own position to the new term.
+  followers_.add(now, {});
+}
+
+void Controller::deactivate(Time now) {
+  followers_.close();
+  bursar_.close();
+  finish_proposal(now);
+  finish_pending_updates(now);
+}
+
+void Controller::advance(Time now) {
+  reject_expired(now);
+  node_list_changes_ += view_.take_changed_nodes().size();
+  bool leads = core_.role() == raft::Core::Role::leader;
+  // This program cannot parse the applied configuration: another member has to lead.
+  if (leads && !state_.may_serve()) {
+    core_.transfer_leadership(now);
+    leads = false;
+  }
+  if (is_active() && (!leads || core_.term() != view_.at().term)) deactivate(now);
+  if (!is_active() && may_serve(now)) activate(now);
+  finish_proposal(now);
+  if (is_active() && may_serve(now)) {
+    publish_configuration(now);
+    publish_members();
+    expire_silent_nodes(now);
+  }
+  advance_quotas(now);
+  finish_pending_updates(now);
+  for (std::size_t left = waiting_.size(); left > 0; --left) {
+    Request request = std::move(waiting_.front());
+    waiting_.pop_front();
+    if (!try_handle(now, request)) waiting_.push_back(std::move(request));
+  }
+  redirect_forwarded(now);
+}
+
+Time Controller::due() const {
+  Time due = forwarded_.due();
+  if (is_active()) due = std::min({due, followers_.due(), next_expiry_, bursar_.due(state_.quota_rules())});
+  for (const Request& request : waiting_) due = std::min(due, request.deadline);
+  if (proposal_)
+    for (const Request& request : proposal_->callers) due = std::min(due, request.deadline);
+  for (const PendingUpdate& each : pending_updates_) due = std::min({due, each.until, each.request.deadline});
+  return due;
+}
+
+std::vector<LinkFrame> Controller::take_frames(Time now) {
+  std::vector<LinkFrame> frames = std::exchange(link_frames_, {});
+  if (core_.holds_lease(now))
+    for (LinkFrame& frame : followers_.take_frames(now)) frames.push_back(std::move(frame));
+  return frames;
+}
+
+// Quota requests of edges are appended to the log, and answered once they are applied.
+void Controller::advance_quotas(Time now) {
+  bursar_.watch(now, state_.accounts());
+  if (!is_active()) return;
+  const catalog::QuotaRules* rules = state_.quota_rules();
+  if (core_.holds_lease(now))
+    if (auto entry = bursar_.entry(now, state_.accounts(), rules))
+      bursar_.proposed(core_.propose(now, ReplicatedState::encode_quota_commands(*entry)));
+  for (auto& [link, answer] : bursar_.tells(now, core_.applied(), state_.accounts(), rules))
+    link_frames_.push_back({link, protocol::pack(std::move(answer))});
+}
+
+// Retry tokens are granted only by a leader, and only for configured services.
+void Controller::grant_tokens(Time now, LinkId link, const protocol::TokenRequest& want) {
+  if (!is_active() || !core_.holds_lease(now) || !view_.configuration()) return;
+  protocol::TokenGrant grant;
+  grant.number = want.number;
+  for (const protocol::Tokens& each : want.tokens) {
+    const auto& services = view_.configuration()->services;
+    if (std::none_of(services.begin(), services.end(),
+                     [&](const auto& service) { return service.name == each.service; }))
+      continue;
+    if (std::uint32_t count = pool_.grant(now, each.service, each.count))
+      grant.tokens.push_back({each.service, count});
+  }
+  link_frames_.push_back({link, protocol::pack(std::move(grant))});
+}
+
+// Answers an update of the leader, which this member follows over the link.
+void Controller::acknowledge_update(LinkId link, subscription::ClusterView::ApplyResult result) {
+  if (result == subscription::ClusterView::ApplyResult::gap)
+    link_frames_.push_back({link, protocol::pack(hello())});
+  else if (result == subscription::ClusterView::ApplyResult::applied)
+    link_frames_.push_back(
+        {link, protocol::pack(protocol::Ack{options_.incarnation, view_.at(), view_.revision()})});
+}
+
+void Controller::message(Time now, LinkId link, const protocol::Message& message) {
+  if (const auto* raft_message = std::get_if<raft::Message>(&message)) {
+    core_.step(now, *raft_message);
+  } else if (const auto* hello = std::get_if<protocol::Hello>(&message)) {
+    followers_.on_hello(now, link, *hello);
+    link_frames_.push_back(
+        {link, protocol::pack(protocol::Welcome{core_.term(), is_active(), core_.addresses()})});
+    // An edge without any state gets the one applied here, in case there is no leader.
+    if (!is_active() && hello->kind == protocol::FollowerKind::edge &&
+        hello->position == protocol::Position{} && hello->revision == 0 && state_.configuration())
+      link_frames_.push_back({link, followers_.encode_provisional_state(now, state_.configuration())});
+  } else if (const auto* ack = std::get_if<protocol::Ack>(&message)) {
+    followers_.on_ack(now, link, *ack);
+  } else if (std::get_if<protocol::Goodbye>(&message)) {
+    followers_.on_closed(link);
+  } else if (const auto* want = std::get_if<protocol::TokenRequest>(&message)) {
+    grant_tokens(now, link, *want);
+  } else if (const auto* ask = std::get_if<pramperet::Ask>(&message)) {
+    bursar_.ask(now, link, *ask);
+  } else if (const auto* call = std::get_if<protocol::ControlCall>(&message)) {
+    Request request;
+    request.forwarded_by = call->from;
+    request.number = call->number;
+    request.method = call->method;
+    request.path = call->path;
+    request.if_match = call->if_match;
+    request.body = call->body;
+    if (call->timeout_ms > 0)
+      request.deadline = now + std::min(call_timeout, Duration(call->timeout_ms / 1000.0));
+    else
+      request.deadline = now + call_timeout;
+    accept(now, std::move(request));
+  } else if (const auto* answer = std::get_if<protocol::ControlReply>(&message)) {
+    on_answer(now, *answer);
+  } else if (is_active()) {
+    return;  // an update of a deposed leader
+  } else if (const auto* standing = std::get_if<protocol::StateSnapshot>(&message)) {
+    acknowledge_update(link, view_.apply(now, *standing));
+  } else if (const auto* changes = std::get_if<protocol::Changes>(&message)) {
+    acknowledge_update(link, view_.apply(now, *changes));
+  } else if (const auto* ping = std::get_if<protocol::Ping>(&message)) {
+    acknowledge_update(link, view_.apply(*ping));
+  }
+}
+
+}  // namespace pearspar::control_plane
--- /dev/null
+++ b/src/control_plane/controller.h
@@ -0,0 +1,168 @@
+// Serves the calls of nodes and operators at a member: handles them where this member leads, and forwards
+// them to the leader otherwise. As leader it also maintains the list of nodes. Free of I/O.
+//
+// Invariants: only a leader whose lease held after the call arrived gives a definite answer. A change is
+// answered 200 only when it is applied, which implies that a majority has it on disk, and 412 only if it can
+// never be applied. Every call is answered exactly once, within call_timeout of its arrival at the first
+// member; expired calls are rejected before anything else is done.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "control_plane/followers.h"
+#include "control_plane/pending_calls.h"
+#include "control_plane/replicated_state.h"
+#include "pramperet/bursar.h"
+#include "retrytokens/token_pool.h"
+
+namespace pearspar::control_plane {
+
+inline constexpr std::string_view nodes_path = "/pearspar/nodes/";
+
+// From a call's arrival at the first member on, forwarding included; callers give up after a second.
+inline constexpr Duration call_timeout = std::chrono::milliseconds(850);
+// Retry-After of 503 responses.
+inline constexpr double unavailable_retry_after_s = 0.2;
+
+struct ControllerOptions {
+  std::string inner_address;    // where other members reach this one
+  std::string control_address;  // told to nodes as the target of their heartbeats
+  protocol::Incarnation incarnation = 0;
+  std::string name;
+  std::string zone;
+  Duration heartbeat_interval = std::chrono::milliseconds(1200);
+  retrytokens::TokenPoolRules pool;  // the retry budget shared by all edges
+  ReplicatedState::ConfigurationParser parse_configuration = catalog::parse_configuration;
+};
+
+// The answer to a call received by HTTP.
+struct Reply {
+  CallerId caller = 0;
+  int status = 200;
+  std::string body;
+  bool requires_lease = false;  // may be sent only while the lease holds
+};
+
+// A message to another member.
+struct MemberMessage {
+  std::string address;
+  protocol::Message message;
+  bool requires_lease = false;
+};
+
+class Controller {
+ public:
+  Controller(ControllerOptions options, raft::Core& core, ReplicatedState& state);
+
+  // A call received by HTTP. It is answered exactly once, by take_replies().
+  void call(Time now, CallerId caller, std::string_view method, std::string_view path,
+            std::string_view if_match, std::string_view body);
+  // A message received from an edge or another member.
+  void message(Time now, LinkId link, const protocol::Message& message);
+  void link_closed(LinkId link) { followers_.on_closed(link); }
+  // A new link to a member: calls in flight on the previous link are lost, so they are sent again.
+  void link_opened(Time now, const std::string& address);
+  // Makes all progress that is possible; to be called after every event and at due().
+  void advance(Time now);
+  Time due() const;
+
+  std::vector<Reply> take_replies();
+  std::vector<MemberMessage> take_messages() { return std::exchange(messages_, {}); }
+  std::vector<LinkFrame> take_frames(Time now);
+  // The first message on a link to another member.
+  protocol::Hello hello() const;
+
+  // The list of nodes as known here, to be stored and restored after a restart.
+  std::string encode_nodes(Time now) const;
+  void restore_nodes(Time now, const std::string& encoded);
+  // Number of changes of the list so far.
+  std::uint64_t node_list_changes() const { return node_list_changes_; }
+
+  const subscription::ClusterView& view() const { return view_; }
+  const Followers& followers() const { return followers_; }
+  const retrytokens::TokenPool& pool() const { return pool_; }
+  const pramperet::Bursar& bursar() const { return bursar_; }
+  // Whether this member serves as the leader of the current term.
+  bool is_active() const { return followers_.is_open(); }
+  const CallLimiter& call_limiter() const { return call_limiter_; }
+
+ private:
+  static constexpr std::size_t max_calls = 1024;
+  static constexpr std::size_t max_call_bytes = 32 << 20;
+  static constexpr std::size_t max_reply_bytes = 32 << 20;  // per turn
+  // Per turn, of replies by way of other members; must fit into one frame.
+  static constexpr std::size_t max_forwarded_reply_bytes = 3 << 20;
+
+  // The change that is being replicated. Callers that send the same change wait with the first one; the
+  // change goes on when their deadlines have passed.
+  struct Proposal {
+    std::vector<Request> callers;
+    raft::Term term = 0;
+    raft::Index index = 0;
+    catalog::Revision revision = 0;
+    Digest digest;
+  };
+  // A leaving node's call, answered when all followers have acknowledged the change or at `until`.
+  struct PendingUpdate {
+    Request request;
+    protocol::Position at;
+    Time until{};
+  };
+
+  // Leads with a valid lease, and can parse the configuration in force.
+  bool may_serve(Time now) const { return state_.may_serve() && core_.holds_lease(now); }
+  void accept(Time now, Request request);
+  bool try_handle(Time now, Request& request);  // false: it must wait
+  bool handle_change(Time now, Request& request);
+  bool parse_change(Request& request);  // false: it was answered
+  void propose(Time now, Request& request);
+  void handle_heartbeat(Time now, Request& request);
+  void handle_leave(Time now, Request& request);
+  void reply(const Request& request, int status, std::string body, bool requires_lease = true);
+  void reply_error(const Request& request, int status, std::string_view what);
+  void forward(Time now, Request& request);
+  void redirect_forwarded(Time now);
+  void on_answer(Time now, const protocol::ControlReply& answer);
+  void reject_expired(Time now);
+  void activate(Time now);
+  void deactivate(Time now);
+  void finish_proposal(Time now);
+  void finish_pending_updates(Time now);
+  void expire_silent_nodes(Time now);
+  void publish_configuration(Time now);
+  void publish_members();
+  void advance_quotas(Time now);
+  void grant_tokens(Time now, LinkId link, const protocol::TokenRequest& want);
+  void acknowledge_update(LinkId link, subscription::ClusterView::ApplyResult result);
+
+  ControllerOptions options_;
+  raft::Core& core_;
+  ReplicatedState& state_;
+  subscription::ClusterView view_;
+  Followers followers_;
+  retrytokens::TokenPool pool_;
+  pramperet::Bursar bursar_;
+  CallLimiter call_limiter_{max_calls, max_call_bytes};  // of all pending calls
+  std::deque<Request> waiting_;  // for a leader, for the current proposal to end, or for their base
+  std::optional<Proposal> proposal_;
+  std::deque<PendingUpdate> pending_updates_;
+  ForwardedCalls forwarded_;
+  std::size_t reply_bytes_ = 0;
+  std::size_t forwarded_reply_bytes_ = 0;
+  std::map<std::string, Time> last_heartbeats_;  // by node id; while leading
+  Time list_complete_at_{};
+  Time next_expiry_{};
+  std::vector<Reply> replies_;
+  std::vector<MemberMessage> messages_;
+  std::vector<LinkFrame> link_frames_;
+  std::vector<std::string> published_members_;
+  std::uint64_t node_list_changes_ = 0;
+};
+
+}  // namespace pearspar::control_plane
--- /dev/null
+++ b/src/control_plane/replicated_state.cpp
@@ -0,0 +1,200 @@
+#include "control_plane/replicated_state.h"
+
+#include "protocol/pack.h"
+#include "protocol/quota_codec.h"
+
+namespace pearspar::control_plane {
+namespace {
+
+// Stands in the place of the base, where no configuration has it: older programs ignore such an entry.
+constexpr std::uint64_t quota_entry_mark = ~std::uint64_t{0};
+constexpr std::size_t max_unapplied_entries = 1 << 16;
+
+}  // namespace
+
+// Older programs read only the first two fields, and validate the text themselves.
+std::string ReplicatedState::encode_change(catalog::Revision base, catalog::Revision revision,
+                                           const Digest& digest, std::string_view text) {
+  protocol::Packer packer;
+  packer.array(5);
+  packer.number(base);
+  packer.text(text);
+  packer.number(revision);
+  packer.number(digest.first);
+  packer.number(digest.second);
+  return std::string(packer.view());
+}
+
+std::string ReplicatedState::encode_quota_commands(std::string_view commands) {
+  protocol::Packer packer;
+  packer.array(2);
+  packer.number(quota_entry_mark);
+  packer.text(commands);
+  return std::string(packer.view());
+}
+
+void ReplicatedState::apply_quota_commands(const std::string& bytes) {
+  auto commands = protocol::unpack_quota_commands(bytes);
+  if (!commands) return;
+  for (const protocol::QuotaCommand& command : *commands) {
+    if (const auto* ask = std::get_if<pramperet::Ask>(&command))
+      accounts_.apply(*ask);
+    else if (const auto* turn = std::get_if<protocol::AdvanceWindow>(&command))
+      accounts_.turn(turn->window);
+    else
+      accounts_.gone(std::get<protocol::ExpireEdge>(command).life);
+  }
+}
+
+void ReplicatedState::defer(UnappliedEntry entry) {
+  if (incomplete_) return;
+  unapplied_bytes_ += entry.text.size();
+  unapplied_.push_back(std::move(entry));
+  if (unapplied_bytes_ <= max_unapplied_bytes && unapplied_.size() <= max_unapplied_entries) return;
+  incomplete_ = true;
+  unapplied_.clear();
+  unapplied_bytes_ = 0;
+}
+
+// Stops at a configuration that cannot be parsed. One that another configuration follows directly has no
+// effect on the accounts and is skipped.
+void ReplicatedState::apply_deferred() {
+  while (!unapplied_.empty()) {
+    const UnappliedEntry& front = unapplied_.front();
+    catalog::Fault fault;
+    if (front.quota_commands) {
+      apply_quota_commands(front.text);
+    } else if (unapplied_.size() == 1 || unapplied_[1].quota_commands) {
+      auto read = parse_configuration_(front.text, fault);
+      if (!read) return;
+      accounts_.configure(read->quota_rules);
+    }
+    unapplied_bytes_ -= front.text.size();
+    unapplied_.pop_front();
+  }
+}
+
+void ReplicatedState::apply_configuration(const ChangeHistory::Entry& entry, std::string text) {
+  catalog::Fault fault;
+  history_.add(entry);
+  configuration_ = parse_configuration_(text, fault);
+  fault_ = fault.text();
+  text_ = std::move(text);
+  if (configuration_ && may_serve()) return accounts_.configure(configuration_->quota_rules);
+  defer({false, text_});
+  if (configuration_ || unapplied_.size() > 1) apply_deferred();
+}
+
+// An entry whose base is not the current configuration changes nothing, on any member.
+void ReplicatedState::apply(const raft::Entry& change) {
+  protocol::Unpacker in(change.data);
+  catalog::Revision base = in.number();
+  std::string text = in.text();
+  if (!in.good()) return;
+  if (base == quota_entry_mark) {
+    if (may_serve()) return apply_quota_commands(text);
+    return defer({true, std::move(text)});
+  }
+  if (base != revision()) return;
+  ChangeHistory::Entry entry;
+  if (in.more()) {
+    entry.revision = in.number();
+    entry.digest.first = in.number();
+    entry.digest.second = in.number();
+    if (!in.good()) return;
+  } else {
+    // Written by an older program, where every member validates the text.
+    catalog::Fault fault;
+    auto read = parse_configuration_(text, fault);
+    if (!read) return;
+    entry = {read->revision, digest_of(text)};
+  }
+  if (entry.revision <= revision() || text.empty()) return;
+  apply_configuration(entry, std::move(text));
+}
+
+// The first three fields are what older programs read and write; the fourth is added only where it is needed.
+std::string ReplicatedState::take_snapshot() const {
+  std::size_t legacy = std::min(history_.size(), max_legacy_entries);
+  bool more = history_.size() > legacy || history_.truncated() || !unapplied_.empty() || incomplete_;
+  protocol::Packer packer;
+  packer.array(more ? 4 : accounts_.window() > 0 ? 3 : 2);
+  packer.text(text_);
+  packer.array(legacy);
+  for (std::size_t i = history_.size() - legacy; i < history_.size(); ++i) {
+    packer.array(3);
+    packer.number(history_[i].revision);
+    packer.number(history_[i].digest.first);
+    packer.number(history_[i].digest.second);
+  }
+  if (more || accounts_.window() > 0) accounts_.fold(packer);
+  if (!more) return std::string(packer.view());
+  packer.array(4);
+  packer.text(history_.pack_oldest(legacy));
+  packer.flag(history_.truncated());
+  packer.flag(incomplete_);
+  packer.array(unapplied_.size());
+  for (const UnappliedEntry& entry : unapplied_) {
+    packer.array(2);
+    packer.flag(entry.quota_commands);
+    packer.text(entry.text);
+  }
+  return std::string(packer.view());
+}
+
+void ReplicatedState::restore(const std::string& state) {
+  protocol::Unpacker in(state);
+  *this = ReplicatedState(parse_configuration_);
+  std::string text = in.text();
+  std::size_t count = in.enter(max_legacy_entries);
+  std::vector<ChangeHistory::Entry> newest;
+  for (std::size_t i = 0; i < count && in.good(); ++i) {
+    in.enter(16);
+    ChangeHistory::Entry entry;
+    entry.revision = in.number();
+    entry.digest.first = in.number();
+    entry.digest.second = in.number();
+    in.leave();
+    newest.push_back(entry);
+  }
+  in.leave();
+  bool valid = true;
+  if (in.more()) valid = accounts_.restore(in);
+  bool more = in.more();
+  if (more) valid = restore_extension(in) && valid;
+  for (const ChangeHistory::Entry& entry : newest) history_.add(entry);
+  // An older program drops earlier entries without recording it.
+  if (!more && count == max_legacy_entries) history_.set_truncated();
+  catalog::Fault fault;
+  if (!text.empty()) configuration_ = parse_configuration_(text, fault);
+  fault_ = fault.text();
+  text_ = std::move(text);
+  // A malformed snapshot must not pass for an empty state: it is not served, and no change builds on it.
+  if (!state.empty() && (!valid || !in.good())) {
+    incomplete_ = true;
+    accounts_ = {};
+    fault_ = "the stored snapshot is malformed";
+  }
+  if (incomplete_) return;
+  if (unapplied_.empty() && !text_.empty()) defer({false, text_});
+  apply_deferred();
+}
+
+bool ReplicatedState::restore_extension(protocol::Unpacker& in) {
+  in.enter(16);
+  if (!history_.unpack(in.text())) return false;
+  if (in.flag()) history_.set_truncated();
+  incomplete_ = in.flag();
+  std::size_t count = in.enter(max_unapplied_entries);
+  for (std::size_t i = 0; i < count && in.good(); ++i) {
+    in.enter(8);
+    bool quota_commands = in.flag();
+    defer({quota_commands, in.text()});
+    in.leave();
+  }
+  in.leave();
+  in.leave();
+  return in.good();
+}
+
+}  // namespace pearspar::control_plane
--- a/src/sennes/report.cpp
+++ b/src/control_plane/report.cpp
@@ -1,20 +1,20 @@
-#include "sennes/report.h"
+#include "control_plane/report.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace pearspar::sennes {
+namespace pearspar::control_plane {
 namespace {
 
-using averau::quoted;
+using catalog::quoted;
 
-constexpr std::size_t kept_history = 512;  // in a snapshot that is kept
+constexpr std::size_t backup_history_entries = 512;
 
 std::string hex(const Digest& digest) { return fmt::format("{:016x}{:016x}", digest.first, digest.second); }
 
-// Joined by commas, in brackets.
-class List {
+// Builds a JSON array.
+class JsonArray {
  public:
   void add(const std::string& item) { text_ += (text_.size() > 1 ? "," : "") + item; }
   std::string text() const { return text_ + "]"; }
@@ -25,49 +25,53 @@
 
 }  // namespace
 
-std::string fault_json(std::string_view what) { return "{\"errorText\":" + quoted(what) + "}"; }
+std::string error_json(std::string_view what) { return "{\"errorText\":" + quoted(what) + "}"; }
 
-std::string status_json(Time now, const std::string& name, const raft::Core& core, const State& state,
-                        const vazzoler::View& view, const Followers& followers) {
-  List members, edges;
+std::string status_json(Time now, const std::string& name, const raft::Core& core,
+                        const ReplicatedState& state, const subscription::ClusterView& view,
+                        const Followers& followers) {
+  JsonArray members, edges;
   for (const auto& voter : core.log().membership().voters)
     members.add(fmt::format(R"({{"address":{},"id":"{:016x}","leads":{}}})", quoted(voter.address), voter.id,
                             voter.address == core.leader_address()));
   for (const auto& [link, follower] : followers.all())
-    if (follower.kind == fanes::FollowerKind::edge)
+    if (follower.kind == protocol::FollowerKind::edge)
       edges.add(fmt::format(R"({{"nodeName":{},"zoneName":{},"lease":{},"edition":{},"acknowledged":{}}})",
-                            quoted(follower.name), quoted(follower.zone), Followers::lives(now, follower),
-                            follower.edition, follower.acked.number));
+                            quoted(follower.name), quoted(follower.zone), Followers::has_lease(now, follower),
+                            follower.revision, follower.acked.number));
   return fmt::format(
       R"({{"view":"local","nodeName":{},"leads":{},"leader":{},"term":{},"commit":{},"logEntries":{},)"
       R"("diskRefuses":{},"edition":{},"readable":{},)"
       R"("wanted":{},"members":{},"nodes":{},"edges":{}}})",
-      quoted(name), core.may_speak(now), quoted(core.leader_address()), core.term(), core.commit(),
-      core.log().last() - core.log().snapshot().index, core.ill(), state.edition(), state.may_serve(),
-      core.log().membership().wanted, members.text(), view.nodes().all().size(), edges.text());
+      quoted(name), core.holds_lease(now), quoted(core.leader_address()), core.term(), core.commit(),
+      core.log().last() - core.log().snapshot().index, core.store_failed(), state.revision(),
+      state.may_serve(), core.log().membership().target_size, members.text(), view.nodes().all().size(),
+      edges.text());
 }
 
-std::string nodes_json(Time now, const vazzoler::View& view) {
-  List nodes;
+std::string nodes_json(Time now, const subscription::ClusterView& view) {
+  JsonArray nodes;
   for (const auto& [id, node] : view.nodes().all())
     nodes.add(fmt::format(
         R"({{"id":{},"depot":{},"address":{},"zoneName":{},"edition":{},"slotCount":{},"nodeState":"{}",)"
         R"("coldLeftMs":{},"callSeq":{}}})",
-        quoted(id), quoted(node.depot), quoted(node.address), quoted(node.zone), quoted(node.edition),
-        node.slots, node.closing ? "closing_out" : "at_post", cold_ms(now, node), node.call));
+        quoted(id), quoted(node.service), quoted(node.address), quoted(node.zone),
+        quoted(node.software_version), node.slots, node.closing ? "closing_out" : "at_post",
+        remaining_cold_ms(now, node), node.sequence));
   return "{\"nodes\":" + nodes.text() + "}";
 }
 
-std::string history_json(const State& state, std::size_t newest) {
-  List told;
-  const Taken& taken = state.taken();
-  for (std::size_t i = taken.size() - std::min(taken.size(), newest); i < taken.size(); ++i)
-    told.add(fmt::format(R"({{"edition":{},"digest":"{}"}})", taken[i].edition, hex(taken[i].digest)));
-  return fmt::format(R"({{"remembered":{},"taken":{}}})", taken.size(), told.text());
+std::string history_json(const ReplicatedState& state, std::size_t newest) {
+  JsonArray entries;
+  const ChangeHistory& history = state.history();
+  for (std::size_t i = history.size() - std::min(history.size(), newest); i < history.size(); ++i)
+    entries.add(
+        fmt::format(R"({{"edition":{},"digest":"{}"}})", history[i].revision, hex(history[i].digest)));
+  return fmt::format(R"({{"remembered":{},"taken":{}}})", history.size(), entries.text());
 }
 
-std::string allowance_json(const raft::Core& core, const State& state) {
-  List lines;
+std::string allowance_json(const raft::Core& core, const ReplicatedState& state) {
+  JsonArray lines;
   for (const auto& line : state.accounts().lines())
     lines.add(fmt::format(
         R"({{"window":{},"holder":{},"kind":{},"limit":{},"drawn":{},"unsure":{},"inDoubt":{},)"
@@ -80,10 +84,11 @@
                      core.applied(), state.accounts().window(), lines.text());
 }
 
-std::string snapshot_json(const State& state) {
+std::string snapshot_json(const ReplicatedState& state) {
   const std::string& text = state.text();
   return fmt::format(R"({{"format":1,"edition":{},"digest":"{}","history":{},"configuration":{}}})",
-                     state.edition(), hex(digest_of(text)), history_json(state, kept_history), quoted(text));
+                     state.revision(), hex(digest_of(text)), history_json(state, backup_history_entries),
+                     quoted(text));
 }
 
-}  // namespace pearspar::sennes
+}  // namespace pearspar::control_plane
--- a/src/measure/log_measure.cpp
+++ b/src/measure/log_measure.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <string>
 
-#include "sennes/state.h"
+#include "control_plane/replicated_state.h"
 #include "storage/lmdb_store.h"
 
 namespace {
@@ -29,13 +29,13 @@
 
 double heap_mb() { return static_cast<double>(mallinfo2().uordblks) / (1 << 20); }
 
-std::string configuration(int edition, int routes) {
-  std::string text = "{\"edition\":" + std::to_string(edition) + ",\"postalRoutes\":[";
+std::string configuration(int revision, int routes) {
+  std::string text = "{\"edition\":" + std::to_string(revision) + ",\"postalRoutes\":[";
   for (int i = 0; i < routes; ++i) {
     std::string n = std::to_string(i);
     text += (i ? ",{\"name\":\"route" : "{\"name\":\"route") + n +
             "\",\"hostName\":\"h\",\"pathPrefix\":\"/p" + n +
-            "/\",\"lineKind\":\"safe\",\"deadlineMs\":" + std::to_string(500 + (edition + i) % 700) +
+            "/\",\"lineKind\":\"safe\",\"deadlineMs\":" + std::to_string(500 + (revision + i) % 700) +
             ",\"targetMs\":120,\"precedence\":1,\"depot\":\"d" + std::to_string(i % 40) + "\"}";
   }
   text += "],\"depots\":[";
@@ -57,16 +57,17 @@
   std::size_t most_entries = 0, most_bytes = 0, most_state = 0;
   {
     storage::LmdbStore store(folder);
-    sennes::State state;
+    control_plane::ReplicatedState state;
     Core core(store, state, founder());
     if (auto error = core.start(now)) return std::fprintf(stderr, "%s\n", error.message().c_str()), 1;
-    while (!core.may_speak(now)) core.tick(now += Duration(0.1));
+    while (!core.holds_lease(now)) core.tick(now += Duration(0.1));
     auto start = Clock::now();
     double file = 0;
     for (int i = 1; i <= count; ++i) {
       std::string text = configuration(i, routes);
-      core.propose(now, sennes::State::change(state.edition(), static_cast<averau::Edition>(i),
-                                              sennes::digest_of(text), text));
+      core.propose(now, control_plane::ReplicatedState::encode_change(state.revision(),
+                                                                      static_cast<catalog::Revision>(i),
+                                                                      control_plane::digest_of(text), text));
       most_entries = std::max<std::size_t>(most_entries, core.log().last() - core.log().snapshot().index);
       most_bytes = std::max(most_bytes, core.log().bytes());
       most_state = std::max(most_state, core.log().snapshot().state.size());
@@ -78,19 +79,19 @@
         count, routes, configuration(count, routes).size(), ms_since(start) / count, file, most_entries,
         static_cast<double>(most_bytes) / 1e6, static_cast<double>(most_state) / 1e6,
         static_cast<unsigned long long>(core.counters().refused_writes),
-        static_cast<unsigned long long>(state.edition()));
+        static_cast<unsigned long long>(state.revision()));
   }
   double heap = heap_mb();
   auto start = Clock::now();
   storage::LmdbStore store(folder);
-  sennes::State state;
+  control_plane::ReplicatedState state;
   Core core(store, state, founder());
   auto error = core.start(now);
   double read_ms = ms_since(start);
-  while (!error && !core.may_speak(now)) core.tick(now += Duration(0.1));
+  while (!error && !core.holds_lease(now)) core.tick(now += Duration(0.1));
   std::printf("a restart: %.1f ms to read, %.1f ms until all is applied; %.1f MB of memory; edition %llu\n",
-              read_ms, ms_since(start), heap_mb() - heap, static_cast<unsigned long long>(state.edition()));
-  return error || state.edition() != static_cast<averau::Edition>(count) ? 1 : 0;
+              read_ms, ms_since(start), heap_mb() - heap, static_cast<unsigned long long>(state.revision()));
+  return error || state.revision() != static_cast<catalog::Revision>(count) ? 1 : 0;
 }
 
 // Many days in short: entries, notes and snapshots of all sizes.
@@ -126,7 +127,7 @@
 
 class Nowhere : public Store {
  public:
-  std::error_code load(Stored&) override { return {}; }
+  std::error_code load(PersistentState&) override { return {}; }
   std::error_code save_self(MemberId) override { return {}; }
   std::error_code save_vote(const Vote&) override { return {}; }
   std::error_code replace_tail(Index, const std::vector<Entry>&) override { return {}; }
--- /dev/null
+++ b/src/protocol/messages.cpp
@@ -0,0 +1,390 @@
+#include "protocol/messages.h"
+
+#include <algorithm>
+
+#include "protocol/pack.h"
+#include "protocol/quota_codec.h"
+#include "protocol/raft_codec.h"
+
+namespace pearspar::protocol {
+namespace {
+
+// The first field of each message.
+enum class Tag : std::uint64_t {
+  raft = 1,
+  hello,
+  welcome,
+  snapshot,
+  changes,
+  ping,
+  ack,
+  goodbye,
+  control_call,
+  control_reply,
+  token_request,
+  token_grant,
+  quota_request,
+  quota_reply,
+  neighbours,
+  core_query,
+  core_addresses
+};
+
+constexpr std::size_t max_fields = 32;
+constexpr std::size_t max_nodes = 65536;
+constexpr std::size_t max_changes = 65536;
+constexpr std::size_t max_tokens = 4096;
+constexpr std::size_t max_core_addresses = 64;
+constexpr std::size_t max_neighbours = 16;
+
+void begin(Packer& packer, Tag tag, std::size_t fields) {
+  packer.array(fields + 1);
+  packer.number(static_cast<std::uint64_t>(tag));
+}
+
+void put(Packer& packer, const Position& position) {
+  packer.number(position.term);
+  packer.number(position.number);
+}
+Position get_position(Unpacker& in) {
+  Position position;
+  position.term = in.number();
+  position.number = in.number();
+  return position;
+}
+
+void put(Packer& packer, const NodeUpdate& update) {
+  const catalog::Node& node = update.node;
+  packer.array(9);
+  packer.text(node.id);
+  packer.text(node.service);
+  packer.text(node.address);
+  packer.text(node.zone);
+  packer.text(node.software_version);
+  packer.number(static_cast<std::uint64_t>(node.slots));
+  packer.flag(node.closing);
+  packer.number(node.sequence);
+  packer.number(update.cold_ms);
+}
+NodeUpdate get_node_update(Unpacker& in) {
+  NodeUpdate update;
+  catalog::Node& node = update.node;
+  in.enter(max_fields);
+  node.id = in.text();
+  node.service = in.text();
+  node.address = in.text();
+  node.zone = in.text();
+  node.software_version = in.text();
+  node.slots = static_cast<int>(in.number());
+  node.closing = in.flag();
+  node.sequence = in.number();
+  update.cold_ms = static_cast<std::uint32_t>(in.number());
+  in.leave();
+  return update;
+}
+
+void put(Packer& packer, const std::vector<std::string>& texts) {
+  packer.array(texts.size());
+  for (const std::string& text : texts) packer.text(text);
+}
+std::vector<std::string> get_texts(Unpacker& in, std::size_t max_size) {
+  std::vector<std::string> texts;
+  std::size_t count = in.enter(max_size);
+  for (std::size_t i = 0; i < count && in.good(); ++i) texts.push_back(in.text());
+  in.leave();
+  return texts;
+}
+
+void put(Packer& packer, const std::vector<Tokens>& tokens) {
+  packer.array(tokens.size());
+  for (const Tokens& each : tokens) {
+    packer.array(2);
+    packer.text(each.service);
+    packer.number(each.count);
+  }
+}
+std::vector<Tokens> get_tokens(Unpacker& in) {
+  std::vector<Tokens> tokens;
+  std::size_t count = in.enter(max_tokens);
+  for (std::size_t i = 0; i < count && in.good(); ++i) {
+    in.enter(max_fields);
+    Tokens each;
+    each.service = in.text();
+    each.count = static_cast<std::uint32_t>(in.number());
+    in.leave();
+    tokens.push_back(std::move(each));
+  }
+  in.leave();
+  return tokens;
+}
+
+std::uint32_t get_coverage(Unpacker& in) {
+  return in.more() ? static_cast<std::uint32_t>(std::min<std::uint64_t>(100, in.number())) : 100;
+}
+
+struct MessagePacker {
+  Packer& packer;
+  void operator()(const raft::Message& message) const {
+    begin(packer, Tag::raft, 1);
+    pack(packer, message);
+  }
+  void operator()(const Hello& hello) const {
+    begin(packer, Tag::hello, 8);
+    packer.number(hello.incarnation);
+    packer.number(static_cast<std::uint64_t>(hello.kind));
+    packer.text(hello.name);
+    packer.text(hello.zone);
+    put(packer, hello.position);
+    packer.number(hello.revision);
+    packer.text(hello.address);
+  }
+  void operator()(const Welcome& welcome) const {
+    begin(packer, Tag::welcome, 3);
+    packer.number(welcome.term);
+    packer.flag(welcome.from_leader);
+    put(packer, welcome.core_addresses);
+  }
+  void operator()(const StateSnapshot& snapshot) const {
+    begin(packer, Tag::snapshot, 9);
+    put(packer, snapshot.at);
+    packer.flag(snapshot.complete);
+    packer.number(snapshot.edges);
+    packer.number(snapshot.revision);
+    packer.text(snapshot.configuration);
+    packer.array(snapshot.nodes.size());
+    for (const NodeUpdate& update : snapshot.nodes) put(packer, update);
+    put(packer, snapshot.retired);
+    packer.number(snapshot.coverage);
+  }
+  void operator()(const Changes& changes) const {
+    begin(packer, Tag::changes, 3);
+    put(packer, changes.after);
+    packer.array(changes.changes.size());
+    for (const Change& change : changes.changes) {
+      packer.array(4);
+      packer.number(static_cast<std::uint64_t>(change.kind));
+      packer.number(change.revision);
+      packer.text(change.text);
+      put(packer, change.update);
+    }
+  }
+  void operator()(const Ping& ping) const {
+    begin(packer, Tag::ping, 4);
+    put(packer, ping.at);
+    packer.number(ping.edges);
+    packer.number(ping.coverage);
+  }
+  void operator()(const Ack& ack) const {
+    begin(packer, Tag::ack, 6);
+    packer.number(ack.incarnation);
+    put(packer, ack.at);
+    packer.number(ack.revision);
+    packer.number(ack.coverage);
+    packer.number(ack.node_list_digest);
+  }
+  void operator()(const Goodbye& goodbye) const {
+    begin(packer, Tag::goodbye, 1);
+    packer.number(goodbye.incarnation);
+  }
+  void operator()(const TokenRequest& request) const {
+    begin(packer, Tag::token_request, 3);
+    packer.number(request.incarnation);
+    packer.number(request.number);
+    put(packer, request.tokens);
+  }
+  void operator()(const TokenGrant& grant) const {
+    begin(packer, Tag::token_grant, 2);
+    packer.number(grant.number);
+    put(packer, grant.tokens);
+  }
+  void operator()(const pramperet::Ask& request) const {
+    begin(packer, Tag::quota_request, 1);
+    pack(packer, request);
+  }
+  void operator()(const pramperet::Tell& reply) const {
+    begin(packer, Tag::quota_reply, 1);
+    pack(packer, reply);
+  }
+  void operator()(const Neighbours& neighbours) const {
+    begin(packer, Tag::neighbours, 1);
+    put(packer, neighbours.edges);
+  }
+  void operator()(const CoreQuery&) const { begin(packer, Tag::core_query, 0); }
+  void operator()(const CoreAddresses& core) const {
+    begin(packer, Tag::core_addresses, 2);
+    packer.number(core.term);
+    put(packer, core.addresses);
+  }
+  void operator()(const ControlCall& call) const {
+    begin(packer, Tag::control_call, 7);
+    packer.number(call.number);
+    packer.text(call.from);
+    packer.text(call.method);
+    packer.text(call.path);
+    packer.text(call.if_match);
+    packer.text(call.body);
+    packer.number(call.timeout_ms);
+  }
+  void operator()(const ControlReply& reply) const {
+    begin(packer, Tag::control_reply, 3);
+    packer.number(reply.number);
+    packer.number(reply.status);
+    packer.text(reply.body);
+  }
+};
+
+Hello get_hello(Unpacker& in) {
+  Hello hello;
+  hello.incarnation = in.number();
+  hello.kind = in.number() == 0 ? FollowerKind::edge : FollowerKind::core;
+  hello.name = in.text();
+  hello.zone = in.text();
+  hello.position = get_position(in);
+  hello.revision = in.number();
+  if (in.more()) hello.address = in.text();
+  return hello;
+}
+
+StateSnapshot get_snapshot(Unpacker& in) {
+  StateSnapshot snapshot;
+  snapshot.at = get_position(in);
+  snapshot.complete = in.flag();
+  snapshot.edges = static_cast<std::uint32_t>(in.number());
+  snapshot.revision = in.number();
+  snapshot.configuration = in.text();
+  std::size_t count = in.enter(max_nodes);
+  for (std::size_t i = 0; i < count && in.good(); ++i) snapshot.nodes.push_back(get_node_update(in));
+  in.leave();
+  snapshot.retired = get_texts(in, max_nodes);
+  snapshot.coverage = get_coverage(in);
+  return snapshot;
+}
+
+Changes get_changes(Unpacker& in) {
+  Changes changes;
+  changes.after = get_position(in);
+  std::size_t count = in.enter(max_changes);
+  for (std::size_t i = 0; i < count && in.good(); ++i) {
+    Change change;
+    in.enter(max_fields);
+    std::uint64_t kind = in.number();
+    change.kind = static_cast<ChangeKind>(kind);
+    change.revision = in.number();
+    change.text = in.text();
+    change.update = get_node_update(in);
+    in.leave();
+    // A kind that only a newer program knows becomes a change without effect, so that the changes after it
+    // keep their numbers.
+    if (kind > static_cast<std::uint64_t>(ChangeKind::configuration_delta)) change = {};
+    changes.changes.push_back(std::move(change));
+  }
+  in.leave();
+  return changes;
+}
+
+ControlCall get_control_call(Unpacker& in) {
+  ControlCall call;
+  call.number = in.number();
+  call.from = in.text();
+  call.method = in.text();
+  call.path = in.text();
+  call.if_match = in.text();
+  call.body = in.text();
+  if (in.more()) call.timeout_ms = static_cast<std::uint32_t>(in.number());
+  return call;
+}
+
+std::optional<Message> get(Unpacker& in) {
+  switch (static_cast<Tag>(in.number())) {
+    case Tag::raft: {
+      raft::Message message;
+      if (!unpack(in, message)) return std::nullopt;
+      return message;
+    }
+    case Tag::hello:
+      return get_hello(in);
+    case Tag::welcome: {
+      Welcome welcome;
+      welcome.term = in.number();
+      welcome.from_leader = in.flag();
+      welcome.core_addresses = get_texts(in, max_core_addresses);
+      return welcome;
+    }
+    case Tag::snapshot:
+      return get_snapshot(in);
+    case Tag::changes:
+      return get_changes(in);
+    case Tag::ping: {
+      Ping ping;
+      ping.at = get_position(in);
+      ping.edges = static_cast<std::uint32_t>(in.number());
+      ping.coverage = get_coverage(in);
+      return ping;
+    }
+    case Tag::ack: {
+      Ack ack;
+      ack.incarnation = in.number();
+      ack.at = get_position(in);
+      ack.revision = in.number();
+      ack.coverage = get_coverage(in);
+      if (in.more()) ack.node_list_digest = in.number();
+      return ack;
+    }
+    case Tag::goodbye:
+      return Goodbye{in.number()};
+    case Tag::control_call:
+      return get_control_call(in);
+    case Tag::token_request: {
+      TokenRequest request;
+      request.incarnation = in.number();
+      request.number = in.number();
+      request.tokens = get_tokens(in);
+      return request;
+    }
+    case Tag::token_grant: {
+      TokenGrant grant;
+      grant.number = in.number();
+      grant.tokens = get_tokens(in);
+      return grant;
+    }
+    case Tag::quota_request:
+      return unpack_ask(in);
+    case Tag::quota_reply:
+      return unpack_tell(in);
+    case Tag::neighbours:
+      return Neighbours{get_texts(in, max_neighbours)};
+    case Tag::core_query:
+      return CoreQuery{};
+    case Tag::core_addresses: {
+      CoreAddresses core;
+      core.term = in.number();
+      core.addresses = get_texts(in, max_core_addresses);
+      return core;
+    }
+    case Tag::control_reply: {
+      ControlReply reply;
+      reply.number = in.number();
+      reply.status = static_cast<std::uint32_t>(in.number());
+      reply.body = in.text();
+      return reply;
+    }
+  }
+  return std::nullopt;
+}
+
+}  // namespace
+
+std::string pack(const Message& message) {
+  Packer packer;
+  std::visit(MessagePacker{packer}, message);
+  return std::string(packer.view());
+}
+
+std::optional<Message> unpack(std::string_view bytes) {
+  Unpacker in(bytes);
+  std::optional<Message> message = get(in);
+  if (!in.good()) return std::nullopt;
+  return message;
+}
+
+}  // namespace pearspar::protocol
--- /dev/null
+++ b/src/protocol/quota_codec.h
@@ -0,0 +1,36 @@
+// Encoding of quota requests and replies for the links, and of quota commands as log entries.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <variant>
+#include <vector>
+
+#include "pramperet/words.h"
+#include "protocol/pack.h"
+
+namespace pearspar::protocol {
+
+void pack(Packer& packer, const pramperet::Ask& ask);
+pramperet::Ask unpack_ask(Unpacker& in);
+void pack(Packer& packer, const pramperet::Tell& tell);
+pramperet::Tell unpack_tell(Unpacker& in);
+
+// Starts the given window.
+struct AdvanceWindow {
+  pramperet::Window window = 0;
+};
+// Settles what was granted to an edge that no longer renews it.
+struct ExpireEdge {
+  pramperet::Life life = 0;
+};
+using QuotaCommand = std::variant<pramperet::Ask, AdvanceWindow, ExpireEdge>;
+
+// The commands of one log entry, in the order in which they are applied.
+std::string pack_quota_commands(const std::vector<QuotaCommand>& commands);
+// Returns nothing where the bytes cannot be read.
+std::optional<std::vector<QuotaCommand>> unpack_quota_commands(std::string_view bytes);
+
+}  // namespace pearspar::protocol
--- a/src/storage/lmdb_store.cpp
+++ b/src/storage/lmdb_store.cpp
@@ -3,8 +3,8 @@
 #include <cstring>
 
 #include "allocation/allocation.h"
-#include "fanes/agreement.h"
-#include "storage/folder.h"
+#include "protocol/raft_codec.h"
+#include "storage/files.h"
 
 namespace pearspar::storage {
 namespace {
@@ -12,13 +12,14 @@
 using namespace raft;
 
 constexpr std::uint64_t format = 1;
-constexpr std::size_t least_allocation = 4096;  // that the library may have been refused: a page
+constexpr std::size_t min_allocation = 4096;  // one page, the least that LMDB may have failed to allocate
 
 class FaultCategory : public std::error_category {
  public:
   const char* name() const noexcept override { return "store"; }
   std::string message(int value) const override {
-    return value == static_cast<int>(Fault::other_format) ? "written in another format" : "does not read";
+    return value == static_cast<int>(StoreError::unsupported_format) ? "written in another format"
+                                                                     : "does not read";
   }
 };
 
@@ -51,13 +52,13 @@
 }
 
 std::string pack_number(std::uint64_t value) {
-  fanes::Packer packer;
+  protocol::Packer packer;
   packer.array(1);
   packer.number(value);
   return std::string(packer.view());
 }
 
-// Drops the entries for whose index `drop` is true.
+// Removes entries from `from` on as long as `drop` is true for their index.
 template <typename Drop>
 int drop_entries(MDB_txn* txn, MDB_dbi dbi, Index from, Drop drop) {
   MDB_cursor* cursor = nullptr;
@@ -70,14 +71,16 @@
     for (char byte : view_of(key).substr(1)) index = index << 8 | static_cast<unsigned char>(byte);
     if (!drop(index)) break;
     if ((result = mdb_cursor_del(cursor, 0))) break;
-    result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT);  // after a removal: what came into its place
+    // After a deletion this returns the entry that took its place.
+    result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT);
   }
   mdb_cursor_close(cursor);
   return result == MDB_NOTFOUND ? MDB_SUCCESS : result;
 }
 
-// Without a format: nothing, or what an older program wrote before it. All else is somebody else's.
-bool began(MDB_txn* txn, MDB_dbi dbi) {
+// Whether a database without a format key is empty or was started by an older version; anything else belongs
+// to another program.
+bool is_unfinished_store(MDB_txn* txn, MDB_dbi dbi) {
   MDB_cursor* cursor = nullptr;
   if (mdb_cursor_open(txn, dbi, &cursor)) return false;
   MDB_val key{}, value{};
@@ -90,13 +93,13 @@
 
 }  // namespace
 
-std::error_code make_error_code(Fault fault) {
+std::error_code make_error_code(StoreError error) {
   static const FaultCategory category;
-  return {static_cast<int>(fault), category};
+  return {static_cast<int>(error), category};
 }
 
-LmdbStore::LmdbStore(std::string folder, std::size_t map_mb, std::size_t most_mb)
-    : folder_(std::move(folder)), map_mb_(map_mb), most_mb_(most_mb) {}
+LmdbStore::LmdbStore(std::string folder, std::size_t map_mb, std::size_t max_map_mb)
+    : folder_(std::move(folder)), map_mb_(map_mb), max_map_mb_(max_map_mb) {}
 
 LmdbStore::~LmdbStore() { close(); }
 
@@ -107,21 +110,21 @@
 
 std::error_code LmdbStore::open() {
   if (env_) return {};
-  if (auto error = make_folder(folder_)) return error;
+  if (auto error = make_directory(folder_)) return error;
   std::string file = folder_ + "/data.mdb";
   if (!exists(file))
     if (auto error = make_file(file)) return error;
   if (int result = open_at(file)) return error_of(result);
-  // The names of what was made last only then.
-  if (auto error = named_ ? std::error_code() : sync_folder(folder_)) {
+  // Makes the name of the data file durable.
+  if (auto error = directory_synced_ ? std::error_code() : sync_directory(folder_)) {
     close();
     return error;
   }
-  named_ = true;
+  directory_synced_ = true;
   return {};
 }
 
-// One process and one thread: no table of readers is needed.
+// Used by one thread of one process only, so LMDB's reader table is not needed.
 int LmdbStore::open_at(const std::string& file) {
   int result = mdb_env_create(&env_);
   if (result == MDB_SUCCESS) result = mdb_env_set_mapsize(env_, map_mb_ << 20);
@@ -133,13 +136,13 @@
   if (result == MDB_SUCCESS) result = mdb_env_info(env_, &info);
   if (result == MDB_SUCCESS) result = mdb_env_stat(env_, &stat);
   if (result == MDB_SUCCESS) result = mdb_env_get_fd(env_, &fd);
-  // To read a page behind the file's end would end the process; one of zeros is no page to LMDB.
-  if (result == MDB_SUCCESS) result = make_as_long(fd, (info.me_last_pgno + 1) * stat.ms_psize);
+  // Reading a page beyond the end of a truncated file would raise SIGBUS; LMDB rejects a page of zeros.
+  if (result == MDB_SUCCESS) result = extend_file(fd, (info.me_last_pgno + 1) * stat.ms_psize);
   if (result != MDB_SUCCESS) close();
   return result;
 }
 
-// A file has its name only once there is something whole in it: power that is lost before leaves none.
+// Renames the file only after its first commit, so that a power loss leaves no incomplete store.
 std::error_code LmdbStore::make_file(const std::string& file) {
   std::string fresh = folder_ + "/data.new";
   if (auto error = remove_file(fresh)) return error;
@@ -154,8 +157,8 @@
     std::error_code error = open();
     if (!error) error = commit(work);
     if (error != std::errc::not_enough_memory) return error;
-    // Nothing of it is on disk, and the file is closed: the whole goes again.
-    allocation::make_room(least_allocation);
+    // Nothing was written and the environment is closed, so the call can be repeated.
+    allocation::make_room(min_allocation);
   }
 }
 
@@ -175,29 +178,29 @@
   return error_of(result);
 }
 
-std::error_code LmdbStore::write_amply(const std::function<int(MDB_txn*, MDB_dbi)>& work) {
+std::error_code LmdbStore::write_with_reserve(const std::function<int(MDB_txn*, MDB_dbi)>& work) {
   auto error = write(work);
   if (error != error_of(MDB_MAP_FULL)) return error;
-  if (auto closed = open()) return closed;
-  if (int result = mdb_env_set_mapsize(env_, most_mb_ << 20)) return error_of(result);
+  if (auto open_error = open()) return open_error;
+  if (int result = mdb_env_set_mapsize(env_, max_map_mb_ << 20)) return error_of(result);
   error = write(work);
-  // What a transaction has freed is there for the second one after it, and a write that is refused is none:
-  // so one more now, while there is room.
+  // LMDB reuses pages freed by a transaction only in the second one after it, so commit one more while there
+  // is room.
   if (!error)
     static_cast<void>(
         write([](MDB_txn* txn, MDB_dbi dbi) { return put(txn, dbi, "format", pack_number(format)); }));
-  // Back to the usual bound, or to what is in use now.
+  // Back to the usual limit, or to the size in use.
   if (env_ && mdb_env_set_mapsize(env_, map_mb_ << 20) != MDB_SUCCESS) close();
   return error;
 }
 
-std::error_code LmdbStore::load(Stored& stored) {
+std::error_code LmdbStore::load(PersistentState& stored) {
   stored = {};
   if (auto error = open()) return error;
   MDB_txn* txn = nullptr;
   MDB_dbi dbi = 0;
   if (int result = mdb_txn_begin(env_, nullptr, MDB_RDONLY, &txn)) return error_of(result);
-  std::error_code fault;
+  std::error_code error;
   auto read = [&](std::string_view name, std::string& bytes) {
     MDB_val key = value_of(name), value{};
     int result = mdb_get(txn, dbi, &key, &value);
@@ -205,37 +208,38 @@
     return result == MDB_SUCCESS;
   };
   auto number = [&](const std::string& bytes) {
-    fanes::Unpacker unpacker(bytes);
+    protocol::Unpacker unpacker(bytes);
     std::uint64_t value = unpacker.number();
-    if (!unpacker.whole()) fault = Fault::spoilt;
+    if (!unpacker.at_end()) error = StoreError::corrupt;
     return value;
   };
   int result = mdb_dbi_open(txn, nullptr, 0, &dbi);
   std::string bytes;
   if (result == MDB_SUCCESS) {
-    if (read("format", bytes) ? number(bytes) != format : !began(txn, dbi)) fault = Fault::other_format;
+    if (read("format", bytes) ? number(bytes) != format : !is_unfinished_store(txn, dbi))
+      error = StoreError::unsupported_format;
   }
-  if (result == MDB_SUCCESS && !fault) {
+  if (result == MDB_SUCCESS && !error) {
     if (read("self", bytes)) stored.self = number(bytes);
     if (read("vote", bytes)) {
-      auto vote = fanes::unpack_vote(bytes);
+      auto vote = protocol::unpack_vote(bytes);
       if (vote)
         stored.vote = *vote;
       else
-        fault = Fault::spoilt;
+        error = StoreError::corrupt;
     }
     if (read("note", bytes)) {
-      fanes::Unpacker unpacker(bytes);
+      protocol::Unpacker unpacker(bytes);
       stored.commit = unpacker.number();
       stored.note = unpacker.text();
-      if (!unpacker.whole()) fault = Fault::spoilt;
+      if (!unpacker.at_end()) error = StoreError::corrupt;
     }
     if (read("snapshot", bytes)) {
-      auto snapshot = fanes::unpack_snapshot(bytes);
+      auto snapshot = protocol::unpack_snapshot(bytes);
       if (snapshot)
         stored.snapshot = std::move(*snapshot);
       else
-        fault = Fault::spoilt;
+        error = StoreError::corrupt;
     }
     MDB_cursor* cursor = nullptr;
     result = mdb_cursor_open(txn, dbi, &cursor);
@@ -245,33 +249,33 @@
       for (result = mdb_cursor_get(cursor, &key, &value, MDB_SET_RANGE);
            result == MDB_SUCCESS && key.mv_size == start.size() && view_of(key)[0] == 'e';
            result = mdb_cursor_get(cursor, &key, &value, MDB_NEXT)) {
-        auto entry = fanes::unpack_entry(view_of(value));
-        Index due = stored.snapshot.index + stored.entries.size() + 1;
-        if (!entry || (entry->index >= due && entry->index != due)) {
-          fault = Fault::spoilt;
+        auto entry = protocol::unpack_entry(view_of(value));
+        Index expected = stored.snapshot.index + stored.entries.size() + 1;
+        if (!entry || (entry->index >= expected && entry->index != expected)) {
+          error = StoreError::corrupt;
           break;
         }
-        if (entry->index == due) stored.entries.push_back(std::move(*entry));
+        if (entry->index == expected) stored.entries.push_back(std::move(*entry));
       }
       mdb_cursor_close(cursor);
       if (result == MDB_NOTFOUND) result = MDB_SUCCESS;
     }
   }
   mdb_txn_abort(txn);
-  if (fault) return fault;
+  if (error) return error;
   return error_of(result);
 }
 
 std::error_code LmdbStore::save_self(MemberId self) {
-  return write_amply([&](MDB_txn* txn, MDB_dbi dbi) {
+  return write_with_reserve([&](MDB_txn* txn, MDB_dbi dbi) {
     int result = put(txn, dbi, "format", pack_number(format));
     return result ? result : put(txn, dbi, "self", pack_number(self));
   });
 }
 
 std::error_code LmdbStore::save_vote(const Vote& vote) {
-  return write_amply(
-      [&](MDB_txn* txn, MDB_dbi dbi) { return put(txn, dbi, "vote", fanes::pack_vote(vote)); });
+  return write_with_reserve(
+      [&](MDB_txn* txn, MDB_dbi dbi) { return put(txn, dbi, "vote", protocol::pack_vote(vote)); });
 }
 
 std::error_code LmdbStore::replace_tail(Index from, const std::vector<Entry>& entries) {
@@ -279,14 +283,14 @@
     int result = drop_entries(txn, dbi, from, [](Index) { return true; });
     for (const Entry& entry : entries) {
       if (result) break;
-      result = put(txn, dbi, entry_key(entry.index), fanes::pack_entry(entry));
+      result = put(txn, dbi, entry_key(entry.index), protocol::pack_entry(entry));
     }
     return result;
   });
 }
 
 std::error_code LmdbStore::save_note(Index commit, const std::string& note) {
-  fanes::Packer packer;
+  protocol::Packer packer;
   packer.array(2);
   packer.number(commit);
   packer.text(note);
@@ -294,8 +298,8 @@
 }
 
 std::error_code LmdbStore::save_snapshot(const Snapshot& snapshot, bool drop_rest) {
-  return write_amply([&](MDB_txn* txn, MDB_dbi dbi) {
-    int result = put(txn, dbi, "snapshot", fanes::pack_snapshot(snapshot));
+  return write_with_reserve([&](MDB_txn* txn, MDB_dbi dbi) {
+    int result = put(txn, dbi, "snapshot", protocol::pack_snapshot(snapshot));
     if (result) return result;
     return drop_entries(txn, dbi, 0, [&](Index index) { return drop_rest || index <= snapshot.index; });
   });
--- /dev/null
+++ b/src/subscription/cluster_view.cpp
@@ -0,0 +1,102 @@
+#include "subscription/cluster_view.h"
+
+#include <set>
+
+#include "protocol/delta.h"
+
+namespace pearspar::subscription {
+
+using protocol::ChangeKind;
+
+void ClusterView::adopt(catalog::ConfigurationPtr configuration) {
+  if (configuration && configuration->revision > revision()) configuration_ = std::move(configuration);
+}
+
+void ClusterView::adopt_text(const std::string& text, catalog::Revision received_revision) {
+  if (text.empty() || received_revision <= revision()) return;
+  catalog::Fault fault;
+  adopt(catalog::parse_configuration(text, fault));
+}
+
+// A delta that does not apply is ignored; the leader sees the old revision in the next acknowledgement.
+void ClusterView::adopt_delta(const std::string& delta, catalog::Revision received_revision) {
+  if (!configuration_ || received_revision <= revision()) return;
+  if (auto text = protocol::apply_delta(configuration_->text, delta)) adopt_text(*text, received_revision);
+}
+
+void ClusterView::put(Time now, const protocol::NodeUpdate& update) {
+  catalog::Node node = update.node;
+  node.cold_until = now + std::chrono::milliseconds(update.cold_ms);
+  std::string displaced;
+  if (nodes_.put(node, &displaced) == catalog::NodeList::PutResult::changed)
+    changed_nodes_.push_back(node.id);
+  if (!displaced.empty()) changed_nodes_.push_back(displaced);
+}
+
+ClusterView::ApplyResult ClusterView::apply(Time now, const protocol::StateSnapshot& snapshot) {
+  if (snapshot.at < at_) return ApplyResult::stale;
+  at_ = snapshot.at;
+  edge_count_ = snapshot.edges;
+  coverage_ = snapshot.coverage / 100.0;
+  adopt_text(snapshot.configuration, snapshot.revision);
+  for (const std::string& id : snapshot.retired)
+    if (nodes_.retire(id)) changed_nodes_.push_back(id);
+  std::set<std::string_view> listed;
+  for (const protocol::NodeUpdate& update : snapshot.nodes) {
+    put(now, update);
+    listed.insert(update.node.id);
+  }
+  if (!snapshot.complete) return ApplyResult::applied;
+  std::vector<std::string> missing;
+  for (const auto& [id, node] : nodes_.all())
+    if (!listed.count(id)) missing.push_back(id);
+  for (const std::string& id : missing) {
+    nodes_.remove(id);
+    changed_nodes_.push_back(id);
+  }
+  return ApplyResult::applied;
+}
+
+ClusterView::ApplyResult ClusterView::apply(Time now, const protocol::Changes& changes) {
+  protocol::Position end{changes.after.term, changes.after.number + changes.changes.size()};
+  if (changes.after.term < at_.term || end <= at_) return ApplyResult::stale;
+  if (changes.after.term > at_.term || changes.after.number > at_.number) return ApplyResult::gap;
+  for (std::size_t i = at_.number - changes.after.number; i < changes.changes.size(); ++i)
+    apply(now, changes.changes[i]);
+  at_ = end;
+  return ApplyResult::applied;
+}
+
+ClusterView::ApplyResult ClusterView::apply(const protocol::Ping& ping) {
+  if (ping.at.term < at_.term) return ApplyResult::stale;
+  if (ping.at > at_) return ApplyResult::gap;
+  edge_count_ = ping.edges;
+  coverage_ = ping.coverage / 100.0;
+  return ApplyResult::applied;
+}
+
+void ClusterView::apply_own(Time now, protocol::Position at, const protocol::Change& change) {
+  apply(now, change);
+  at_ = at;
+}
+
+void ClusterView::apply(Time now, const protocol::Change& change) {
+  switch (change.kind) {
+    case ChangeKind::configuration:
+      return adopt_text(change.text, change.revision);
+    case ChangeKind::configuration_delta:
+      return adopt_delta(change.text, change.revision);
+    case ChangeKind::node_updated:
+      return put(now, change.update);
+    case ChangeKind::node_retired:
+      if (nodes_.retire(change.text)) changed_nodes_.push_back(change.text);
+      return;
+    case ChangeKind::node_removed:
+      if (nodes_.remove(change.text)) changed_nodes_.push_back(change.text);
+      return;
+    case ChangeKind::list_complete:
+      return;
+  }
+}
+
+}  // namespace pearspar::subscription
--- /dev/null
+++ b/src/subscription/cluster_view.h
@@ -0,0 +1,64 @@
+// The state of the cluster as learned from the leader's updates: the newest configuration and the list of
+// nodes. Free of I/O.
+//
+// Invariant: within one run of a process the view never goes back to an older revision of the configuration,
+// to updates of an older term, or from a closing node to an open one.
+#pragma once
+
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "catalog/configuration.h"
+#include "catalog/node_list.h"
+#include "protocol/messages.h"
+
+namespace pearspar::subscription {
+
+using catalog::Duration;
+using catalog::Time;
+
+class ClusterView {
+ public:
+  enum class ApplyResult {
+    applied,  // to be acknowledged
+    stale,    // nothing new
+    gap       // earlier updates are missing: a snapshot has to be requested
+  };
+
+  ApplyResult apply(Time now, const protocol::StateSnapshot& snapshot);
+  ApplyResult apply(Time now, const protocol::Changes& changes);
+  ApplyResult apply(const protocol::Ping& ping);
+  // Applies a change that this process has made as the leader.
+  void apply_own(Time now, protocol::Position at, const protocol::Change& change);
+
+  const protocol::Position& at() const { return at_; }
+  const catalog::ConfigurationPtr& configuration() const { return configuration_; }
+  catalog::Revision revision() const { return configuration_ ? configuration_->revision : 0; }
+  // Replaces the configuration if the revision is newer.
+  void adopt(catalog::ConfigurationPtr configuration);
+  const catalog::NodeList& nodes() const { return nodes_; }
+  catalog::NodeList& nodes() { return nodes_; }
+  std::uint32_t edge_count() const { return edge_count_; }
+  // Mean coverage of the edges, as last reported by the leader (0 to 1).
+  double coverage() const { return coverage_; }
+  // Ids of nodes that were changed or removed since the last call.
+  std::vector<std::string> take_changed_nodes() { return std::exchange(changed_nodes_, {}); }
+  // Whether there is a configuration and at least one node.
+  bool is_usable() const { return configuration_ && !nodes_.all().empty(); }
+
+ private:
+  void apply(Time now, const protocol::Change& change);
+  void put(Time now, const protocol::NodeUpdate& update);
+  void adopt_text(const std::string& text, catalog::Revision received_revision);
+  void adopt_delta(const std::string& delta, catalog::Revision received_revision);
+
+  protocol::Position at_;
+  catalog::ConfigurationPtr configuration_;
+  catalog::NodeList nodes_;
+  std::uint32_t edge_count_ = 0;
+  double coverage_ = 1;
+  std::vector<std::string> changed_nodes_;
+};
+
+}  // namespace pearspar::subscription
--- /dev/null
+++ b/src/subscription/follower.cpp
@@ -0,0 +1,214 @@
+#include "subscription/follower.h"
+
+#include <algorithm>
+
+#include "retrytokens/token_pool.h"
+
+namespace pearspar::subscription {
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr Duration contact_interval = 1s;
+constexpr Duration max_leader_silence = 3500ms;  // three missed pings
+constexpr Duration provisional_delay = 120ms;    // time for a leader to send its snapshot first
+constexpr std::size_t max_provisional = 8;
+constexpr Duration token_request_interval = 100ms;
+constexpr Duration token_request_timeout = 500ms;
+constexpr Duration max_list_wait = 1500ms;  // then an incomplete list of nodes is used
+
+}  // namespace
+
+Follower::Follower(transport::Transport& transport, FollowerOptions options)
+    : transport_(transport), options_(std::move(options)), discovery_(options_.incarnation) {}
+
+void Follower::start(Time now) {
+  last_update_ = now;
+  next_contact_ = now + contact_interval;
+  transport_.set_targets(options_.seeds);
+}
+
+void Follower::set_seeds(std::vector<std::string> seeds) {
+  options_.seeds = std::move(seeds);
+  if (core_addresses_.empty()) transport_.set_targets(options_.seeds);
+}
+
+std::string Follower::hello() const {
+  return protocol::pack(protocol::Hello{options_.incarnation, protocol::FollowerKind::edge, options_.name,
+                                        options_.zone, view_.at(), view_.revision(), options_.address});
+}
+
+std::string Follower::ack() const {
+  return protocol::pack(
+      protocol::Ack{options_.incarnation, view_.at(), view_.revision(), coverage_, view_.nodes().digest()});
+}
+
+bool Follower::leader_is_silent(Time now) const { return now - last_update_ > max_leader_silence; }
+
+// While the core is lost, also dials the seeds and the addresses received from edges.
+void Follower::update_targets() {
+  std::vector<std::string> targets = core_addresses_;
+  auto add = [&](const std::vector<std::string>& addresses) {
+    for (const std::string& address : addresses)
+      if (std::find(targets.begin(), targets.end(), address) == targets.end()) targets.push_back(address);
+  };
+  if (core_lost_ || core_addresses_.empty()) add(options_.seeds);
+  if (core_lost_) add(discovery_.candidates());
+  add(discovery_.queried());
+  transport_.set_targets(targets);
+}
+
+void Follower::link_up(transport::LinkId link, const std::string& address) {
+  const auto& queried = discovery_.queried();
+  if (std::find(queried.begin(), queried.end(), address) != queried.end()) {
+    edge_links_.push_back(link);
+    transport_.send(link, protocol::pack(protocol::CoreQuery{}));
+    return;
+  }
+  member_links_.push_back(link);
+  transport_.send(link, hello());
+}
+
+void Follower::link_down(transport::LinkId link) {
+  std::erase(member_links_, link);
+  std::erase(edge_links_, link);
+  if (link == leader_link_) leader_link_ = 0;
+}
+
+bool Follower::request_tokens(Time now, std::vector<protocol::Tokens> tokens) {
+  if (!can_request_tokens(now)) return false;
+  token_request_at_ = now;
+  token_request_due_ = now + token_request_timeout;
+  return transport_.send(leader_link_, protocol::pack(protocol::TokenRequest{
+                                           options_.incarnation, ++token_request_, std::move(tokens)}));
+}
+
+bool Follower::send_quota_request(const pramperet::Ask& request) {
+  return leader_link_ != 0 && transport_.send(leader_link_, protocol::pack(request));
+}
+
+bool Follower::link_frame(Time now, transport::LinkId link, std::string_view bytes) {
+  auto message = protocol::unpack(bytes);
+  if (!message) {
+    ++unreadable_frames_;
+    return false;
+  }
+  if (std::find(member_links_.begin(), member_links_.end(), link) == member_links_.end()) {
+    handle_edge_message(link, *message);
+    return false;
+  }
+  if (const auto* snapshot = std::get_if<protocol::StateSnapshot>(&*message)) {
+    if (snapshot->at == protocol::Position{}) {
+      if (view_.at() != protocol::Position{} || provisional_.size() >= max_provisional) return false;
+      if (provisional_due_ == Time::max()) provisional_due_ = now + provisional_delay;
+      provisional_.push_back(*snapshot);
+      return false;
+    }
+    auto result = view_.apply(now, *snapshot);
+    if (result == ClusterView::ApplyResult::applied && snapshot->complete) list_complete_ = true;
+    return handle_result(now, link, result);
+  }
+  if (const auto* changes = std::get_if<protocol::Changes>(&*message))
+    return handle_result(now, link, view_.apply(now, *changes));
+  if (const auto* ping = std::get_if<protocol::Ping>(&*message))
+    return handle_result(now, link, view_.apply(*ping));
+  if (const auto* grant = std::get_if<protocol::TokenGrant>(&*message)) {
+    // Lifetimes count from the request, so that tokens expire here before they expire at the leader.
+    if (grant->number != token_request_) return false;
+    token_request_due_ = token_request_at_ + token_request_interval;
+    for (const protocol::Tokens& each : grant->tokens)
+      granted_tokens_.emplace_back(token_request_at_ + retrytokens::token_lifetime, each);
+    return false;
+  }
+  if (const auto* reply = std::get_if<pramperet::Tell>(&*message)) {
+    quota_replies_.push_back(*reply);
+    return false;
+  }
+  if (const auto* neighbours = std::get_if<protocol::Neighbours>(&*message))
+    if (link == leader_link_) discovery_.set_neighbours(neighbours->edges);
+  if (const auto* welcome = std::get_if<protocol::Welcome>(&*message)) handle_welcome(*welcome);
+  return false;
+}
+
+// A member that lags behind may send outdated addresses: within a term, addresses from the leader are
+// replaced only by the leader.
+void Follower::handle_welcome(const protocol::Welcome& welcome) {
+  if (welcome.core_addresses.empty() || welcome.term < core_term_) return;
+  if (welcome.term == core_term_ && core_from_leader_ && !welcome.from_leader) return;
+  core_from_leader_ = welcome.from_leader;
+  core_term_ = welcome.term;
+  bool found = core_lost_ && welcome.from_leader;
+  if (core_addresses_ == welcome.core_addresses && !found) return;
+  core_addresses_ = welcome.core_addresses;
+  if (found) {
+    core_lost_ = false;
+    discovery_.clear_candidates();
+  }
+  update_targets();
+}
+
+// Handles a message on a link that does not lead to a member. Replies contain only addresses received from
+// members, so that a wrong address from an edge spreads no further than one edge.
+void Follower::handle_edge_message(transport::LinkId link, const protocol::Message& message) {
+  if (std::get_if<protocol::CoreQuery>(&message)) {
+    transport_.send(link, protocol::pack(protocol::CoreAddresses{core_term_, core_addresses_}));
+    return;
+  }
+  const auto* core = std::get_if<protocol::CoreAddresses>(&message);
+  if (!core || std::find(edge_links_.begin(), edge_links_.end(), link) == edge_links_.end()) return;
+  if (!core_lost_ || core->term < view_.at().term) return;
+  discovery_.add_candidates(core->addresses);
+  update_targets();
+}
+
+bool Follower::handle_result(Time now, transport::LinkId link, ClusterView::ApplyResult result) {
+  if (result == ClusterView::ApplyResult::stale) return false;
+  last_update_ = now;
+  leader_link_ = link;
+  if (result == ClusterView::ApplyResult::gap) {
+    transport_.send(link, hello());
+    return false;
+  }
+  if (!has_nodes_ && !view_.nodes().all().empty()) {
+    has_nodes_ = true;
+    first_nodes_ = now;
+  }
+  transport_.send(link, ack());
+  return true;
+}
+
+// The periodic messages also make TCP detect dead links, on which nothing is acknowledged.
+bool Follower::tick(Time now) {
+  bool changed = apply_provisional(now);
+  bool silent = leader_is_silent(now);
+  if (discovery_.tick(now, silent, !member_links_.empty())) update_targets();
+  if (now < next_contact_) return changed;
+  next_contact_ = now + contact_interval;
+  std::string frame = silent ? hello() : ack();
+  for (transport::LinkId link : std::vector(member_links_)) transport_.send(link, frame);
+  if (silent) {
+    core_lost_ = true;
+    update_targets();
+  }
+  if (!list_complete_ && has_nodes_ && now - first_nodes_ > max_list_wait) list_complete_ = true;
+  return changed;
+}
+
+// Without a leader, uses the state that members have applied: it was in force, and it is not newer than the
+// state of the next leader.
+bool Follower::apply_provisional(Time now) {
+  if (now < provisional_due_) return false;
+  provisional_due_ = Time::max();
+  std::vector<protocol::StateSnapshot> snapshots = std::exchange(provisional_, {});
+  if (view_.at() != protocol::Position{}) return false;
+  for (const protocol::StateSnapshot& snapshot : snapshots) view_.apply(now, snapshot);
+  list_complete_ = view_.is_usable();
+  return true;
+}
+
+void Follower::send_goodbye() {
+  for (transport::LinkId link : std::vector(member_links_))
+    transport_.send(link, protocol::pack(protocol::Goodbye{options_.incarnation}));
+}
+
+}  // namespace pearspar::subscription
--- /dev/null
+++ b/src/subscription/follower.h
@@ -0,0 +1,102 @@
+// The subscription of a process to the leader's updates: links to all members of the core, the ClusterView
+// that is built from the updates of the newest leader, the lease that acknowledgements renew, and the search
+// for a leader when none is heard of. Free of I/O. (Not to be confused with Raft's role of the same name.)
+//
+// Invariant: updates are accepted only on links that this process has dialled to members, never on accepted
+// links or on links to other edges. Addresses received from other edges are only tried.
+#pragma once
+
+#include <algorithm>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "subscription/cluster_view.h"
+#include "subscription/core_discovery.h"
+#include "transport/transport.h"
+
+namespace pearspar::subscription {
+
+struct FollowerOptions {
+  protocol::Incarnation incarnation = 0;
+  std::string name;
+  std::string zone;
+  std::vector<std::string> seeds;  // addresses of members
+  std::string address = {};        // where this edge accepts other edges; empty = nowhere
+};
+
+class Follower {
+ public:
+  Follower(transport::Transport& transport, FollowerOptions options);
+
+  void start(Time now);
+  void set_seeds(std::vector<std::string> seeds);
+  void link_up(transport::LinkId link, const std::string& address);
+  void link_down(transport::LinkId link);
+  // Returns whether the view has changed.
+  bool link_frame(Time now, transport::LinkId link, std::string_view bytes);
+  // Returns whether the view has changed.
+  bool tick(Time now);
+  Time due() const { return std::min({next_contact_, provisional_due_, discovery_.due()}); }
+  // Gives up the lease, before the process ends.
+  void send_goodbye();
+
+  ClusterView& view() { return view_; }
+  const ClusterView& view() const { return view_; }
+  // Sets this edge's coverage in percent, which acknowledgements report.
+  void set_coverage(std::uint32_t percent) { coverage_ = percent; }
+  // Requests retry tokens from the leader. Returns false where none was sent.
+  bool request_tokens(Time now, std::vector<protocol::Tokens> tokens);
+  // Whether a leader is known, and no token request is pending.
+  bool can_request_tokens(Time now) const { return leader_link_ != 0 && now >= token_request_due_; }
+  // Returns false where no leader is known.
+  bool send_quota_request(const pramperet::Ask& request);
+  std::vector<pramperet::Tell> take_quota_replies() { return std::exchange(quota_replies_, {}); }
+  // The tokens granted since the last call, each with the time at which it expires.
+  std::vector<std::pair<Time, protocol::Tokens>> take_granted_tokens() {
+    return std::exchange(granted_tokens_, {});
+  }
+  // Whether the view has a configuration and a list of nodes that is complete, or was awaited long enough.
+  bool is_usable() const { return view_.is_usable() && list_complete_; }
+  std::uint64_t unreadable_frames() const { return unreadable_frames_; }
+  const std::vector<std::string>& core_addresses() const { return core_addresses_; }
+  const CoreDiscovery& discovery() const { return discovery_; }
+
+ private:
+  std::string hello() const;
+  std::string ack() const;
+  bool handle_result(Time now, transport::LinkId link, ClusterView::ApplyResult result);
+  bool apply_provisional(Time now);
+  bool leader_is_silent(Time now) const;
+  void update_targets();
+  void handle_welcome(const protocol::Welcome& welcome);
+  void handle_edge_message(transport::LinkId link, const protocol::Message& message);
+
+  transport::Transport& transport_;
+  FollowerOptions options_;
+  ClusterView view_;
+  std::vector<transport::LinkId> member_links_;
+  std::vector<transport::LinkId> edge_links_;  // to edges that are being queried
+  CoreDiscovery discovery_;
+  bool core_lost_ = false;  // the leader fell silent, and no leader has sent the members' addresses since
+  std::vector<std::string> core_addresses_;
+  raft::Term core_term_ = 0;       // in which core_addresses_ was received
+  bool core_from_leader_ = false;  // whether core_addresses_ was sent by the leader of that term
+  bool list_complete_ = false;
+  std::vector<protocol::StateSnapshot> provisional_;  // from members other than the leader, while none leads
+  Time provisional_due_ = Time::max();
+  bool has_nodes_ = false;
+  Time first_nodes_{};
+  Time last_update_{};  // from a leader
+  Time next_contact_{};
+  transport::LinkId leader_link_ = 0;  // on which the last update arrived; 0 = none
+  std::uint32_t coverage_ = 100;
+  std::uint64_t token_request_ = 0;  // number of the newest one
+  Time token_request_at_{};
+  Time token_request_due_{};
+  std::vector<std::pair<Time, protocol::Tokens>> granted_tokens_;
+  std::vector<pramperet::Tell> quota_replies_;
+  std::uint64_t unreadable_frames_ = 0;
+};
+
+}  // namespace pearspar::subscription
--- a/tests/system/cluster_test.cpp
+++ b/tests/system/cluster_test.cpp
@@ -238,7 +238,7 @@
             cluster.run(0.002);
             int speak = 0;
             for (std::size_t core = 0; core < cluster.cores(); ++core)
-              if (cluster.member(core)->core().may_speak(cluster.world().now())) ++speak;
+              if (cluster.member(core)->core().holds_lease(cluster.world().now())) ++speak;
             CPPUNIT_ASSERT(speak <= 1);
           }
           cluster.heal(address);
@@ -299,7 +299,7 @@
     std::size_t leader = led(cluster);
     cluster.cut_off(cluster.core_address(leader), true, true);
     cluster.run(1.5);
-    CPPUNIT_ASSERT(!cluster.member(leader)->core().may_speak(cluster.world().now()));
+    CPPUNIT_ASSERT(!cluster.member(leader)->core().holds_lease(cluster.world().now()));
     changed(cluster);
     cluster.heal(cluster.core_address(leader));
     cluster.run(3);
@@ -422,8 +422,8 @@
       cluster.run(0.1);
     }
     cluster.run(8);
-    CPPUNIT_ASSERT_EQUAL(cluster.member(led(cluster))->state().edition(),
-                         cluster.member(away)->state().edition());
+    CPPUNIT_ASSERT_EQUAL(cluster.member(led(cluster))->state().revision(),
+                         cluster.member(away)->state().revision());
     good(cluster);
   }
 
@@ -492,7 +492,7 @@
     changed(cluster);
     cluster.run(4);
     for (std::size_t node = 0; node < cluster.nodes(); ++node)
-      if (cluster.node_depot(node) == "shard1") cluster.crash_node(node, 6, true);
+      if (cluster.node_service(node) == "shard1") cluster.crash_node(node, 6, true);
     auto before = cluster.totals();
     cluster.run(5);
     auto after = cluster.totals();
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -1,20 +1,20 @@
-// The packages below the cluster, by themselves: configurations, nodes, news, codecs, the store on a real
-// folder, settings.
+// The components below the cluster: configurations, nodes, updates, codecs, the store in a real directory,
+// the settings.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
 #include <random>
 #include <sstream>
 
-#include "averau/config.h"
-#include "averau/nodes.h"
+#include "catalog/configuration.h"
+#include "catalog/node_list.h"
 #include "coldai/settings.h"
-#include "fanes/agreement.h"
-#include "fanes/messages.h"
-#include "folder.h"
-#include "sennes/state.h"
+#include "control_plane/replicated_state.h"
+#include "protocol/messages.h"
+#include "protocol/raft_codec.h"
 #include "storage/lmdb_store.h"
-#include "vazzoler/view.h"
+#include "subscription/cluster_view.h"
+#include "temp_folder.h"
 
 namespace pearspar {
 
@@ -33,14 +33,14 @@
   return text.replace(at, from.size(), to);
 }
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream out;
   out << in.rdbuf();
   return out.str();
 }
 
-void spill(const std::string& path, const std::string& bytes) {
+void write_file(const std::string& path, const std::string& bytes) {
   std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
@@ -48,28 +48,28 @@
 
 class PartsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PartsTest);
-  CPPUNIT_TEST(aConfigurationIsReadWhole);
-  CPPUNIT_TEST(invalidConfigurationsNameTheirKey);
-  CPPUNIT_TEST(aBeatIsChecked);
-  CPPUNIT_TEST(whatClosesNeverOpensAndWhatIsGoneNeverReturns);
-  CPPUNIT_TEST(anotherNodeTakesTheAddress);
-  CPPUNIT_TEST(messagesComeBackAsTheyWent);
-  CPPUNIT_TEST(noiseIsNoMessage);
-  CPPUNIT_TEST(newsAreTakenInOrderAndNeverBack);
-  CPPUNIT_TEST(aListThatIsBeingGatheredRemovesNothing);
-  CPPUNIT_TEST(theStoreKeepsWhatItSaid);
-  CPPUNIT_TEST(theStoreRefusesAnotherFormat);
-  CPPUNIT_TEST(aTornWriteLeavesTheCommitBefore);
-  CPPUNIT_TEST(settingsNameFileLineAndKey);
-  CPPUNIT_TEST(aChangeThatDoesNotFollowChangesNothing);
+  CPPUNIT_TEST(configurationIsParsed);
+  CPPUNIT_TEST(invalidConfigurationNamesTheFaultyKey);
+  CPPUNIT_TEST(heartbeatIsValidated);
+  CPPUNIT_TEST(closingAndRetiredNodesNeverReopen);
+  CPPUNIT_TEST(newNodeDisplacesTheOldOneAtItsAddress);
+  CPPUNIT_TEST(messagesRoundTrip);
+  CPPUNIT_TEST(corruptMessagesAreReadSafely);
+  CPPUNIT_TEST(updatesApplyInOrderAndNeverGoBack);
+  CPPUNIT_TEST(incompleteListRemovesNoNodes);
+  CPPUNIT_TEST(storeReturnsWhatWasSaved);
+  CPPUNIT_TEST(storeRejectsAnotherFormat);
+  CPPUNIT_TEST(tornWriteKeepsThePreviousCommit);
+  CPPUNIT_TEST(settingsErrorsNameFileLineAndKey);
+  CPPUNIT_TEST(changeOnAnotherBaseHasNoEffect);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void aConfigurationIsReadWhole() {
-    averau::Fault fault;
-    auto read = averau::read_configuration(good_config, fault);
+  void configurationIsParsed() {
+    catalog::Fault fault;
+    auto read = catalog::parse_configuration(good_config, fault);
     CPPUNIT_ASSERT_EQUAL(std::string(), fault.text());
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, read->edition);
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{7}, read->revision);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, read->routes[0].shards.size());
     CPPUNIT_ASSERT(!read->routes[1].safe);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1000}, read->limits.body_bytes);
@@ -77,7 +77,7 @@
     CPPUNIT_ASSERT_EQUAL(good_config, read->text);
   }
 
-  void invalidConfigurationsNameTheirKey() {
+  void invalidConfigurationNamesTheFaultyKey() {
     const std::pair<std::string, std::string> cases[] = {
         {good_config.substr(0, 200), "line 1, column"},
         {good_config + "x", "line 1, column"},
@@ -95,43 +95,43 @@
         {std::string(40, '[') + std::string(40, ']'), "nested too deeply"},
     };
     for (const auto& [text, what] : cases) {
-      averau::Fault fault;
-      CPPUNIT_ASSERT_MESSAGE(text, !averau::read_configuration(text, fault));
+      catalog::Fault fault;
+      CPPUNIT_ASSERT_MESSAGE(text, !catalog::parse_configuration(text, fault));
       CPPUNIT_ASSERT_MESSAGE(fault.text() + " / " + what, fault.text().find(what) != std::string::npos);
     }
   }
 
-  void aBeatIsChecked() {
-    averau::Fault fault;
+  void heartbeatIsValidated() {
+    catalog::Fault fault;
     const std::string good =
         R"({"depot":"d","address":"1.2.3.4:5","nodeState":"closing_out","coldLeftMs":500,"callSeq":4})";
-    auto node = averau::read_beat("i-1", good, averau::Time(averau::Duration(10)), fault);
-    CPPUNIT_ASSERT(node && node->closing && node->call == 4);
+    auto node = catalog::parse_heartbeat("i-1", good, catalog::Time(catalog::Duration(10)), fault);
+    CPPUNIT_ASSERT(node && node->closing && node->sequence == 4);
     CPPUNIT_ASSERT_EQUAL(10.5, node->cold_until.time_since_epoch().count());
     for (const char* broken : {"\"depot\":\"d\",", "\"callSeq\":4", "closing_out", "\"1.2.3.4:5\""})
-      CPPUNIT_ASSERT(!averau::read_beat("i-1", with(good, broken, ""), {}, fault));
+      CPPUNIT_ASSERT(!catalog::parse_heartbeat("i-1", with(good, broken, ""), {}, fault));
   }
 
-  void whatClosesNeverOpensAndWhatIsGoneNeverReturns() {
-    using Taken = averau::NodeList::Taken;
-    averau::NodeList list;
-    averau::Node node{"a", "d", "1:1", "z", "v", 1, false, 1, {}};
-    CPPUNIT_ASSERT(list.put(node) == Taken::news);
-    node.call = 2;
-    CPPUNIT_ASSERT(list.put(node) == Taken::same);
+  void closingAndRetiredNodesNeverReopen() {
+    using PutResult = catalog::NodeList::PutResult;
+    catalog::NodeList list;
+    catalog::Node node{"a", "d", "1:1", "z", "v", 1, false, 1, {}};
+    CPPUNIT_ASSERT(list.put(node) == PutResult::changed);
+    node.sequence = 2;
+    CPPUNIT_ASSERT(list.put(node) == PutResult::unchanged);
     node.closing = true;
-    node.call = 3;
-    CPPUNIT_ASSERT(list.put(node) == Taken::news);
+    node.sequence = 3;
+    CPPUNIT_ASSERT(list.put(node) == PutResult::changed);
     node.closing = false;
-    node.call = 4;  // late, whatever its number says
-    CPPUNIT_ASSERT(list.put(node) == Taken::stale);
-    CPPUNIT_ASSERT(list.gone("a"));
-    CPPUNIT_ASSERT(list.put(node) == Taken::stale);
+    node.sequence = 4;  // delayed, despite its higher number
+    CPPUNIT_ASSERT(list.put(node) == PutResult::stale);
+    CPPUNIT_ASSERT(list.retire("a"));
+    CPPUNIT_ASSERT(list.put(node) == PutResult::stale);
     CPPUNIT_ASSERT(list.all().empty());
   }
 
-  void anotherNodeTakesTheAddress() {
-    averau::NodeList list;
+  void newNodeDisplacesTheOldOneAtItsAddress() {
+    catalog::NodeList list;
     list.put({"a", "d", "1:1", "z", "v", 1, false, 1, {}});
     std::string displaced;
     list.put({"b", "e", "1:1", "z", "v", 1, false, 1, {}}, &displaced);
@@ -139,103 +139,103 @@
     CPPUNIT_ASSERT(!list.find("a") && list.find("b"));
   }
 
-  void messagesComeBackAsTheyWent() {
+  void messagesRoundTrip() {
     raft::Message append;
-    append.kind = raft::MessageKind::install;
+    append.kind = raft::MessageKind::install_snapshot;
     append.from = 5;
     append.term = 9;
     append.entries.push_back({3, 9, raft::EntryKind::membership, "data", {{{7, "a:1"}, {8, "b:2"}}, 3}});
     append.snapshot = {2, 8, {{{7, "a:1"}}, 1}, "state"};
-    auto back = fanes::unpack(fanes::pack(append));
+    auto back = protocol::unpack(protocol::pack(append));
     CPPUNIT_ASSERT(back);
     const auto& message = std::get<raft::Message>(*back);
     CPPUNIT_ASSERT(message.entries == append.entries && message.snapshot.state == "state" &&
                    message.term == 9);
 
-    fanes::Standing standing;
-    standing.at = {4, 17};
-    standing.complete = false;
-    standing.edition = 7;
-    standing.configuration = good_config;
-    standing.nodes.push_back({{"a", "d", "1:1", "z", "v", 3, true, 9, {}}, 250});
-    standing.ended = {"b", "c"};
-    auto stood = fanes::unpack(fanes::pack(standing));
-    CPPUNIT_ASSERT(stood);
-    const auto& again = std::get<fanes::Standing>(*stood);
-    CPPUNIT_ASSERT(again.at == standing.at && again.nodes[0].cold_ms == 250 && again.nodes[0].node.closing);
-    CPPUNIT_ASSERT(again.ended == standing.ended && again.configuration == good_config);
+    protocol::StateSnapshot snapshot;
+    snapshot.at = {4, 17};
+    snapshot.complete = false;
+    snapshot.revision = 7;
+    snapshot.configuration = good_config;
+    snapshot.nodes.push_back({{"a", "d", "1:1", "z", "v", 3, true, 9, {}}, 250});
+    snapshot.retired = {"b", "c"};
+    auto unpacked_snapshot = protocol::unpack(protocol::pack(snapshot));
+    CPPUNIT_ASSERT(unpacked_snapshot);
+    const auto& again = std::get<protocol::StateSnapshot>(*unpacked_snapshot);
+    CPPUNIT_ASSERT(again.at == snapshot.at && again.nodes[0].cold_ms == 250 && again.nodes[0].node.closing);
+    CPPUNIT_ASSERT(again.retired == snapshot.retired && again.configuration == good_config);
   }
 
-  // Whatever comes off a link, the reader takes it or says no; it never reads past its end.
-  void noiseIsNoMessage() {
+  // Bytes from a link are either accepted or rejected, and never read past their end.
+  void corruptMessagesAreReadSafely() {
     std::mt19937 random(7);
-    fanes::Changes changes;
+    protocol::Changes changes;
     changes.after = {2, 3};
     changes.changes.resize(3);
-    const std::string whole = fanes::pack(changes);
-    int taken = 0;
+    const std::string packed = protocol::pack(changes);
+    int accepted = 0;
     for (int i = 0; i < 20000; ++i) {
-      std::string bytes = whole;
-      if (i % 3 == 0) bytes.resize(random() % whole.size());
+      std::string bytes = packed;
+      if (i % 3 == 0) bytes.resize(random() % packed.size());
       for (unsigned flips = random() % 4; flips > 0 && !bytes.empty(); --flips)
         bytes[random() % bytes.size()] = static_cast<char>(random());
-      if (fanes::unpack(bytes)) ++taken;
+      if (protocol::unpack(bytes)) ++accepted;
     }
-    CPPUNIT_ASSERT(taken > 0);
-    CPPUNIT_ASSERT(!fanes::unpack(whole.substr(0, whole.size() - 1)));
-    CPPUNIT_ASSERT(!fanes::unpack(whole + "x"));
+    CPPUNIT_ASSERT(accepted > 0);
+    CPPUNIT_ASSERT(!protocol::unpack(packed.substr(0, packed.size() - 1)));
+    CPPUNIT_ASSERT(!protocol::unpack(packed + "x"));
   }
 
-  void newsAreTakenInOrderAndNeverBack() {
-    using Taken = vazzoler::View::Taken;
-    vazzoler::View view;
-    averau::Time now{};
-    fanes::Standing standing;
-    standing.at = {2, 5};
-    standing.edition = 7;
-    standing.configuration = good_config;
-    standing.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
-    CPPUNIT_ASSERT(view.apply(now, standing) == Taken::news);
-    fanes::Change gone;
-    gone.kind = fanes::ChangeKind::gone;
+  void updatesApplyInOrderAndNeverGoBack() {
+    using ApplyResult = subscription::ClusterView::ApplyResult;
+    subscription::ClusterView view;
+    catalog::Time now{};
+    protocol::StateSnapshot snapshot;
+    snapshot.at = {2, 5};
+    snapshot.revision = 7;
+    snapshot.configuration = good_config;
+    snapshot.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
+    CPPUNIT_ASSERT(view.apply(now, snapshot) == ApplyResult::applied);
+    protocol::Change gone;
+    gone.kind = protocol::ChangeKind::node_retired;
     gone.text = "a";
-    CPPUNIT_ASSERT(view.apply(now, fanes::Changes{{2, 7}, {gone}}) == Taken::behind);
-    CPPUNIT_ASSERT(view.apply(now, fanes::Changes{{3, 1}, {gone}}) == Taken::behind);
-    CPPUNIT_ASSERT(view.apply(now, fanes::Changes{{1, 9}, {gone}}) == Taken::old);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 7}, {gone}}) == ApplyResult::gap);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{3, 1}, {gone}}) == ApplyResult::gap);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{1, 9}, {gone}}) == ApplyResult::stale);
     CPPUNIT_ASSERT(view.nodes().find("a"));
-    CPPUNIT_ASSERT(view.apply(now, fanes::Changes{{2, 5}, {gone}}) == Taken::news);
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 5}, {gone}}) == ApplyResult::applied);
     CPPUNIT_ASSERT(!view.nodes().find("a"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, view.at().number);
-    // Partly known news are taken from where they go on.
-    fanes::Change lost;
-    lost.kind = fanes::ChangeKind::lost;
-    CPPUNIT_ASSERT(view.apply(now, fanes::Changes{{2, 5}, {gone, lost}}) == Taken::news);
+    // Changes that are partly known are applied from the first unknown one on.
+    protocol::Change lost;
+    lost.kind = protocol::ChangeKind::node_removed;
+    CPPUNIT_ASSERT(view.apply(now, protocol::Changes{{2, 5}, {gone, lost}}) == ApplyResult::applied);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, view.at().number);
-    // A newer leader that lags in its configuration takes none away.
-    standing.at = {3, 1};
-    standing.edition = 3;
-    standing.configuration = with(good_config, "\"edition\":7", "\"edition\":3");
-    CPPUNIT_ASSERT(view.apply(now, standing) == Taken::news);
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, view.edition());
-    CPPUNIT_ASSERT(!view.nodes().find("a"));  // gone is gone
-    standing.at = {2, 99};
-    CPPUNIT_ASSERT(view.apply(now, standing) == Taken::old);
+    // A newer leader with an older configuration does not replace the newer one.
+    snapshot.at = {3, 1};
+    snapshot.revision = 3;
+    snapshot.configuration = with(good_config, "\"edition\":7", "\"edition\":3");
+    CPPUNIT_ASSERT(view.apply(now, snapshot) == ApplyResult::applied);
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{7}, view.revision());
+    CPPUNIT_ASSERT(!view.nodes().find("a"));  // retired for good
+    snapshot.at = {2, 99};
+    CPPUNIT_ASSERT(view.apply(now, snapshot) == ApplyResult::stale);
   }
 
-  void aListThatIsBeingGatheredRemovesNothing() {
-    vazzoler::View view;
-    fanes::Standing standing;
-    standing.at = {2, 1};
-    standing.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
-    view.apply({}, standing);
-    standing.at = {3, 1};
-    standing.nodes.clear();
-    standing.complete = false;
-    view.apply({}, standing);
+  void incompleteListRemovesNoNodes() {
+    subscription::ClusterView view;
+    protocol::StateSnapshot snapshot;
+    snapshot.at = {2, 1};
+    snapshot.nodes.push_back({{"a", "x", "1:1", "z", "v", 1, false, 1, {}}, 0});
+    view.apply({}, snapshot);
+    snapshot.at = {3, 1};
+    snapshot.nodes.clear();
+    snapshot.complete = false;
+    view.apply({}, snapshot);
     CPPUNIT_ASSERT(view.nodes().find("a"));
-    standing.at = {3, 2};
-    standing.complete = true;
-    view.apply({}, standing);
+    snapshot.at = {3, 2};
+    snapshot.complete = true;
+    view.apply({}, snapshot);
     CPPUNIT_ASSERT(!view.nodes().find("a"));
   }
 
@@ -243,11 +243,11 @@
     return {index, 4, raft::EntryKind::change, data, {}};
   }
 
-  void theStoreKeepsWhatItSaid() {
-    Folder folder;
+  void storeReturnsWhatWasSaved() {
+    TempFolder folder;
     {
       storage::LmdbStore store(folder.path());
-      raft::Stored empty;
+      raft::PersistentState empty;
       CPPUNIT_ASSERT(!store.load(empty));
       CPPUNIT_ASSERT_EQUAL(raft::MemberId{0}, empty.self);
       CPPUNIT_ASSERT(!store.save_self(42));
@@ -258,7 +258,7 @@
       CPPUNIT_ASSERT(!store.replace_tail(5, {entry(5, "w")}));
     }
     storage::LmdbStore store(folder.path());
-    raft::Stored stored;
+    raft::PersistentState stored;
     CPPUNIT_ASSERT(!store.load(stored));
     CPPUNIT_ASSERT(stored.self == 42 && stored.vote == (raft::Vote{9, 3}));
     CPPUNIT_ASSERT(stored.snapshot.state == "state" && stored.entries.size() == 3);
@@ -271,8 +271,8 @@
     CPPUNIT_ASSERT(stored.entries.empty() && stored.snapshot.index == 9);
   }
 
-  void theStoreRefusesAnotherFormat() {
-    Folder folder;
+  void storeRejectsAnotherFormat() {
+    TempFolder folder;
     {
       storage::LmdbStore store(folder.path());
       store.save_self(42);
@@ -290,15 +290,15 @@
     mdb_txn_commit(txn);
     mdb_env_close(env);
     storage::LmdbStore store(folder.path());
-    raft::Stored stored;
-    CPPUNIT_ASSERT(store.load(stored) == storage::Fault::other_format);
+    raft::PersistentState stored;
+    CPPUNIT_ASSERT(store.load(stored) == storage::StoreError::unsupported_format);
   }
 
-  // Power goes in the middle of a commit: of the pages that it wrote, any may be there or not, as long as the
-  // page that names them (the meta page, written after they are synced) is the old one.
-  void aTornWriteLeavesTheCommitBefore() {
+  // After a power loss during a commit any of its pages may be missing, but the meta page, which is written
+  // after they are synced, is the old one.
+  void tornWriteKeepsThePreviousCommit() {
     constexpr std::size_t page = 4096, metas = 2;
-    Folder folder;
+    TempFolder folder;
     const std::string file = folder.path() + "/data.mdb";
     std::mt19937 random(11);
     std::string old_bytes, new_bytes;
@@ -307,9 +307,9 @@
       store.save_self(42);
       store.replace_tail(1, {entry(1, std::string(9000, 'a'))});
       store.save_vote({3, 1});
-      old_bytes = slurp(file);
+      old_bytes = read_file(file);
       store.replace_tail(2, {entry(2, std::string(20000, 'b'))});
-      new_bytes = slurp(file);
+      new_bytes = read_file(file);
     }
     CPPUNIT_ASSERT(old_bytes != new_bytes);
     for (int round = 0; round < 50; ++round) {
@@ -320,9 +320,9 @@
         for (std::size_t i = at; i < at + page && i < torn.size(); ++i)
           torn[i] = i < old_bytes.size() ? old_bytes[i] : '\0';
       }
-      spill(file, torn);
+      write_file(file, torn);
       storage::LmdbStore store(folder.path());
-      raft::Stored stored;
+      raft::PersistentState stored;
       CPPUNIT_ASSERT(!store.load(stored));
       CPPUNIT_ASSERT(stored.self == 42 && stored.vote == (raft::Vote{3, 1}));
       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stored.entries.size());
@@ -330,7 +330,7 @@
     }
   }
 
-  void settingsNameFileLineAndKey() {
+  void settingsErrorsNameFileLineAndKey() {
     const std::string good =
         "nodeName = \"n\"\nipAddress = \"10.0.0.1\"\ninnerPortRange = [7120,7135]\n"
         "seedNodes = [\"10.0.0.1:8729\"]\nfirstStart = true\nbeatMs = 900\nsomethingNew = 3\n"
@@ -354,27 +354,28 @@
     }
   }
 
-  void aChangeThatDoesNotFollowChangesNothing() {
-    sennes::State state;
-    auto apply = [&](averau::Edition base, const std::string& text) {
+  void changeOnAnotherBaseHasNoEffect() {
+    control_plane::ReplicatedState state;
+    auto apply = [&](catalog::Revision base, const std::string& text) {
       raft::Entry change;
       change.kind = raft::EntryKind::change;
-      averau::Fault fault;
-      auto read = averau::read_configuration(text, fault);
-      change.data = sennes::State::change(base, read->edition, sennes::digest_of(text), text);
+      catalog::Fault fault;
+      auto read = catalog::parse_configuration(text, fault);
+      change.data = control_plane::ReplicatedState::encode_change(base, read->revision,
+                                                                  control_plane::digest_of(text), text);
       state.apply(change);
     };
     apply(0, good_config);
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, state.edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{7}, state.revision());
     apply(0, with(good_config, "\"edition\":7", "\"edition\":9"));
     apply(7, with(good_config, "\"edition\":7", "\"edition\":6"));
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, state.edition());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{7}, state.revision());
     CPPUNIT_ASSERT_EQUAL(good_config, state.text());
-    sennes::State other;
-    other.restore(state.fold());
-    CPPUNIT_ASSERT_EQUAL(averau::Edition{7}, other.edition());
-    CPPUNIT_ASSERT(other.took(7, sennes::digest_of(good_config)));
-    CPPUNIT_ASSERT(!other.took(7, sennes::digest_of(good_config + " ")));
+    control_plane::ReplicatedState other;
+    other.restore(state.take_snapshot());
+    CPPUNIT_ASSERT_EQUAL(catalog::Revision{7}, other.revision());
+    CPPUNIT_ASSERT(other.has_applied(7, control_plane::digest_of(good_config)));
+    CPPUNIT_ASSERT(!other.has_applied(7, control_plane::digest_of(good_config + " ")));
   }
 };
 
--- a/tests/system/promises_test.cpp
+++ b/tests/system/promises_test.cpp
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "altavia/door.h"
-#include "fanes/messages.h"
 #include "net/listener.h"
+#include "protocol/messages.h"
 
 namespace pearspar {
 namespace {
@@ -25,8 +25,8 @@
     R"("lineKind":"unsafe","deadlineMs":4000,"depot":"p","tries":2}],)"
     R"("depots":[{"name":"p","connLimit":20}]})";
 
-struct NoWire : transport::Wire {
-  void keep(const std::vector<std::string>&) override {}
+struct NoWire : transport::Transport {
+  void set_targets(const std::vector<std::string>&) override {}
   bool send_to(const std::string&, std::string_view) override { return true; }
   bool send(transport::LinkId, std::string_view) override { return true; }
 };
@@ -143,26 +143,26 @@
   void setUp() override {
     server = std::make_unique<QuietServer>(loop);
     altavia::Door::Options options;
-    options.follower.life = 1;
+    options.follower.incarnation = 1;
     options.allowance = {1, 100, net::Duration(10)};
     options.most_clients = 20;
     options.warn = [](std::string_view) {};
     door = std::make_unique<altavia::Door>(loop, wire, std::move(options));
     door->start({0x7f000001, 0});
-    fanes::Standing standing;
+    protocol::StateSnapshot standing;
     standing.at = {1, 1};
     standing.complete = true;
     standing.edges = 1;
-    standing.edition = 1;
+    standing.revision = 1;
     standing.configuration = configuration;
-    averau::Node node;
+    catalog::Node node;
     node.id = "i-1";
-    node.depot = "p";
+    node.service = "p";
     node.address = server->address();
     node.slots = 10;
     standing.nodes.push_back({node, 0});
-    door->station().link_up(1, "127.0.0.1:1");
-    door->station().link_frame(loop.now(), 1, fanes::pack(standing));
+    door->gateway().link_up(1, "127.0.0.1:1");
+    door->gateway().link_frame(loop.now(), 1, protocol::pack(standing));
     CPPUNIT_ASSERT(door->take_configuration());
   }
   void tearDown() override {
@@ -189,7 +189,7 @@
     leaves.reset();
     CPPUNIT_ASSERT_MESSAGE("the server hears of it",
                            until(known_within, [&] { return !server->is_open(0); }));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->station().desk().open());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->gateway().dispatcher().open_requests());
   }
 
   void workThatMayNotBeRepeatedRunsOnWithoutItsClient() {
@@ -199,7 +199,7 @@
     leaves.reset();
     CPPUNIT_ASSERT_MESSAGE("it is not broken off", !until(known_within, [&] { return !server->is_open(0); }));
     server->say(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
-    CPPUNIT_ASSERT(until(1s, [&] { return door->station().desk().open() == 0; }));
+    CPPUNIT_ASSERT(until(1s, [&] { return door->gateway().dispatcher().open_requests() == 0; }));
     CPPUNIT_ASSERT_MESSAGE("its connection serves the next", server->is_open(0));
   }
 
@@ -263,13 +263,14 @@
     auto asks = client();
     asks->send(request("/u/x", "a", 3000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    door->end_open();
+    door->finish_open_requests();
     CPPUNIT_ASSERT(until(200ms, [&] { return !asks->seen().empty(); }));
     CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 504"), asks->seen().substr(0, 12));
     CPPUNIT_ASSERT(asks->seen().find("Request-Id: a\r\n") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->front().busy());
-    CPPUNIT_ASSERT(door->station().desk().failures().as_json(loop.now()).find("\"reason\":\"ending\"") !=
-                   std::string::npos);
+    CPPUNIT_ASSERT(
+        door->gateway().dispatcher().failure_log().as_json(loop.now()).find("\"reason\":\"ending\"") !=
+        std::string::npos);
   }
 
   void anAnswerWithoutALengthEndsWithItsConnection() {
--- a/tests/system/store_folder_test.cpp
+++ b/tests/system/store_folder_test.cpp
@@ -1,5 +1,5 @@
-// A store's folder: what a loss of power leaves of a file that has just been made, and files that are cut
-// short, of another use, or not to be read. None of them ends the process.
+// Files of a store: power loss while a file is created, and truncated, foreign or unreadable files, none of
+// which may crash the process.
 #include <cppunit/extensions/HelperMacros.h>
 #include <lmdb.h>
 #include <sys/stat.h>
@@ -10,12 +10,12 @@
 #include <fstream>
 #include <functional>
 
-#include "folder.h"
 #include "storage/lmdb_store.h"
+#include "temp_folder.h"
 
 namespace {
 
-std::function<int()> on_folder_sync;  // none, or what a sync of a folder comes to
+std::function<int()> on_folder_sync;  // if set, returns the errno of a directory sync, 0 = success
 std::function<void()> on_file_sync;
 
 bool is_folder(int fd) {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-// In place of the C library's, for this program's own calls.
+// Replace the C library's functions in this program.
 extern "C" int fsync(int fd) {
   if (on_folder_sync && is_folder(fd))
     if (int fault = on_folder_sync()) {
@@ -43,14 +43,14 @@
 namespace pearspar::storage {
 
 using raft::EntryKind;
-using raft::Stored;
+using raft::PersistentState;
 
 class StoreFolderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreFolderTest);
-  CPPUNIT_TEST(aNameLastsBeforeAnythingIsConfirmed);
-  CPPUNIT_TEST(whatWasBegunBeforeALossOfPowerIsNoStore);
-  CPPUNIT_TEST(aFileThatIsCutShortIsRefused);
-  CPPUNIT_TEST(aFileOfAnotherUseIsLeftAsItIs);
+  CPPUNIT_TEST(directoryIsSyncedBeforeWritesAreConfirmed);
+  CPPUNIT_TEST(unfinishedStoreFileIsDiscarded);
+  CPPUNIT_TEST(truncatedFileIsRejected);
+  CPPUNIT_TEST(foreignFileIsLeftUnchanged);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -59,8 +59,8 @@
     on_file_sync = nullptr;
   }
 
-  void aNameLastsBeforeAnythingIsConfirmed() {
-    Folder folder;
+  void directoryIsSyncedBeforeWritesAreConfirmed() {
+    TempFolder folder;
     LmdbStore store(folder.path());
     bool lasts = false;
     int fault = EIO;
@@ -74,18 +74,18 @@
     CPPUNIT_ASSERT(!store.save_self(5));
     CPPUNIT_ASSERT(lasts);
     lasts = false;
-    LmdbStore again(folder.path());  // also of one that an older program made
-    Stored stored;
+    LmdbStore again(folder.path());  // also when an existing store is opened
+    PersistentState stored;
     CPPUNIT_ASSERT(!again.load(stored));
     CPPUNIT_ASSERT(lasts);
     CPPUNIT_ASSERT_EQUAL(raft::MemberId{5}, stored.self);
   }
 
-  // Until it is synced its pages may be there, missing or torn: it has no name of ours yet.
-  void whatWasBegunBeforeALossOfPowerIsNoStore() {
+  // Before the first sync pages may be missing or torn, so the file must not have its final name yet.
+  void unfinishedStoreFileIsDiscarded() {
     int syncs = 0;
     {
-      Folder folder;
+      TempFolder folder;
       LmdbStore store(folder.path());
       on_file_sync = [&] {
         if (++syncs == 1) CPPUNIT_ASSERT_EQUAL(std::size_t{0}, folder.size());
@@ -95,19 +95,19 @@
     }
     CPPUNIT_ASSERT(syncs > 1);
     for (std::size_t size : {0, 1, 4096, 5000, 8192, 12288}) {
-      Folder folder;
+      TempFolder folder;
       std::ofstream(folder.path() + "/data.new", std::ios::binary) << std::string(size, '\x7f');
       LmdbStore store(folder.path());
-      Stored stored;
+      PersistentState stored;
       CPPUNIT_ASSERT(!store.load(stored) && stored.self == 0);
       CPPUNIT_ASSERT(!store.save_self(7));
       CPPUNIT_ASSERT(::access((folder.path() + "/data.new").c_str(), F_OK) != 0);
     }
   }
 
-  // By whoever copies it. Each cut is refused, or reads as it was: nothing of it was in use.
-  void aFileThatIsCutShortIsRefused() {
-    Folder folder;
+  // Each truncated file is rejected or, if only unused pages are missing, loaded completely.
+  void truncatedFileIsRejected() {
+    TempFolder folder;
     {
       LmdbStore store(folder.path());
       CPPUNIT_ASSERT(!store.save_self(5));
@@ -121,7 +121,7 @@
     for (std::size_t size = 100; size < all.size(); size += 5 * 4096) {
       std::ofstream(file, std::ios::binary | std::ios::trunc) << all.substr(0, size);
       LmdbStore store(folder.path());
-      Stored stored;
+      PersistentState stored;
       if (store.load(stored))
         ++refused;
       else
@@ -130,8 +130,8 @@
     CPPUNIT_ASSERT(refused > 10);
   }
 
-  void aFileOfAnotherUseIsLeftAsItIs() {
-    Folder folder;
+  void foreignFileIsLeftUnchanged() {
+    TempFolder folder;
     {
       MDB_env* env = nullptr;
       MDB_txn* txn = nullptr;
@@ -146,8 +146,8 @@
       CPPUNIT_ASSERT_EQUAL(0, mdb_txn_commit(txn));
       mdb_env_close(env);
     }
-    Stored stored;
-    CPPUNIT_ASSERT(LmdbStore(folder.path()).load(stored) == Fault::other_format);
+    PersistentState stored;
+    CPPUNIT_ASSERT(LmdbStore(folder.path()).load(stored) == StoreError::unsupported_format);
     std::ofstream(folder.path() + "/data.mdb", std::ios::trunc) << std::string(20000, 'x');
     CPPUNIT_ASSERT(LmdbStore(folder.path()).load(stored));
     CPPUNIT_ASSERT_EQUAL(std::size_t{20000}, folder.size());
--- a/tests/system/folder.h
+++ b/tests/system/temp_folder.h
@@ -1,4 +1,4 @@
-// A folder of a test's own, for a store.
+// Temporary directory for a store; removed at the end of the test.
 #pragma once
 
 #include <stdlib.h>
@@ -10,13 +10,13 @@
 
 namespace pearspar {
 
-class Folder {
+class TempFolder {
  public:
-  Folder() {
+  TempFolder() {
     char name[] = "/tmp/altavia-test-XXXXXX";
     path_ = mkdtemp(name);
   }
-  ~Folder() {
+  ~TempFolder() {
     std::remove((path_ + "/data.mdb").c_str());
     rmdir(path_.c_str());
   }
