--- a/src/altavia/door.cpp
+++ b/src/altavia/door.cpp
@@ -131,7 +131,7 @@
     final.status = 400;
     return answer(connection, std::move(final));
   }
-  edgegateway::QuotaIdentity quota_identity;
+  edge_gateway::QuotaIdentity quota_identity;
   if (const catalog::QuotaRules* allowances = gateway_.quota_rules()) {
     quota_identity.holder = message.header(allowances->holder_header).value_or(std::string_view());
     quota_identity.key = allowances->key_header.empty()
--- a/src/altavia/door.h
+++ b/src/altavia/door.h
@@ -1,12 +1,12 @@
-// What stands between clients and nodes: the front door, the connections to nodes, and edgegateway's gateway,
-// which decides. It is given its wire to the core, and listens when it is told to.
+// What stands between clients and nodes: the front door, the connections to nodes, and edge_gateway's
+// gateway, which decides. It is given its wire to the core, and listens when it is told to.
 #pragma once
 
 #include <cstdint>
 #include <unordered_map>
 
 #include "clients/front.h"
-#include "edgegateway/edge_gateway.h"
+#include "edge_gateway/edge_gateway.h"
 #include "net/loop.h"
 #include "upstream/node_links.h"
 
@@ -42,8 +42,8 @@
   clients::Front& front() { return front_; }
   const clients::Front& front() const { return front_; }
   const upstream::NodeLinks& nodes() const { return nodes_; }
-  edgegateway::EdgeGateway& gateway() { return gateway_; }
-  const edgegateway::EdgeGateway& gateway() const { return gateway_; }
+  edge_gateway::EdgeGateway& gateway() { return gateway_; }
+  const edge_gateway::EdgeGateway& gateway() const { return gateway_; }
 
  private:
   void request_arrived(net::SlotId connection, const http::Message& message) override;
@@ -53,7 +53,7 @@
   net::Loop& loop_;
   clients::Front front_;
   upstream::NodeLinks nodes_;
-  edgegateway::EdgeGateway gateway_;
+  edge_gateway::EdgeGateway gateway_;
   catalog::Revision routed_ = 0;                                     // revision whose limits hold
   std::unordered_map<std::uint64_t, net::SlotId> clients_;           // of open requests
   std::unordered_map<std::uint64_t, dispatch::RequestId> requests_;  // the other way
--- a/src/biella/cluster.cpp
+++ b/src/biella/cluster.cpp
@@ -85,7 +85,7 @@
 const dispatch::Dispatcher* Cluster::dispatcher(std::size_t edge) const {
   return edges_[edge]->process ? &edges_[edge]->process->gateway.dispatcher() : nullptr;
 }
-const edgegateway::EdgeGateway* Cluster::gateway(std::size_t edge) const {
+const edge_gateway::EdgeGateway* Cluster::gateway(std::size_t edge) const {
   return edges_[edge]->process ? &edges_[edge]->process->gateway : nullptr;
 }
 std::string Cluster::node_address(std::size_t node) const { return nodes_[node]->address; }
--- a/src/biella/cluster.h
+++ b/src/biella/cluster.h
@@ -19,7 +19,7 @@
 #include "biella/strikes.h"
 #include "control_plane/member.h"
 #include "dispatch/dispatcher.h"
-#include "edgegateway/edge_gateway.h"
+#include "edge_gateway/edge_gateway.h"
 #include "subscription/follower.h"
 
 namespace pearspar::altavia {
@@ -199,7 +199,7 @@
   void set_allowances(const std::string& json) { options_.allowances = json; }
   const Auditor& auditor() const { return auditor_; }
   std::vector<std::string> audit(const std::vector<Auditor::Limit>& limits, bool exactly) const;
-  const edgegateway::EdgeGateway* gateway(std::size_t edge) const;
+  const edge_gateway::EdgeGateway* gateway(std::size_t edge) const;
   // Told whenever an edge routes by another revision.
   std::function<void(std::size_t edge, std::uint64_t revision)> edge_told = [](std::size_t, std::uint64_t) {};
   std::vector<std::string> seeds() const;
@@ -244,7 +244,7 @@
   void ask();
   // A client's request by its name and path, and further lines of its head.
   void request(Edge& edge, const std::string& id, const std::string& target, const std::string& lines,
-               const edgegateway::QuotaIdentity& quota_identity);
+               const edge_gateway::QuotaIdentity& quota_identity);
   void count_for_services(Edge& edge, const std::string& id, const std::string& target);
   // What its client hears in the end; `stamps` and `missing` of a gathered answer.
   void heard(const std::string& id, int status, const std::string& stamps, const std::string& missing,
--- a/src/biella/cluster_edges.cpp
+++ b/src/biella/cluster_edges.cpp
@@ -56,12 +56,12 @@
       port(to.net_, of.address, *this),
       gateway(make_gateway(number)) {}
 
-edgegateway::EdgeGateway& Cluster::Edge::Process::make_gateway(std::uint64_t number) {
+edge_gateway::EdgeGateway& Cluster::Edge::Process::make_gateway(std::uint64_t number) {
   const ClusterOptions& options = cluster.options_;
   subscription::FollowerOptions follower{number, edge.name, "z", cluster.seeds(), edge.address};
   dispatch::RetryBudgetRules rules{options.retry_ratio, options.retry_slack, std::chrono::seconds(10)};
   if (!options.http) {
-    alone = std::make_unique<edgegateway::EdgeGateway>(port, follower, *this, rules);
+    alone = std::make_unique<edge_gateway::EdgeGateway>(port, follower, *this, rules);
     return *alone;
   }
   service = std::make_unique<Service>(cluster.streams_);
@@ -220,7 +220,7 @@
 }
 
 void Cluster::request(Edge& edge, const std::string& id, const std::string& target, const std::string& lines,
-                      const edgegateway::QuotaIdentity& quota_identity) {
+                      const edge_gateway::QuotaIdentity& quota_identity) {
   if (clients_) return clients_->send_one(edge, id, target, lines);
   calls_.begun(id, {"GET", target, "", id[0] != 'u', id[0] == 'g'});
   calls_.sent(id);
@@ -245,7 +245,7 @@
 
 void Cluster::Edge::Process::take_request(const std::string& id, const std::string& target,
                                           const std::string& lines,
-                                          const edgegateway::QuotaIdentity& quota_identity) {
+                                          const edge_gateway::QuotaIdentity& quota_identity) {
   dispatch::ClientRequest arrival;
   arrival.method = "GET";
   arrival.target = target;
--- a/src/biella/cluster_operators.cpp
+++ b/src/biella/cluster_operators.cpp
@@ -131,7 +131,7 @@
   std::size_t member = named ? static_cast<std::size_t>(order.first) : member_to_ask();
   if (cores_[member]->gone) member = member_to_ask();
   int number = ++sent->tries;
-  // On an revision that is not in force yet it is no proper order: its time begins when that one is.
+  // On a revision that is not in force yet it is no proper order: its time begins when that one is.
   bool proper = order.on_top_of <= checker_.newest_acknowledged();
   if (!proper) sent->sent = seconds();
   bool served = proper && core_serves(member);
--- a/src/biella/cluster_parts.h
+++ b/src/biella/cluster_parts.h
@@ -8,7 +8,7 @@
 #include "altavia/door.h"
 #include "biella/cluster.h"
 #include "biella/cluster_http.h"
-#include "edgegateway/edge_gateway.h"
+#include "edge_gateway/edge_gateway.h"
 
 namespace pearspar::biella {
 
@@ -129,15 +129,15 @@
       explicit Service(Streams& streams) : host(streams) {}
     };
     std::unique_ptr<Service> service;
-    std::unique_ptr<edgegateway::EdgeGateway> alone;
-    edgegateway::EdgeGateway& gateway;
+    std::unique_ptr<edge_gateway::EdgeGateway> alone;
+    edge_gateway::EdgeGateway& gateway;
     catalog::Revision routed = 0;
     Time wake{};
     bool woken = false;
     std::unordered_map<std::uint64_t, std::string> open;  // request -> its id
     Process(Cluster& to, Edge& of, std::uint64_t number);
     ~Process() override;
-    edgegateway::EdgeGateway& make_gateway(std::uint64_t number);
+    edge_gateway::EdgeGateway& make_gateway(std::uint64_t number);
     // Every second, on its own loop.
     void sweep();
     void link_up(transport::LinkId link, const std::string& address) override {
@@ -159,7 +159,7 @@
     bool start(dispatch::CallId call, const dispatch::NodeState& node, int most,
                dispatch::NodeRequest request, dispatch::Time end) override;
     void take_request(const std::string& id, const std::string& target, const std::string& lines,
-                      const edgegateway::QuotaIdentity& quota_identity);
+                      const edge_gateway::QuotaIdentity& quota_identity);
     void finish(const std::string& id, const dispatch::ClientResponse& answer);
     void turn();
   };
--- a/src/control_plane/controller.h
+++ b/src/control_plane/controller.h
@@ -19,7 +19,7 @@
 #include "control_plane/pending_calls.h"
 #include "control_plane/replicated_state.h"
 #include "pramperet/bursar.h"
-#include "retrytokens/token_pool.h"
+#include "retry_tokens/token_pool.h"
 
 namespace pearspar::control_plane {
 
@@ -37,7 +37,7 @@
   std::string name;
   std::string zone;
   Duration heartbeat_interval = std::chrono::milliseconds(1200);
-  retrytokens::TokenPoolRules pool;  // the retry budget shared by all edges
+  retry_tokens::TokenPoolRules pool;  // the retry budget shared by all edges
   ReplicatedState::ConfigurationParser parse_configuration = catalog::parse_configuration;
 };
 
@@ -86,7 +86,7 @@
 
   const subscription::ClusterView& view() const { return view_; }
   const Followers& followers() const { return followers_; }
-  const retrytokens::TokenPool& pool() const { return pool_; }
+  const retry_tokens::TokenPool& pool() const { return pool_; }
   const pramperet::Bursar& bursar() const { return bursar_; }
   // Whether this member serves as the leader of the current term.
   bool is_active() const { return followers_.is_open(); }
@@ -146,7 +146,7 @@
   ReplicatedState& state_;
   subscription::ClusterView view_;
   Followers followers_;
-  retrytokens::TokenPool pool_;
+  retry_tokens::TokenPool pool_;
   pramperet::Bursar bursar_;
   CallLimiter call_limiter_{max_calls, max_call_bytes};  // of all pending calls
   std::deque<Request> waiting_;  // for a leader, for the current proposal to end, or for their base
--- a/src/dispatch/retry_budget.h
+++ b/src/dispatch/retry_budget.h
@@ -1,7 +1,7 @@
 // Retry budget: limits the calls that a service receives beyond the first call of each request (retries and
 // hedged calls). Over all edges and in any window they are at most `ratio` times the requests plus `slack`.
 // Each edge spends the ratio of its own requests and its share of the slack, and when that runs low it asks
-// the leader for tokens of the slack that all edges share (see retrytokens).
+// the leader for tokens of the slack that all edges share (see retry_tokens).
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "dispatch/types.h"
-#include "retrytokens/token_pool.h"
+#include "retry_tokens/token_pool.h"
 
 namespace pearspar::dispatch {
 
@@ -42,7 +42,7 @@
   // Less than the whole rule is spent: a restarted edge has forgotten its earlier spending, and requests and
   // calls may fall into different windows.
   static constexpr double ratio_factor = 0.7;
-  static constexpr double slack_factor = retrytokens::fixed_slack;
+  static constexpr double slack_factor = retry_tokens::fixed_slack;
   static constexpr double low_budget = 2;          // remaining calls at which tokens are requested
   static constexpr std::uint32_t token_batch = 4;  // tokens per request
 
--- a/src/edgegateway/edge_gateway.cpp
+++ b/src/edge_gateway/edge_gateway.cpp
@@ -1,11 +1,11 @@
-#include "edgegateway/edge_gateway.h"
+#include "edge_gateway/edge_gateway.h"
 
 #include <algorithm>
 #include <cmath>
 
 #include "invariants/invariants.h"
 
-namespace pearspar::edgegateway {
+namespace pearspar::edge_gateway {
 namespace {
 
 using namespace std::chrono_literals;
@@ -240,4 +240,4 @@
   return std::exchange(responses_, {});
 }
 
-}  // namespace pearspar::edgegateway
+}  // namespace pearspar::edge_gateway
--- a/src/edgegateway/edge_gateway.h
+++ b/src/edge_gateway/edge_gateway.h
@@ -15,7 +15,7 @@
 #include "pramperet/purse.h"
 #include "subscription/follower.h"
 
-namespace pearspar::edgegateway {
+namespace pearspar::edge_gateway {
 
 using dispatch::Duration;
 using dispatch::RequestId;
@@ -107,4 +107,4 @@
   std::vector<std::pair<RequestId, dispatch::ClientResponse>> responses_;
 };
 
-}  // namespace pearspar::edgegateway
+}  // namespace pearspar::edge_gateway
--- a/src/measure/capacity_edges.cpp
+++ b/src/measure/capacity_edges.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <unordered_map>
 
-#include "edgegateway/edge_gateway.h"
+#include "edge_gateway/edge_gateway.h"
 #include "measure/capacity.h"
 #include "net/loop.h"
 #include "protocol/messages.h"
@@ -177,7 +177,7 @@
   EdgeBoard& board_;
   NoCalls calls_;
   transport::TcpTransport links_;
-  std::optional<edgegateway::EdgeGateway> gateway_;
+  std::optional<edge_gateway::EdgeGateway> gateway_;
   std::optional<subscription::Follower> follower_;
   ListDigest list_;
   net::Timer timer_;
--- a/src/measure/system_bench.cpp
+++ b/src/measure/system_bench.cpp
@@ -9,7 +9,7 @@
 #include "dispatch/dispatcher.h"
 #include "dispatch/merge.h"
 #include "protocol/delta.h"
-#include "retrytokens/token_pool.h"
+#include "retry_tokens/token_pool.h"
 
 namespace pearspar {
 namespace {
@@ -179,7 +179,7 @@
 BENCHMARK(configuration_read)->Arg(10)->Arg(300)->Arg(3000);
 
 void tokens_granted(benchmark::State& state) {
-  retrytokens::TokenPool pool;
+  retry_tokens::TokenPool pool;
   pool.set({218, std::chrono::seconds(10)});
   Time now{Duration(100)};
   for (auto _ : state) benchmark::DoNotOptimize(pool.grant(now += Duration(0.05), "d", 4));
--- a/src/retrytokens/token_pool.cpp
+++ b/src/retry_tokens/token_pool.cpp
@@ -1,8 +1,8 @@
-#include "retrytokens/token_pool.h"
+#include "retry_tokens/token_pool.h"
 
 #include <algorithm>
 
-namespace pearspar::retrytokens {
+namespace pearspar::retry_tokens {
 
 std::uint32_t TokenPool::grant(Time now, const std::string& service, std::uint32_t wanted) {
   auto refuse = [&] {
@@ -32,4 +32,4 @@
   return tokens;
 }
 
-}  // namespace pearspar::retrytokens
+}  // namespace pearspar::retry_tokens
--- a/src/retrytokens/token_pool.h
+++ b/src/retry_tokens/token_pool.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <unordered_map>
 
-namespace pearspar::retrytokens {
+namespace pearspar::retry_tokens {
 
 using Duration = std::chrono::duration<double>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -56,4 +56,4 @@
   std::uint64_t refused_ = 0;
 };
 
-}  // namespace pearspar::retrytokens
+}  // namespace pearspar::retry_tokens
--- a/src/subscription/follower.cpp
+++ b/src/subscription/follower.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "retrytokens/token_pool.h"
+#include "retry_tokens/token_pool.h"
 
 namespace pearspar::subscription {
 namespace {
@@ -117,7 +117,7 @@
     if (grant->number != token_request_) return false;
     token_request_due_ = token_request_at_ + token_request_interval;
     for (const protocol::Tokens& each : grant->tokens)
-      granted_tokens_.emplace_back(token_request_at_ + retrytokens::token_lifetime, each);
+      granted_tokens_.emplace_back(token_request_at_ + retry_tokens::token_lifetime, each);
     return false;
   }
   if (const auto* reply = std::get_if<pramperet::Tell>(&*message)) {
--- a/tests/system/leader_updates_test.cpp
+++ b/tests/system/leader_updates_test.cpp
@@ -8,7 +8,7 @@
 #include "biella/cluster.h"
 #include "control_plane/followers.h"
 #include "protocol/delta.h"
-#include "retrytokens/token_pool.h"
+#include "retry_tokens/token_pool.h"
 
 namespace pearspar {
 
@@ -405,14 +405,14 @@
   // With random delays between request, grant and use, no window may see more tokens spent than the leader
   // may grant.
   void grantedTokensStayWithinShareOfEachWindow() {
-    using retrytokens::Duration;
-    using retrytokens::Time;
+    using retry_tokens::Duration;
+    using retry_tokens::Time;
     for (unsigned seed = 1; seed <= 20; ++seed) {
       std::mt19937 random(seed);
       auto uniform = [&](double least, double most) {
         return std::uniform_real_distribution<double>(least, most)(random);
       };
-      retrytokens::TokenPool pool;
+      retry_tokens::TokenPool pool;
       pool.set({56, std::chrono::seconds(10)});
       Time start{Duration(100)};
       pool.open(start);
@@ -421,7 +421,7 @@
         double arrives = at + uniform(0, 0.3);
         std::uint32_t count = pool.grant(start + Duration(arrives), "d", 1 + random() % 4);
         for (std::uint32_t i = 0; i < count; ++i)
-          spent.push_back(uniform(arrives, at + retrytokens::token_lifetime.count()));
+          spent.push_back(uniform(arrives, at + retry_tokens::token_lifetime.count()));
       }
       std::sort(spent.begin(), spent.end());
       std::size_t most = 0;
@@ -429,21 +429,21 @@
         while (spent[last] - spent[first] > 10) ++first;
         most = std::max(most, last - first + 1);
       }
-      CPPUNIT_ASSERT(most <= 56 * retrytokens::shared_slack);
-      CPPUNIT_ASSERT(spent.size() > 8 * 56 * retrytokens::shared_slack);  // nearly all tokens are used
+      CPPUNIT_ASSERT(most <= 56 * retry_tokens::shared_slack);
+      CPPUNIT_ASSERT(spent.size() > 8 * 56 * retry_tokens::shared_slack);  // nearly all tokens are used
     }
   }
 
   void newLeaderGrantsNothingUntilOldTokensExpire() {
-    retrytokens::TokenPool pool;
+    retry_tokens::TokenPool pool;
     pool.set({56, std::chrono::seconds(10)});
-    retrytokens::Time now{retrytokens::Duration(100)};
+    retry_tokens::Time now{retry_tokens::Duration(100)};
     pool.open(now);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, pool.grant(now + retrytokens::Duration(11.9), "d", 4));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + retrytokens::Duration(12), "d", 4));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, pool.grant(now + retry_tokens::Duration(11.9), "d", 4));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + retry_tokens::Duration(12), "d", 4));
     // A request for everything gets half of what is left.
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{8}, pool.grant(now + retrytokens::Duration(12), "d", 100));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + retrytokens::Duration(12), "d", 100));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{8}, pool.grant(now + retry_tokens::Duration(12), "d", 100));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, pool.grant(now + retry_tokens::Duration(12), "d", 100));
   }
 
   // Most requests come to one edge while nodes crash: the shared tokens allow it more retries within the
--- a/tests/system/raft_cluster.h
+++ b/tests/system/raft_cluster.h
@@ -23,7 +23,7 @@
 constexpr Duration tick_length = std::chrono::milliseconds(1);
 
 // A machine that a member runs on.
-struct Place : StateMachine {
+struct TestMember : StateMachine {
   std::string address;
   double rate = 1;  // of its clock
   Time clock{Duration(1000)};
@@ -55,41 +55,41 @@
 
   // Adds a machine without starting a member on it: "m0", "m1", ...
   std::size_t add() {
-    places_.push_back(std::make_unique<Place>());
-    places_.back()->address = "m" + std::to_string(places_.size() - 1);
-    places_.back()->disk = std::make_unique<SimDisk>(world_);
-    return places_.size() - 1;
+    members_.push_back(std::make_unique<TestMember>());
+    members_.back()->address = "m" + std::to_string(members_.size() - 1);
+    members_.back()->disk = std::make_unique<SimDisk>(world_);
+    return members_.size() - 1;
   }
   std::error_code start(std::size_t at, bool first = false) {
-    Place& place = *places_[at];
+    TestMember& member = *members_[at];
     Options options;
-    options.address = place.address;
+    options.address = member.address;
     for (std::size_t i = 0; i < founders_; ++i) options.founders.push_back(address_of(i));
     options.seeds = options.founders;
-    for (const auto& other : places_)
+    for (const auto& other : members_)
       if (other->core) options.seeds.push_back(other->address);
     options.first_start = first;
     options.fresh_id = world_.number() | 1;
     options.seed = world_.number();
     options.timing = timing_;
-    place.held.clear();
-    place.core = std::make_unique<Core>(*place.disk, place, std::move(options));
-    return place.core->start(place.clock);
+    member.held.clear();
+    member.core = std::make_unique<Core>(*member.disk, member, std::move(options));
+    return member.core->start(member.clock);
   }
-  void end(std::size_t at) { places_[at]->core.reset(); }
+  void stop(std::size_t at) { members_[at]->core.reset(); }
   void wipe(std::size_t at) {
-    end(at);
-    places_[at]->disk->wipe();
+    stop(at);
+    members_[at]->disk->wipe();
   }
-  std::unique_ptr<SimDisk> copy(std::size_t at) { return std::make_unique<SimDisk>(*places_[at]->disk); }
+  std::unique_ptr<SimDisk> copy(std::size_t at) { return std::make_unique<SimDisk>(*members_[at]->disk); }
   void put_disk(std::size_t at, const SimDisk& disk) {
-    end(at);
-    places_[at]->disk = std::make_unique<SimDisk>(disk);
+    stop(at);
+    members_[at]->disk = std::make_unique<SimDisk>(disk);
   }
-  void freeze(std::size_t at, double for_s) { places_[at]->frozen_until = world_.now() + Duration(for_s); }
+  void freeze(std::size_t at, double for_s) { members_[at]->frozen_until = world_.now() + Duration(for_s); }
   void cut(std::size_t from, std::size_t to) { cut_.insert({from, to}); }
   void cut_off(std::size_t at, bool in, bool out) {
-    for (std::size_t other = 0; other < places_.size(); ++other) {
+    for (std::size_t other = 0; other < members_.size(); ++other) {
       if (in) cut(other, at);
       if (out) cut(at, other);
     }
@@ -113,35 +113,35 @@
   }
 
   World& world() { return world_; }
-  std::size_t places() const { return places_.size(); }
-  Core& core(std::size_t at) { return *places_[at]->core; }
-  Place& place(std::size_t at) { return *places_[at]; }
-  bool up(std::size_t at) const { return places_[at]->core != nullptr; }
-  Time now(std::size_t at) const { return places_[at]->clock; }
+  std::size_t size() const { return members_.size(); }
+  Core& core(std::size_t at) { return *members_[at]->core; }
+  TestMember& member(std::size_t at) { return *members_[at]; }
+  bool up(std::size_t at) const { return members_[at]->core != nullptr; }
+  Time now(std::size_t at) const { return members_[at]->clock; }
   double seconds() const { return world_.now().time_since_epoch().count(); }
-  bool speaks(std::size_t at) const {
-    const Place& place = *places_[at];
-    return place.core && place.frozen_until <= world_.now() && place.core->holds_lease(place.clock);
+  bool holds_lease(std::size_t at) const {
+    const TestMember& member = *members_[at];
+    return member.core && member.frozen_until <= world_.now() && member.core->holds_lease(member.clock);
   }
-  // The first member that holds a leader's lease; places() if there is none.
-  std::size_t speaker() const {
+  // The first member that holds a leader's lease; size() if there is none.
+  std::size_t lease_holder() const {
     std::size_t at = 0;
-    while (at < places_.size() && !speaks(at)) ++at;
+    while (at < members_.size() && !holds_lease(at)) ++at;
     return at;
   }
-  std::size_t led() {
-    CPPUNIT_ASSERT_MESSAGE("there is no leader", until(5, [&] { return speaker() < places_.size(); }));
-    return speaker();
+  std::size_t wait_for_leader() {
+    CPPUNIT_ASSERT_MESSAGE("there is no leader", until(5, [&] { return lease_holder() < members_.size(); }));
+    return lease_holder();
   }
-  const Membership& count(std::size_t at) { return core(at).log().membership(); }
-  std::size_t voters(std::size_t at) { return count(at).voters.size(); }
-  bool counts(std::size_t at) {
-    std::size_t leader = led();
-    return up(at) && count(leader).has(core(at).self());
+  const Membership& membership(std::size_t at) { return core(at).log().membership(); }
+  std::size_t voter_count(std::size_t at) { return membership(at).voters.size(); }
+  bool is_voter(std::size_t at) {
+    std::size_t leader = wait_for_leader();
+    return up(at) && membership(leader).has(core(at).self());
   }
 
   // Proposes a change. Returns whether it was committed in time; from then on it must never be lost.
-  bool change(std::size_t at, double timeout_s = 1) {
+  bool commit_change(std::size_t at, double timeout_s = 1) {
     std::string data = "change " + std::to_string(++changes_);
     auto index = core(at).propose(now(at), data);
     if (!index) return false;
@@ -153,39 +153,39 @@
     return committed;
   }
   // The first violation of an invariant; empty = none.
-  std::string judged() {
-    std::size_t leader = speaker();
-    if (leader == places_.size()) fail("there is no leader");
+  std::string first_violation() {
+    std::size_t leader = lease_holder();
+    if (leader == members_.size()) fail("there is no leader");
     for (const std::string& data : committed_changes_)
-      if (leader < places_.size() && std::ranges::count(place(leader).held, data) == 0)
+      if (leader < members_.size() && std::ranges::count(member(leader).held, data) == 0)
         fail(data + " was committed and is lost");
     return fault_;
   }
-  void good() {
-    led();
-    CPPUNIT_ASSERT_EQUAL(std::string(), judged());
+  void expect_no_violation() {
+    wait_for_leader();
+    CPPUNIT_ASSERT_EQUAL(std::string(), first_violation());
   }
-  const std::string& fault() const { return fault_; }
-  std::size_t least_count() const { return min_voters_; }
-  void hand(std::size_t to, const Message& message) { core(to).step(now(to), message); }
+  const std::string& first_fault() const { return fault_; }
+  std::size_t min_voters() const { return min_voters_; }
+  void deliver(std::size_t to, const Message& message) { core(to).step(now(to), message); }
 
  private:
   static std::string address_of(std::size_t at) { return "m" + std::to_string(at); }
   void turn() {
     world_.run_until(world_.now() + tick_length);
-    for (auto& place : places_) place->clock += place->rate * tick_length;
-    for (std::size_t at = 0; at < places_.size(); ++at) {
-      Place& place = *places_[at];
-      if (!place.core || place.frozen_until > world_.now()) continue;
+    for (auto& member : members_) member->clock += member->rate * tick_length;
+    for (std::size_t at = 0; at < members_.size(); ++at) {
+      TestMember& member = *members_[at];
+      if (!member.core || member.frozen_until > world_.now()) continue;
       for (Message& message : std::exchange(inbox_[at], {}))
-        if (place.core) place.core->step(place.clock, message);
-      if (place.core->due() <= place.clock) place.core->tick(place.clock);
+        if (member.core) member.core->step(member.clock, message);
+      if (member.core->due() <= member.clock) member.core->tick(member.clock);
     }
-    for (std::size_t at = 0; at < places_.size(); ++at) {
-      if (!places_[at]->core) continue;
-      for (OutgoingMessage& out : places_[at]->core->take_out()) {
+    for (std::size_t at = 0; at < members_.size(); ++at) {
+      if (!members_[at]->core) continue;
+      for (OutgoingMessage& out : members_[at]->core->take_out()) {
         std::size_t to = std::stoul(out.address.substr(1));
-        if (!cut_.contains({at, to}) && places_[to]->core) inbox_[to].push_back(std::move(out.message));
+        if (!cut_.contains({at, to}) && members_[to]->core) inbox_[to].push_back(std::move(out.message));
       }
     }
     check_invariants();
@@ -193,11 +193,11 @@
 
   void check_invariants() {
     std::size_t lease_holders = 0;
-    for (std::size_t at = 0; at < places_.size(); ++at) lease_holders += speaks(at);
+    for (std::size_t at = 0; at < members_.size(); ++at) lease_holders += holds_lease(at);
     if (lease_holders > 1) fail("two members hold the lease at once");
-    for (const auto& place : places_) {
-      if (!place->core) continue;
-      const Log& log = place->core->log();
+    for (const auto& member : members_) {
+      if (!member->core) continue;
+      const Log& log = member->core->log();
       const Membership* before = &log.snapshot().membership;
       for (Index i = log.first(); i <= log.last(); ++i) {
         if (log.at(i).kind == EntryKind::membership) {
@@ -208,7 +208,7 @@
           if (others > 1) fail("an entry changes more than one voter");
           before = &next;
         }
-        if (i > place->core->commit()) continue;
+        if (i > member->core->commit()) continue;
         auto [entry, fresh] = committed_.emplace(i, log.at(i));
         if (!fresh && !(entry->second == log.at(i))) fail("two entries committed at " + std::to_string(i));
       }
@@ -222,7 +222,7 @@
   World world_;
   Timing timing_;
   std::size_t founders_;
-  std::vector<std::unique_ptr<Place>> places_;
+  std::vector<std::unique_ptr<TestMember>> members_;
   std::map<std::size_t, std::vector<Message>> inbox_;
   std::set<std::pair<std::size_t, std::size_t>> cut_;
   std::map<Index, Entry> committed_;
@@ -235,13 +235,14 @@
 // A random sequence of crashes, wiped disks, freezes, partitions and replacements, with a majority of the
 // members available at any time. A member that is back, or new, counts as lost until it has had time to catch
 // up.
-class Walk {
+class RandomFaults {
  public:
-  Walk(std::size_t members, std::uint64_t seed) : band_(members, seed), max_lost_((members - 1) / 2) {}
+  RandomFaults(std::size_t members, std::uint64_t seed)
+      : cluster_(members, seed), max_lost_((members - 1) / 2) {}
 
   // Returns the first violation; empty = none.
-  std::string play(int events, double max_without_leader) {
-    band_.run(3);
+  std::string run(int events, double max_without_leader) {
+    cluster_.run(3);
     for (int i = 0; i < events && longest_without_leader_ <= max_without_leader; ++i) {
       inject_fault();
       run_and_watch(world_.uniform(0.05, 3));
@@ -249,34 +250,35 @@
     run_and_watch(12);
     if (longest_without_leader_ > max_without_leader)
       return std::to_string(longest_without_leader_) + " s without a leader";
-    return band_.judged();
+    return cluster_.first_violation();
   }
-  const std::vector<std::string>& story() const { return events_; }
+  const std::vector<std::string>& events() const { return events_; }
 
  private:
   static constexpr double catch_up_s = 4, leave_timeout_s = 5.1;
 
   void run_and_watch(double seconds) {
-    for (double end = band_.seconds() + seconds; band_.seconds() < end; band_.run(0.02)) {
-      if (band_.speaker() < band_.places()) without_leader_since_ = band_.seconds();
-      longest_without_leader_ = std::max(longest_without_leader_, band_.seconds() - without_leader_since_);
-      if (world_.chance(0.01) && band_.speaker() < band_.places()) band_.change(band_.speaker(), 0.2);
+    for (double end = cluster_.seconds() + seconds; cluster_.seconds() < end; cluster_.run(0.02)) {
+      if (cluster_.lease_holder() < cluster_.size()) without_leader_since_ = cluster_.seconds();
+      longest_without_leader_ = std::max(longest_without_leader_, cluster_.seconds() - without_leader_since_);
+      if (world_.chance(0.01) && cluster_.lease_holder() < cluster_.size())
+        cluster_.commit_change(cluster_.lease_holder(), 0.2);
     }
   }
   void log_event(const std::string& what, std::size_t at) {
-    events_.push_back(std::to_string(band_.seconds() - 1000) + " " + what + " m" + std::to_string(at));
+    events_.push_back(std::to_string(cluster_.seconds() - 1000) + " " + what + " m" + std::to_string(at));
   }
   std::size_t lost() const {
     return static_cast<std::size_t>(std::count_if(
-        lost_.begin(), lost_.end(), [&](const auto& each) { return each.second > band_.seconds(); }));
+        lost_.begin(), lost_.end(), [&](const auto& each) { return each.second > cluster_.seconds(); }));
   }
-  void lose(std::size_t at, double for_s) { lost_[at] = band_.seconds() + for_s + catch_up_s; }
+  void lose(std::size_t at, double for_s) { lost_[at] = cluster_.seconds() + for_s + catch_up_s; }
 
   void inject_fault() {
-    std::size_t at = world_.below(band_.places());
-    bool leader = world_.chance(0.4) && band_.speaker() < band_.places();
-    if (leader) at = band_.speaker();
-    if (!band_.up(at) || leaving_.contains(at) || lost_[at] > band_.seconds()) return;
+    std::size_t at = world_.below(cluster_.size());
+    bool leader = world_.chance(0.4) && cluster_.lease_holder() < cluster_.size();
+    if (leader) at = cluster_.lease_holder();
+    if (!cluster_.up(at) || leaving_.contains(at) || lost_[at] > cluster_.seconds()) return;
     int kind = static_cast<int>(world_.below(6));
     double span = world_.uniform(0.1, 6);
     if (lost() >= max_lost_) return;
@@ -284,21 +286,21 @@
     lose(at, span);
     if (kind == 0 || kind == 1) {
       log_event(kind == 0 ? "killed" : "wiped", at);
-      kind == 0 ? band_.end(at) : band_.wipe(at);
-      world_.in(Duration(span), [this, at] { band_.start(at); });
+      kind == 0 ? cluster_.stop(at) : cluster_.wipe(at);
+      world_.in(Duration(span), [this, at] { cluster_.start(at); });
     } else if (kind == 2) {
       log_event("frozen", at);
-      band_.freeze(at, span);
+      cluster_.freeze(at, span);
     } else if (kind == 3) {
       log_event("cut off", at);
       std::uint64_t way = world_.below(3);
-      band_.cut_off(at, way != 1, way != 2);
-      world_.in(Duration(span), [this, at] { band_.join(at); });
+      cluster_.cut_off(at, way != 1, way != 2);
+      world_.in(Duration(span), [this, at] { cluster_.join(at); });
     } else {
       log_event("gone for good", at);
-      band_.end(at);
-      std::size_t fresh = band_.add();
-      world_.in(Duration(span), [this, fresh] { band_.start(fresh); });
+      cluster_.stop(at);
+      std::size_t fresh = cluster_.add();
+      world_.in(Duration(span), [this, fresh] { cluster_.start(fresh); });
     }
   }
   // Starts a replacement for the member and then asks it to leave, while faults go on.
@@ -306,27 +308,27 @@
     if (!leaving_.empty()) return;
     log_event("leaves", at);
     leaving_.insert(at);
-    std::size_t fresh = band_.add();
-    band_.start(fresh);
+    std::size_t fresh = cluster_.add();
+    cluster_.start(fresh);
     lose(fresh, 0);
     world_.in(Duration(world_.uniform(catch_up_s, 7)), [this, at] {
       log_event("asked to end", at);
-      leave_asked_at_ = band_.seconds();
-      band_.core(at).leave(band_.now(at));
+      leave_asked_at_ = cluster_.seconds();
+      cluster_.core(at).leave(cluster_.now(at));
       await_leave(at);
     });
   }
   void await_leave(std::size_t at) {
-    double since = band_.seconds() - leave_asked_at_;
-    if ((since < 0.4 || !band_.core(at).may_shut_down()) && since < leave_timeout_s)
+    double since = cluster_.seconds() - leave_asked_at_;
+    if ((since < 0.4 || !cluster_.core(at).may_shut_down()) && since < leave_timeout_s)
       return world_.in(Duration(0.02), [this, at] { await_leave(at); });
     log_event("ended", at);
-    band_.end(at);
+    cluster_.stop(at);
     leaving_.clear();
   }
 
-  RaftCluster band_;
-  World& world_ = band_.world();
+  RaftCluster cluster_;
+  World& world_ = cluster_.world();
   std::size_t max_lost_;
   std::map<std::size_t, double> lost_;
   std::set<std::size_t> leaving_;
--- a/tests/system/start_test.cpp
+++ b/tests/system/start_test.cpp
@@ -67,10 +67,10 @@
           order.erase(order.begin() + static_cast<std::ptrdiff_t>(at));
           cluster.run(order.empty() ? 0 : cluster.world().uniform(0, 0.3));
         }
-        CPPUNIT_ASSERT(cluster.until(2, [&] { return cluster.speaker() < members; }));
-        CPPUNIT_ASSERT(cluster.change(cluster.led()));
-        CPPUNIT_ASSERT_EQUAL(members, cluster.voters(cluster.led()));
-        cluster.good();
+        CPPUNIT_ASSERT(cluster.until(2, [&] { return cluster.lease_holder() < members; }));
+        CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
+        CPPUNIT_ASSERT_EQUAL(members, cluster.voter_count(cluster.wait_for_leader()));
+        cluster.expect_no_violation();
       }
   }
 
@@ -79,22 +79,22 @@
     for (int how = 0; how < 3; ++how) {
       RaftCluster cluster(3, 5);
       cluster.wipe(2);
-      CPPUNIT_ASSERT(cluster.change(cluster.led()));
+      CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
       if (how == 1)
-        for (int i = 0; i < 100; ++i) CPPUNIT_ASSERT(cluster.change(cluster.led()));
+        for (int i = 0; i < 100; ++i) CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
       if (how == 2) {
         cluster.start(2);
-        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(2); }));
+        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(2); }));
         cluster.wipe(2);
       }
       cluster.run(20);
       cluster.start(2, true);
-      CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(2); }));
-      CPPUNIT_ASSERT_EQUAL(3u, cluster.count(cluster.led()).wanted);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voters(cluster.led()));
-      cluster.end(cluster.led() == 0 ? 1 : 0);
-      CPPUNIT_ASSERT(cluster.change(cluster.led()));
-      cluster.good();
+      CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(2); }));
+      CPPUNIT_ASSERT_EQUAL(3u, cluster.membership(cluster.wait_for_leader()).wanted);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voter_count(cluster.wait_for_leader()));
+      cluster.stop(cluster.wait_for_leader() == 0 ? 1 : 0);
+      CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
+      cluster.expect_no_violation();
     }
   }
 
@@ -103,9 +103,9 @@
       for (int writes = 0; writes < 3; ++writes) {
         RaftCluster cluster(3, 9);
         cluster.wipe(2);
-        CPPUNIT_ASSERT(cluster.change(cluster.led()));
-        Place state_machine;
-        FailingStore failing_store(*cluster.place(2).disk, writes);
+        CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
+        TestMember state_machine;
+        FailingStore failing_store(*cluster.member(2).disk, writes);
         Options options;
         options.address = "m2";
         options.founders = options.seeds = {"m0", "m1", "m2"};
@@ -114,15 +114,15 @@
         CPPUNIT_ASSERT(Core(failing_store, state_machine, options).start(cluster.now(2)));
         cluster.run(1);
         cluster.start(2, first);
-        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(2); }));
+        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(2); }));
         // Started once more, before anything else was written.
-        cluster.end(2);
+        cluster.stop(2);
         cluster.start(2, false);
-        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(2); }));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voters(cluster.led()));
-        cluster.end(cluster.led() == 0 ? 1 : 0);
-        CPPUNIT_ASSERT(cluster.change(cluster.led()));
-        cluster.good();
+        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(2); }));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voter_count(cluster.wait_for_leader()));
+        cluster.stop(cluster.wait_for_leader() == 0 ? 1 : 0);
+        CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
+        cluster.expect_no_violation();
       }
   }
 
@@ -131,37 +131,37 @@
     RaftCluster cluster(3);
     std::size_t newcomer = cluster.add();
     cluster.start(newcomer);
-    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(newcomer); }));
-    std::size_t b = cluster.led() == 0 ? 1 : 0;
+    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(newcomer); }));
+    std::size_t b = cluster.wait_for_leader() == 0 ? 1 : 0;
     cluster.core(b).leave(cluster.now(b));
-    CPPUNIT_ASSERT(cluster.until(2, [&] { return cluster.core(b).may_shut_down() && !cluster.counts(b); }));
-    cluster.end(b);
+    CPPUNIT_ASSERT(cluster.until(2, [&] { return cluster.core(b).may_shut_down() && !cluster.is_voter(b); }));
+    cluster.stop(b);
     cluster.run(2);
     cluster.start(b, true);
-    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(b); }));
-    CPPUNIT_ASSERT_EQUAL(3u, cluster.count(cluster.led()).wanted);
-    cluster.good();
+    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(b); }));
+    CPPUNIT_ASSERT_EQUAL(3u, cluster.membership(cluster.wait_for_leader()).wanted);
+    cluster.expect_no_violation();
   }
 
   // The member has to draw a new id five times, each time since the leader claims an entry that it has lost.
   void eachNewMemberIdIsUnique() {
     RaftCluster cluster(3);
-    std::size_t a = cluster.led(), c = a == 2 ? 1 : 2;
+    std::size_t a = cluster.wait_for_leader(), c = a == 2 ? 1 : 2;
     std::set<MemberId> ids{cluster.core(c).self()};
     for (int i = 0; i < 5; ++i) {
       Message append;
       append.kind = MessageKind::append_entries;
       append.from = cluster.core(a).self();
-      append.from_address = cluster.place(a).address;
+      append.from_address = cluster.member(a).address;
       append.to = cluster.core(c).self();
       append.term = cluster.core(c).term();
       append.index = append.acknowledged = cluster.core(c).log().last() + 1;
       append.log_term = append.term;
-      cluster.hand(c, append);
+      cluster.deliver(c, append);
       CPPUNIT_ASSERT_MESSAGE("the id was used before", ids.insert(cluster.core(c).self()).second);
     }
-    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(c); }));
-    cluster.good();
+    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(c); }));
+    cluster.expect_no_violation();
   }
 
   // In clusters of one, two and four a newcomer joins, then a member or the leader is asked to leave, twice.
@@ -169,26 +169,27 @@
     for (std::size_t members : {1, 2, 4})
       for (bool leader : {true, false}) {
         RaftCluster cluster(members, 3);
-        std::size_t a = cluster.led(), newcomer = cluster.add();
-        CPPUNIT_ASSERT(cluster.change(a));
+        std::size_t a = cluster.wait_for_leader(), newcomer = cluster.add();
+        CPPUNIT_ASSERT(cluster.commit_change(a));
         cluster.start(newcomer);
-        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(newcomer); }));
-        a = cluster.led();
+        CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(newcomer); }));
+        a = cluster.wait_for_leader();
         std::size_t leaver = leader ? a : (a + 1) % members;
         cluster.core(leaver).leave(cluster.now(leaver));
         cluster.run(0.02);
         cluster.core(leaver).leave(cluster.now(leaver));
         CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.core(leaver).may_shut_down(); }));
-        cluster.end(leaver);
-        CPPUNIT_ASSERT(cluster.change(cluster.led()));
-        CPPUNIT_ASSERT_EQUAL(members, cluster.voters(cluster.led()));
-        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(members), cluster.count(cluster.led()).wanted);
+        cluster.stop(leaver);
+        CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
+        CPPUNIT_ASSERT_EQUAL(members, cluster.voter_count(cluster.wait_for_leader()));
+        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(members),
+                             cluster.membership(cluster.wait_for_leader()).wanted);
         // A restart withdraws the request to leave.
         cluster.start(leaver);
-        CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.counts(leaver); }));
+        CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.is_voter(leaver); }));
         cluster.run(3);
-        CPPUNIT_ASSERT(cluster.counts(leaver));
-        cluster.good();
+        CPPUNIT_ASSERT(cluster.is_voter(leaver));
+        cluster.expect_no_violation();
       }
   }
 
@@ -198,42 +199,43 @@
     RaftCluster cluster(3);
     std::size_t newcomer = cluster.add();
     cluster.start(newcomer);
-    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.counts(newcomer); }));
-    std::size_t b = cluster.led() == 0 ? 1 : 0;
+    CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(newcomer); }));
+    std::size_t b = cluster.wait_for_leader() == 0 ? 1 : 0;
     cluster.core(b).leave(cluster.now(b));
-    CPPUNIT_ASSERT(cluster.until(2, [&] { return cluster.core(b).may_shut_down() && !cluster.counts(b); }));
-    Index out = cluster.core(cluster.led()).log().membership_index();
+    CPPUNIT_ASSERT(cluster.until(2, [&] { return cluster.core(b).may_shut_down() && !cluster.is_voter(b); }));
+    Index out = cluster.core(cluster.wait_for_leader()).log().membership_index();
     cluster.run(5);
-    CPPUNIT_ASSERT_EQUAL(out, cluster.core(cluster.led()).log().membership_index());
-    cluster.end(b);
+    CPPUNIT_ASSERT_EQUAL(out, cluster.core(cluster.wait_for_leader()).log().membership_index());
+    cluster.stop(b);
     cluster.run(0.1);
     cluster.start(b);
     Message round;
     round.kind = MessageKind::append_entries;
-    round.from = cluster.core(cluster.led()).self();
-    round.from_address = cluster.place(cluster.led()).address;
-    round.term = cluster.core(cluster.led()).term();
+    round.from = cluster.core(cluster.wait_for_leader()).self();
+    round.from_address = cluster.member(cluster.wait_for_leader()).address;
+    round.term = cluster.core(cluster.wait_for_leader()).term();
     round.index = cluster.core(b).log().last();
     round.log_term = cluster.core(b).log().last_term();
-    cluster.hand(b, round);
-    CPPUNIT_ASSERT(cluster.until(1, [&] { return cluster.counts(b); }));
-    cluster.good();
+    cluster.deliver(b, round);
+    CPPUNIT_ASSERT(cluster.until(1, [&] { return cluster.is_voter(b); }));
+    cluster.expect_no_violation();
   }
 
   void leaderWithWipedDiskRejoins() {
     for (std::size_t members : {3, 4, 5})
       for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         RaftCluster cluster(members, seed);
-        std::size_t a = cluster.led();
-        CPPUNIT_ASSERT(cluster.change(a));
+        std::size_t a = cluster.wait_for_leader();
+        CPPUNIT_ASSERT(cluster.commit_change(a));
         cluster.core(a).propose(cluster.now(a), "under way");
         if (seed % 2) cluster.run(0.003);
         cluster.wipe(a);
         cluster.start(a);
-        CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.speaker() < members && cluster.counts(a); }));
-        CPPUNIT_ASSERT_EQUAL(members, cluster.voters(cluster.led()));
-        CPPUNIT_ASSERT(cluster.change(cluster.led()));
-        cluster.good();
+        CPPUNIT_ASSERT(
+            cluster.until(4, [&] { return cluster.lease_holder() < members && cluster.is_voter(a); }));
+        CPPUNIT_ASSERT_EQUAL(members, cluster.voter_count(cluster.wait_for_leader()));
+        CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
+        cluster.expect_no_violation();
       }
   }
 
@@ -241,42 +243,44 @@
   void fullDiskDuringReplacementLosesNothing() {
     for (int moment = 0; moment < 60; ++moment) {
       RaftCluster cluster(3, 13);
-      std::size_t a = cluster.led(), c = a == 2 ? 1 : 2, full = static_cast<std::size_t>(moment) % 3;
-      for (int i = 0; i < 70; ++i) CPPUNIT_ASSERT(cluster.change(a));
+      std::size_t a = cluster.wait_for_leader(), c = a == 2 ? 1 : 2,
+                  full = static_cast<std::size_t>(moment) % 3;
+      for (int i = 0; i < 70; ++i) CPPUNIT_ASSERT(cluster.commit_change(a));
       cluster.wipe(c);
       cluster.start(c);
       cluster.run(0.02 * moment);
-      cluster.place(full).disk->set_full(true);
+      cluster.member(full).disk->set_full(true);
       cluster.core(a).propose(cluster.now(a), "as it is full");
       cluster.run(0.7);
-      cluster.place(full).disk->set_full(false);
-      CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.speaker() < 3 && cluster.counts(c); }));
-      CPPUNIT_ASSERT(cluster.change(cluster.led()));
+      cluster.member(full).disk->set_full(false);
+      CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.lease_holder() < 3 && cluster.is_voter(c); }));
+      CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
       CPPUNIT_ASSERT(cluster.until(2, [&] {
         return cluster.core(0).commit() == cluster.core(1).commit() &&
                cluster.core(1).commit() == cluster.core(2).commit();
       }));
-      cluster.good();
+      cluster.expect_no_violation();
     }
   }
 
   void leaderLeavesWhileNewcomerCatchesUp() {
     for (int moment = 0; moment < 40; ++moment) {
       RaftCluster cluster(3, 11);
-      std::size_t a = cluster.led(), newcomer = cluster.add();
-      CPPUNIT_ASSERT(cluster.change(a));
+      std::size_t a = cluster.wait_for_leader(), newcomer = cluster.add();
+      CPPUNIT_ASSERT(cluster.commit_change(a));
       cluster.start(newcomer);
       cluster.run(0.001 * moment);
       cluster.core(a).leave(cluster.now(a));
       double asked = cluster.seconds();
       CPPUNIT_ASSERT(cluster.until(
           4, [&] { return cluster.seconds() > asked + 0.4 && cluster.core(a).may_shut_down(); }));
-      cluster.end(a);
-      CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.speaker() < 4 && cluster.counts(newcomer); }));
+      cluster.stop(a);
+      CPPUNIT_ASSERT(
+          cluster.until(4, [&] { return cluster.lease_holder() < 4 && cluster.is_voter(newcomer); }));
       cluster.run(3);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voters(cluster.led()));
-      CPPUNIT_ASSERT(cluster.change(cluster.led()));
-      cluster.good();
+      CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voter_count(cluster.wait_for_leader()));
+      CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
+      cluster.expect_no_violation();
     }
   }
 };
