--- a/src/altavia/edge.cpp
+++ b/src/altavia/edge.cpp
@@ -147,7 +147,7 @@
 
 std::vector<metrics::Sample> Edge::samples() const {
   const dispatch::DispatcherCounters& dispatcher = door_.gateway().dispatcher().counters();
-  const pramperet::PurseCounters& purse = door_.gateway().purse().counters();
+  const quota::EdgeQuotaCounters& edge_quota = door_.gateway().edge_quota().counters();
   const upstream::LinkCounters& links = door_.nodes().counters();
   const clients::FrontCounters& front = door_.front().counters();
   auto n = [](auto value) { return static_cast<double>(value); };
@@ -161,11 +161,12 @@
        n(dispatcher.refused)},
       {"altavia_given_up_total", "of those, for services that were asked for more than they can do",
        n(dispatcher.given_up)},
-      {"altavia_allowance_drawn_total", "tokens of allowances spent here", n(purse.drawn)},
-      {"altavia_allowance_repeated_total", "tries of what was counted here before", n(purse.repeated)},
-      {"altavia_allowance_waited_total", "requests that waited for the leader's word", n(purse.waited)},
-      {"altavia_allowance_refused_total", "refused: nothing was left, or no word came", n(purse.refused)},
-      {"altavia_allowance_given_back_total", "drawn, and run by nobody", n(purse.given_back)},
+      {"altavia_allowance_drawn_total", "tokens of allowances spent here", n(edge_quota.drawn)},
+      {"altavia_allowance_repeated_total", "tries of what was counted here before", n(edge_quota.repeated)},
+      {"altavia_allowance_waited_total", "requests that waited for the leader's word", n(edge_quota.waited)},
+      {"altavia_allowance_refused_total", "refused: nothing was left, or no word came",
+       n(edge_quota.refused)},
+      {"altavia_allowance_given_back_total", "drawn, and run by nobody", n(edge_quota.given_back)},
       {"altavia_failed_total", "given up after something may have run", n(dispatcher.failed)},
       {"altavia_no_route_total", "404", n(dispatcher.no_route)},
       {"altavia_calls_total", "requests sent to nodes", n(dispatcher.calls)},
--- a/src/biella/allowance_explore.cpp
+++ b/src/biella/allowance_explore.cpp
@@ -8,38 +8,38 @@
 #include <set>
 #include <unordered_set>
 
-#include "pramperet/purse.h"
 #include "protocol/pack.h"
+#include "quota/edge_quota.h"
 
 namespace pearspar::biella {
 namespace {
 
-using pramperet::Accounts;
-using pramperet::Ask;
-using pramperet::Duration;
-using pramperet::Leaf;
-using pramperet::Purse;
-using pramperet::Tell;
-using pramperet::Time;
+using quota::AccountKey;
+using quota::Duration;
+using quota::EdgeQuota;
+using quota::QuotaLedger;
+using quota::QuotaReply;
+using quota::QuotaRequest;
+using quota::Time;
 
 constexpr double tick_s =
     1.6;  // one: questions are sent again, the lease holds; two: it and the silence are over
 constexpr double silence_s = 3;
-const Leaf leaf{"f", "k"};
+const AccountKey account_key{"f", "k"};
 
 struct EdgeState {
-  std::optional<Purse> purse;
-  std::optional<Ask> ask;    // on its way
-  std::optional<Tell> tell;  // on its way
+  std::optional<EdgeQuota> edge_quota;
+  std::optional<QuotaRequest> ask;  // on its way
+  std::optional<QuotaReply> tell;   // on its way
   int said = 0;
 };
 
 struct State {
   int now = 0;  // ticks
-  Accounts accounts;
+  QuotaLedger quota_ledger;
   std::vector<EdgeState> edges;
-  std::map<pramperet::Life, int> heard;
-  std::map<pramperet::Window, std::set<int>> spent;  // keys, by the window of their tokens
+  std::map<quota::EdgeSession, int> heard;
+  std::map<quota::Window, std::set<int>> spent;  // keys, by the window of their tokens
   int crashes = 0, losses = 0, turns = 0, given_up = 0;
   std::uint64_t starts = 0;
 };
@@ -56,16 +56,17 @@
   explicit Search(const AllowanceExploreOptions& options) : options_(options) {
     auto rules = std::make_shared<catalog::QuotaRules>();
     rules->window_ms = 3.6e6;
-    rules->accounts.push_back({leaf.holder, leaf.kind, static_cast<std::uint64_t>(options.limit), false});
-    rules->account_index[leaf.holder + '\n' + leaf.kind] = 0;
+    rules->accounts.push_back(
+        {account_key.holder, account_key.kind, static_cast<std::uint64_t>(options.limit), false});
+    rules->account_index[account_key.holder + '\n' + account_key.kind] = 0;
     rules_ = std::move(rules);
   }
 
   AllowanceExplored run() {
     State first;
-    first.accounts.configure(rules_);
-    first.accounts.set_unsettled(static_cast<std::uint64_t>(options_.unsettled));
-    first.accounts.turn(1);
+    first.quota_ledger.configure(rules_);
+    first.quota_ledger.set_max_unsettled(static_cast<std::uint64_t>(options_.unsettled));
+    first.quota_ledger.advance_window(1);
     first.edges.resize(static_cast<std::size_t>(options_.edges));
     for (EdgeState& edge : first.edges) start(first, edge);
     add(std::move(first), 0, "start", 0);
@@ -83,44 +84,44 @@
 
   void start(State& state, EdgeState& edge) {
     edge = {};
-    edge.purse.emplace(1000 * ++state.starts + 7);
-    edge.purse->set_unsettled(static_cast<std::uint64_t>(options_.unsettled));
-    edge.purse->configure(rules_);
+    edge.edge_quota.emplace(1000 * ++state.starts + 7);
+    edge.edge_quota->set_max_unsettled(static_cast<std::uint64_t>(options_.unsettled));
+    edge.edge_quota->configure(rules_);
   }
 
   std::string describe(const State& state) const {
     protocol::Packer packer;
-    state.accounts.fold(packer);
+    state.quota_ledger.save(packer);
     std::string out(packer.view());
     auto put = [&](std::uint64_t value) { out += std::to_string(value) + ','; };
     put(static_cast<std::uint64_t>(state.now));
     put(static_cast<std::uint64_t>(state.crashes) * 64 + static_cast<std::uint64_t>(state.losses) * 8 +
         static_cast<std::uint64_t>(state.turns));
     for (const EdgeState& edge : state.edges) {
-      out += edge.purse->describe(time(state));
+      out += edge.edge_quota->describe(time(state));
       put(static_cast<std::uint64_t>(edge.said));
       out += edge.ask ? "a" : "-";
       if (edge.ask) put(edge.ask->number);
       out += edge.tell ? "t" : "-";
       if (edge.tell) {
-        put(edge.tell->number), put(edge.tell->window), put(edge.tell->gone);
+        put(edge.tell->number), put(edge.tell->window), put(edge.tell->session_expired);
         for (const auto& given : edge.tell->given) put(given.count), put(given.exhausted);
       }
     }
-    for (const auto& [life, at] : state.heard)
-      put(life), put(static_cast<std::uint64_t>(std::min(7, state.now - at)));
+    for (const auto& [session, at] : state.heard)
+      put(session), put(static_cast<std::uint64_t>(std::min(7, state.now - at)));
     for (const auto& [window, keys] : state.spent)
       for (int key : keys) put(window), put(static_cast<std::uint64_t>(key));
     return out;
   }
 
   void check(const State& state) {
-    for (const auto& line : state.accounts.lines()) {
+    for (const auto& line : state.quota_ledger.lines()) {
       auto spent = state.spent.find(line.window);
       std::uint64_t truth = spent == state.spent.end() ? 0 : spent->second.size();
       std::uint64_t held = line.count.drawn + line.count.in_doubt + line.count.out;
       if (truth > line.limit) found_.fault = "more was spent than the limit";
-      if (line.window == state.accounts.window() && held > line.limit)
+      if (line.window == state.quota_ledger.window() && held > line.limit)
         found_.fault = "more is out than the limit";
       if (truth > held) found_.fault = "something was spent that nothing covers";
     }
@@ -154,37 +155,39 @@
       auto of = [e](State& state) -> EdgeState& { return state.edges[static_cast<std::size_t>(e)]; };
       for (int key = 0; key < options_.keys; ++key)
         step(at, name + " is asked for " + std::to_string(key), [&](State& state) {
-          auto verdict =
-              of(state).purse->draw(time(state), leaf.holder, leaf.kind, std::to_string(key), false);
+          auto verdict = of(state).edge_quota->draw(time(state), account_key.holder, account_key.kind,
+                                                    std::to_string(key), false);
           // Tries of what was counted before change nothing that is checked here.
-          std::uint64_t before = queue_[at].state.edges[static_cast<std::size_t>(e)].purse->counters().drawn;
-          if (of(state).purse->counters().drawn > before) {
+          std::uint64_t before =
+              queue_[at].state.edges[static_cast<std::size_t>(e)].edge_quota->counters().drawn;
+          if (of(state).edge_quota->counters().drawn > before) {
             bool repeated = false;
             for (const auto& [window, keys] : state.spent) repeated = repeated || keys.count(key);
             if (!repeated) state.spent[verdict.ticket.window].insert(key);
           }
           bool first =
-              of(state).purse->counters().waited == 1 && verdict.kind == pramperet::Verdict::Kind::wait;
-          return first || of(state).purse->counters().drawn > before;
+              of(state).edge_quota->counters().waited == 1 && verdict.kind == quota::DrawResult::Kind::wait;
+          return first || of(state).edge_quota->counters().drawn > before;
         });
       step(at, name + " says what it has to say", [&](State& state) {
         if (of(state).ask || of(state).said >= options_.asks) return false;
         ++of(state).said;
-        auto ask = of(state).purse->take_ask(time(state));
+        auto ask = of(state).edge_quota->take_request(time(state));
         of(state).ask = ask;
         return ask.has_value();
       });
       step(at, "its words are applied: " + name, [&](State& state) {
         EdgeState& edge = of(state);
         if (!edge.ask) return false;
-        state.heard[edge.ask->life] = state.now;
-        state.accounts.apply(*edge.ask);
-        Tell tell;
+        state.heard[edge.ask->session] = state.now;
+        state.quota_ledger.apply(*edge.ask);
+        QuotaReply tell;
         tell.number = edge.ask->number;
-        tell.window = state.accounts.window();
+        tell.window = state.quota_ledger.window();
         tell.left_ms = 3600000;
-        tell.gone = state.accounts.is_gone(edge.ask->life);
-        if (const auto* given = state.accounts.given(edge.ask->life, edge.ask->number)) tell.given = *given;
+        tell.session_expired = state.quota_ledger.is_expired(edge.ask->session);
+        if (const auto* given = state.quota_ledger.given(edge.ask->session, edge.ask->number))
+          tell.given = *given;
         edge.tell = std::move(tell);
         edge.ask.reset();
         return true;
@@ -192,7 +195,7 @@
       step(at, name + " hears", [&](State& state) {
         EdgeState& edge = of(state);
         if (!edge.tell) return false;
-        edge.purse->on_tell(time(state), *edge.tell);
+        edge.edge_quota->on_reply(time(state), *edge.tell);
         edge.tell.reset();
         return true;
       });
@@ -216,7 +219,7 @@
           // What it has said is on its way all the same.
           auto said = of(state).ask;
           start(state, of(state));
-          if (said) state.accounts.apply(*said);
+          if (said) state.quota_ledger.apply(*said);
           return true;
         });
     }
@@ -225,15 +228,15 @@
     if (queue_[at].state.turns < options_.turns)
       step(at, "the window turns", [&](State& state) {
         ++state.turns;
-        state.accounts.turn(state.accounts.window() + 1);
+        state.quota_ledger.advance_window(state.quota_ledger.window() + 1);
         return true;
       });
-    for (pramperet::Life life : queue_[at].state.accounts.lives())
+    for (quota::EdgeSession session : queue_[at].state.quota_ledger.sessions_with_tokens())
       step(at, "a life is given up", [&](State& state) {
-        auto heard = state.heard.find(life);
+        auto heard = state.heard.find(session);
         int since = heard == state.heard.end() ? 0 : heard->second;
         if (!options_.forget_silence && (state.now - since) * tick_s <= silence_s) return false;
-        state.accounts.gone(life);
+        state.quota_ledger.expire_edge(session);
         ++state.given_up;
         return true;
       });
--- a/src/biella/allowance_explore.h
+++ b/src/biella/allowance_explore.h
@@ -12,7 +12,7 @@
 struct AllowanceExploreOptions {
   int edges = 3;
   int limit = 2;
-  int unsettled = 1;  // in place of most_unsettled, so that something comes back
+  int unsettled = 1;  // in place of max_unsettled, so that something comes back
   int keys = 2;
   int crashes = 1;
   int losses = 1;  // messages
--- a/src/biella/auditor.cpp
+++ b/src/biella/auditor.cpp
@@ -29,7 +29,7 @@
   return found == ran_.end() ? 0 : found->second.size();
 }
 
-std::vector<std::string> Auditor::judge(const std::vector<pramperet::Accounts::Line>& lines,
+std::vector<std::string> Auditor::judge(const std::vector<quota::QuotaLedger::Line>& lines,
                                         const std::vector<Limit>& limits, std::uint64_t windows,
                                         bool exactly) const {
   std::vector<std::string> faults;
@@ -38,7 +38,7 @@
   };
   std::map<Level, Sum> sums;
   for (const auto& line : lines) {
-    Sum& sum = sums[{line.leaf.holder, line.leaf.kind}];
+    Sum& sum = sums[{line.account_key.holder, line.account_key.kind}];
     sum.drawn += line.count.drawn;
     sum.unsure += line.count.unsure;
     // Tokens of a window that is over are in doubt as well, until their edge has told.
--- a/src/biella/auditor.h
+++ b/src/biella/auditor.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "pramperet/accounts.h"
+#include "quota/quota_ledger.h"
 
 namespace pearspar::biella {
 
@@ -26,7 +26,7 @@
     std::uint64_t most = 0;
   };
   // All being at rest. `windows`: that have begun; limits are held against what ran only where it is one.
-  std::vector<std::string> judge(const std::vector<pramperet::Accounts::Line>& lines,
+  std::vector<std::string> judge(const std::vector<quota::QuotaLedger::Line>& lines,
                                  const std::vector<Limit>& limits, std::uint64_t windows, bool exactly) const;
 
   std::uint64_t truth(const std::string& holder, const std::string& kind) const;
--- a/src/biella/cluster_ballast.cpp
+++ b/src/biella/cluster_ballast.cpp
@@ -16,12 +16,12 @@
   entry.kind = raft::EntryKind::change;
   entry.data = control_plane::ReplicatedState::encode_change(0, 1, control_plane::digest_of(text), text);
   state.apply(entry);
-  pramperet::Ask ask;
-  ask.life = 1;
+  quota::QuotaRequest ask;
+  ask.session = 1;
   ask.number = 1;
   ask.window = 1;
-  pramperet::Settled settled;
-  settled.leaf = {std::string(holder_bytes, 'h'), "pull"};
+  quota::SettledDraws settled;
+  settled.account_key = {std::string(holder_bytes, 'h'), "pull"};
   settled.window = 1;
   for (std::size_t key = 1; key <= bytes / claim_bytes; ++key) settled.keys.push_back(key << 20);
   ask.settled.push_back(std::move(settled));
--- a/src/biella/cluster_retrievals.cpp
+++ b/src/biella/cluster_retrievals.cpp
@@ -67,7 +67,7 @@
 std::vector<std::string> Cluster::audit(const std::vector<Auditor::Limit>& limits, bool exactly) const {
   int place = leader();
   if (place < 0) return {"nobody leads at the audit"};
-  const auto& accounts = member(static_cast<std::size_t>(place))->state().accounts();
+  const auto& accounts = member(static_cast<std::size_t>(place))->state().quota_ledger();
   return auditor_.judge(accounts.lines(), limits, accounts.window(), exactly);
 }
 
--- a/src/control_plane/controller.cpp
+++ b/src/control_plane/controller.cpp
@@ -44,14 +44,14 @@
   next_expiry_ = now;
   followers_.open(now, core_.term(), false);
   pool_.open(now);
-  bursar_.open(now, state_.accounts());
+  quota_allocator_.open(now, state_.quota_ledger());
   // The empty first change moves this member's own position to the new term.
   followers_.add(now, {});
 }
 
 void Controller::deactivate(Time now) {
   followers_.close();
-  bursar_.close();
+  quota_allocator_.close();
   finish_proposal(now);
   finish_pending_updates(now);
 }
@@ -85,7 +85,8 @@
 
 Time Controller::due() const {
   Time due = forwarded_.due();
-  if (is_active()) due = std::min({due, followers_.due(), next_expiry_, bursar_.due(state_.quota_rules())});
+  if (is_active())
+    due = std::min({due, followers_.due(), next_expiry_, quota_allocator_.due(state_.quota_rules())});
   for (const Request& request : waiting_) due = std::min(due, request.deadline);
   if (proposal_)
     for (const Request& request : proposal_->callers) due = std::min(due, request.deadline);
@@ -102,13 +103,14 @@
 
 // Quota requests of edges are appended to the log, and answered once they are applied.
 void Controller::advance_quotas(Time now) {
-  bursar_.watch(now, state_.accounts());
+  quota_allocator_.observe_window(now, state_.quota_ledger());
   if (!is_active()) return;
   const catalog::QuotaRules* rules = state_.quota_rules();
   if (core_.holds_lease(now))
-    if (auto entry = bursar_.entry(now, state_.accounts(), rules))
-      bursar_.proposed(core_.propose(now, ReplicatedState::encode_quota_commands(*entry)));
-  for (auto& [link, answer] : bursar_.tells(now, core_.applied(), state_.accounts(), rules))
+    if (auto entry = quota_allocator_.next_entry(now, state_.quota_ledger(), rules))
+      quota_allocator_.proposed(core_.propose(now, ReplicatedState::encode_quota_commands(*entry)));
+  for (auto& [link, answer] :
+       quota_allocator_.take_replies(now, core_.applied(), state_.quota_ledger(), rules))
     link_frames_.push_back({link, protocol::pack(std::move(answer))});
 }
 
@@ -154,8 +156,8 @@
     followers_.on_closed(link);
   } else if (const auto* want = std::get_if<protocol::TokenRequest>(&message)) {
     grant_tokens(now, link, *want);
-  } else if (const auto* ask = std::get_if<pramperet::Ask>(&message)) {
-    bursar_.ask(now, link, *ask);
+  } else if (const auto* ask = std::get_if<quota::QuotaRequest>(&message)) {
+    quota_allocator_.on_request(now, link, *ask);
   } else if (const auto* call = std::get_if<protocol::ControlCall>(&message)) {
     Request request;
     request.forwarded_by = call->from;
--- a/src/control_plane/controller.h
+++ b/src/control_plane/controller.h
@@ -18,7 +18,7 @@
 #include "control_plane/followers.h"
 #include "control_plane/pending_calls.h"
 #include "control_plane/replicated_state.h"
-#include "pramperet/bursar.h"
+#include "quota/quota_allocator.h"
 #include "retry_tokens/token_pool.h"
 
 namespace pearspar::control_plane {
@@ -87,7 +87,7 @@
   const subscription::ClusterView& view() const { return view_; }
   const Followers& followers() const { return followers_; }
   const retry_tokens::TokenPool& pool() const { return pool_; }
-  const pramperet::Bursar& bursar() const { return bursar_; }
+  const quota::QuotaAllocator& quota_allocator() const { return quota_allocator_; }
   // Whether this member serves as the leader of the current term.
   bool is_active() const { return followers_.is_open(); }
   const CallLimiter& call_limiter() const { return call_limiter_; }
@@ -147,7 +147,7 @@
   subscription::ClusterView view_;
   Followers followers_;
   retry_tokens::TokenPool pool_;
-  pramperet::Bursar bursar_;
+  quota::QuotaAllocator quota_allocator_;
   CallLimiter call_limiter_{max_calls, max_call_bytes};  // of all pending calls
   std::deque<Request> waiting_;  // for a leader, for the current proposal to end, or for their base
   std::optional<Proposal> proposal_;
--- a/src/control_plane/replicated_state.cpp
+++ b/src/control_plane/replicated_state.cpp
@@ -37,12 +37,12 @@
   auto commands = protocol::unpack_quota_commands(bytes);
   if (!commands) return;
   for (const protocol::QuotaCommand& command : *commands) {
-    if (const auto* ask = std::get_if<pramperet::Ask>(&command))
-      accounts_.apply(*ask);
+    if (const auto* ask = std::get_if<quota::QuotaRequest>(&command))
+      quota_ledger_.apply(*ask);
     else if (const auto* turn = std::get_if<protocol::AdvanceWindow>(&command))
-      accounts_.turn(turn->window);
+      quota_ledger_.advance_window(turn->window);
     else
-      accounts_.gone(std::get<protocol::ExpireEdge>(command).life);
+      quota_ledger_.expire_edge(std::get<protocol::ExpireEdge>(command).session);
   }
 }
 
@@ -67,7 +67,7 @@
     } else if (unapplied_.size() == 1 || unapplied_[1].quota_commands) {
       auto read = parse_configuration_(front.text, fault);
       if (!read) return;
-      accounts_.configure(read->quota_rules);
+      quota_ledger_.configure(read->quota_rules);
     }
     unapplied_bytes_ -= front.text.size();
     unapplied_.pop_front();
@@ -80,7 +80,7 @@
   configuration_ = parse_configuration_(text, fault);
   fault_ = fault.text();
   text_ = std::move(text);
-  if (configuration_ && may_serve()) return accounts_.configure(configuration_->quota_rules);
+  if (configuration_ && may_serve()) return quota_ledger_.configure(configuration_->quota_rules);
   defer({false, text_});
   if (configuration_ || unapplied_.size() > 1) apply_deferred();
 }
@@ -118,7 +118,7 @@
   std::size_t legacy = std::min(history_.size(), max_legacy_entries);
   bool more = history_.size() > legacy || history_.truncated() || !unapplied_.empty() || incomplete_;
   protocol::Packer packer;
-  packer.array(more ? 4 : accounts_.window() > 0 ? 3 : 2);
+  packer.array(more ? 4 : quota_ledger_.window() > 0 ? 3 : 2);
   packer.text(text_);
   packer.array(legacy);
   for (std::size_t i = history_.size() - legacy; i < history_.size(); ++i) {
@@ -127,7 +127,7 @@
     packer.number(history_[i].digest.first);
     packer.number(history_[i].digest.second);
   }
-  if (more || accounts_.window() > 0) accounts_.fold(packer);
+  if (more || quota_ledger_.window() > 0) quota_ledger_.save(packer);
   if (!more) return std::string(packer.view());
   packer.array(4);
   packer.text(history_.pack_oldest(legacy));
@@ -159,7 +159,7 @@
   }
   in.leave();
   bool valid = true;
-  if (in.more()) valid = accounts_.restore(in);
+  if (in.more()) valid = quota_ledger_.restore(in);
   bool more = in.more();
   if (more) valid = restore_extension(in) && valid;
   for (const ChangeHistory::Entry& entry : newest) history_.add(entry);
@@ -172,7 +172,7 @@
   // A malformed snapshot must not pass for an empty state: it is not served, and no change builds on it.
   if (!state.empty() && (!valid || !in.good())) {
     incomplete_ = true;
-    accounts_ = {};
+    quota_ledger_ = {};
     fault_ = "the stored snapshot is malformed";
   }
   if (incomplete_) return;
--- a/src/control_plane/replicated_state.h
+++ b/src/control_plane/replicated_state.h
@@ -15,7 +15,7 @@
 
 #include "catalog/configuration.h"
 #include "control_plane/change_history.h"
-#include "pramperet/accounts.h"
+#include "quota/quota_ledger.h"
 #include "raft/core.h"
 
 namespace pearspar::protocol {
@@ -44,7 +44,7 @@
   catalog::ConfigurationPtr check(std::string_view text, catalog::Fault& fault) const {
     return parse_configuration_(text, fault);
   }
-  const pramperet::Accounts& accounts() const { return accounts_; }
+  const quota::QuotaLedger& quota_ledger() const { return quota_ledger_; }
   const catalog::QuotaRules* quota_rules() const {
     return configuration_ ? configuration_->quota_rules.get() : nullptr;
   }
@@ -83,7 +83,7 @@
   std::string text_;
   catalog::ConfigurationPtr configuration_;
   std::string fault_;
-  pramperet::Accounts accounts_;
+  quota::QuotaLedger quota_ledger_;
   ChangeHistory history_;
   // The effect of quota commands depends on the rules of their configuration. From the first configuration on
   // that this program cannot parse, all entries wait here for a program that can. Beyond the limit they are
--- a/src/control_plane/report.cpp
+++ b/src/control_plane/report.cpp
@@ -72,16 +72,16 @@
 
 std::string allowance_json(const raft::Core& core, const ReplicatedState& state) {
   JsonArray lines;
-  for (const auto& line : state.accounts().lines())
+  for (const auto& line : state.quota_ledger().lines())
     lines.add(fmt::format(
         R"({{"window":{},"holder":{},"kind":{},"limit":{},"drawn":{},"unsure":{},"inDoubt":{},)"
         R"("givenBack":{},)"
         R"("repeated":{},"refused":{},"out":{}}})",
-        line.window, quoted(line.leaf.holder), quoted(line.leaf.kind),
+        line.window, quoted(line.account_key.holder), quoted(line.account_key.kind),
         line.limited ? std::to_string(line.limit) : "null", line.count.drawn, line.count.unsure,
         line.count.in_doubt, line.count.given_back, line.count.repeated, line.count.refused, line.count.out));
   return fmt::format(R"({{"format":1,"term":{},"position":{},"window":{},"counts":{}}})", core.term(),
-                     core.applied(), state.accounts().window(), lines.text());
+                     core.applied(), state.quota_ledger().window(), lines.text());
 }
 
 std::string snapshot_json(const ReplicatedState& state) {
--- a/src/edge_gateway/edge_gateway.cpp
+++ b/src/edge_gateway/edge_gateway.cpp
@@ -26,7 +26,7 @@
 
 EdgeGateway::EdgeGateway(transport::Transport& wire, subscription::FollowerOptions options,
                          dispatch::NodeClient& node_client, const dispatch::RetryBudgetRules& rules)
-    : follower_(wire, options), dispatcher_(node_client), purse_(options.incarnation) {
+    : follower_(wire, options), dispatcher_(node_client), edge_quota_(options.incarnation) {
   dispatcher_.set_retry_budget(rules);
 }
 
@@ -35,7 +35,7 @@
   if (follower_.link_frame(now, link, frame)) apply_updates();
   for (const auto& [valid_until, tokens] : follower_.take_granted_tokens())
     dispatcher_.retry_budget().add_tokens(valid_until, tokens.service, tokens.count);
-  for (const pramperet::Tell& tell : follower_.take_quota_replies()) purse_.on_tell(now, tell);
+  for (const quota::QuotaReply& tell : follower_.take_quota_replies()) edge_quota_.on_reply(now, tell);
 }
 
 void EdgeGateway::apply_updates() {
@@ -52,7 +52,7 @@
                     "configuration");
   routed_revision_ = view.revision();
   dispatcher_.set_routes(std::make_shared<const dispatch::RouteTable>(view.configuration()));
-  purse_.configure(view.configuration()->quota_rules);
+  edge_quota_.configure(view.configuration()->quota_rules);
 }
 
 void EdgeGateway::request_retry_tokens(Time now) {
@@ -67,13 +67,13 @@
   if (follower_.tick(now)) apply_updates();
   dispatcher_.advance(now);
   request_retry_tokens(now);
-  if (!purse_.on() && waiting_.empty()) return;
+  if (!edge_quota_.on() && waiting_.empty()) return;
   retry_waiting(now);
-  if (auto ask = purse_.take_ask(now)) follower_.send_quota_request(*ask);
+  if (auto ask = edge_quota_.take_request(now)) follower_.send_quota_request(*ask);
 }
 
 Time EdgeGateway::due(Time now) const {
-  Time due = std::min({dispatcher_.due(), follower_.due(), purse_.due(now)});
+  Time due = std::min({dispatcher_.due(), follower_.due(), edge_quota_.due(now)});
   for (const WaitingRequest& waiting : waiting_) due = std::min(due, waiting.wait_until);
   for (const HeldResponse& held : held_) due = std::min(due, held.hold_until);
   return due;
@@ -81,23 +81,22 @@
 
 RequestId EdgeGateway::submit(Time now, const dispatch::ClientRequest& request,
                               const QuotaIdentity& quota_identity, dispatch::ClientResponse& response) {
-  if (!purse_.on()) return dispatcher_.submit(now, request, response);
+  if (!edge_quota_.on()) return dispatcher_.submit(now, request, response);
   const catalog::Route* route = dispatcher_.route_of(request);
   if (!route || route->quota_kind.empty()) return dispatcher_.submit(now, request, response);
-  pramperet::Verdict verdict =
-      purse_.draw(now, quota_identity.holder, route->quota_kind, quota_identity.key, false);
-  if (verdict.kind == pramperet::Verdict::Kind::refused || waiting_.size() >= max_waiting_requests ||
+  quota::DrawResult verdict =
+      edge_quota_.draw(now, quota_identity.holder, route->quota_kind, quota_identity.key, false);
+  if (verdict.kind == quota::DrawResult::Kind::refused || waiting_.size() >= max_waiting_requests ||
       waiting_bytes_ > max_waiting_bytes) {
-    if (verdict.kind == pramperet::Verdict::Kind::wait)
-      purse_.refuse(quota_identity.holder, route->quota_kind);
-    if (verdict.kind == pramperet::Verdict::Kind::drawn) purse_.not_run(verdict.ticket);
+    if (verdict.kind == quota::DrawResult::Kind::wait)
+      edge_quota_.refuse(quota_identity.holder, route->quota_kind);
+    if (verdict.kind == quota::DrawResult::Kind::drawn) edge_quota_.not_run(verdict.ticket);
     response.status = 429;
-    response.retry_after_s = verdict.kind == pramperet::Verdict::Kind::refused ? verdict.retry_after.count()
-                                                                               : no_room_retry_after_s;
+    response.retry_after_s = verdict.kind == quota::DrawResult::Kind::refused ? verdict.retry_after.count()
+                                                                              : no_room_retry_after_s;
     return {};
   }
-  if (verdict.kind != pramperet::Verdict::Kind::wait)
-    return dispatch_request(now, request, verdict, response);
+  if (verdict.kind != quota::DrawResult::Kind::wait) return dispatch_request(now, request, verdict, response);
   WaitingRequest waiting;
   waiting.id = {waiting_id_bit | (++last_waiting_id_ & (waiting_id_bit - 1)), 1};
   waiting.method = request.method;
@@ -118,14 +117,14 @@
 }
 
 RequestId EdgeGateway::dispatch_request(Time now, const dispatch::ClientRequest& request,
-                                        const pramperet::Verdict& verdict,
+                                        const quota::DrawResult& verdict,
                                         dispatch::ClientResponse& response) {
   RequestId id = dispatcher_.submit(now, request, response);
-  if (verdict.kind != pramperet::Verdict::Kind::drawn) return id;
+  if (verdict.kind != quota::DrawResult::Kind::drawn) return id;
   if (id)
     draws_[key(id)] = verdict.ticket;
   else if (response.not_executed)
-    purse_.not_run(verdict.ticket);
+    edge_quota_.not_run(verdict.ticket);
   return id;
 }
 
@@ -135,17 +134,17 @@
     WaitingRequest waiting = std::move(waiting_.front());
     waiting_.pop_front();
     waiting_bytes_ -= waiting.body.size() + waiting.head.size();
-    pramperet::Verdict verdict =
-        purse_.draw(now, waiting.quota_identity.holder, waiting.kind, waiting.quota_identity.key, true);
+    quota::DrawResult verdict =
+        edge_quota_.draw(now, waiting.quota_identity.holder, waiting.kind, waiting.quota_identity.key, true);
     dispatch::ClientResponse response;
-    if (verdict.kind == pramperet::Verdict::Kind::wait && now < waiting.wait_until) {
+    if (verdict.kind == quota::DrawResult::Kind::wait && now < waiting.wait_until) {
       waiting_bytes_ += waiting.body.size() + waiting.head.size();
       waiting_.push_back(std::move(waiting));
       continue;
     }
-    if (verdict.kind == pramperet::Verdict::Kind::wait || verdict.kind == pramperet::Verdict::Kind::refused) {
-      bool timed_out = verdict.kind == pramperet::Verdict::Kind::wait;
-      if (timed_out) purse_.refuse(waiting.quota_identity.holder, waiting.kind);
+    if (verdict.kind == quota::DrawResult::Kind::wait || verdict.kind == quota::DrawResult::Kind::refused) {
+      bool timed_out = verdict.kind == quota::DrawResult::Kind::wait;
+      if (timed_out) edge_quota_.refuse(waiting.quota_identity.holder, waiting.kind);
       response.status = 429;
       response.retry_after_s = timed_out ? no_token_retry_after_s : verdict.retry_after.count();
       responses_.emplace_back(waiting.id, std::move(response));
@@ -176,7 +175,7 @@
     if (known == dispatcher_ids_.end()) {
       for (auto waiting = waiting_.begin(); waiting != waiting_.end(); ++waiting)
         if (waiting->id == request) {
-          purse_.refuse(waiting->quota_identity.holder, waiting->kind);
+          edge_quota_.refuse(waiting->quota_identity.holder, waiting->kind);
           waiting_bytes_ -= waiting->body.size() + waiting->head.size();
           waiting_.erase(waiting);
           return;
@@ -188,7 +187,7 @@
     dispatcher_ids_.erase(known);
   }
   if (auto drawn = draws_.find(key(request)); drawn != draws_.end()) {
-    purse_.unsure(drawn->second);
+    edge_quota_.unsure(drawn->second);
     draws_.erase(drawn);
   }
   dispatcher_.client_disconnected(request);
@@ -204,13 +203,13 @@
   }
   auto drawn = draws_.find(key(request));
   if (drawn == draws_.end()) return static_cast<void>(responses_.emplace_back(id, std::move(response)));
-  pramperet::Ticket ticket = std::move(drawn->second);
+  quota::Draw ticket = std::move(drawn->second);
   draws_.erase(drawn);
   if (response.not_executed) {
-    purse_.not_run(ticket);
+    edge_quota_.not_run(ticket);
   } else if (response.status >= 500) {
-    purse_.unsure(ticket);
-  } else if (!purse_.settled(ticket)) {
+    edge_quota_.unsure(ticket);
+  } else if (!edge_quota_.settled(ticket)) {
     held_.push_back({id, std::move(response), std::move(ticket), now + max_response_hold});
     return;
   }
@@ -225,12 +224,12 @@
 }
 
 std::vector<std::pair<RequestId, dispatch::ClientResponse>> EdgeGateway::take_responses(Time now) {
-  if (!purse_.on() && draws_.empty() && held_.empty() && responses_.empty() && waiting_ids_.empty())
+  if (!edge_quota_.on() && draws_.empty() && held_.empty() && responses_.empty() && waiting_ids_.empty())
     return dispatcher_.take_responses();
   for (auto& [request, response] : dispatcher_.take_responses())
     request_ended(now, request, std::move(response));
   for (auto held = held_.begin(); held != held_.end();) {
-    if (!purse_.settled(held->draw) && now < held->hold_until) {
+    if (!edge_quota_.settled(held->draw) && now < held->hold_until) {
       ++held;
       continue;
     }
--- a/src/edge_gateway/edge_gateway.h
+++ b/src/edge_gateway/edge_gateway.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "dispatch/dispatcher.h"
-#include "pramperet/purse.h"
+#include "quota/edge_quota.h"
 #include "subscription/follower.h"
 
 namespace pearspar::edge_gateway {
@@ -41,7 +41,7 @@
   Time due(Time now) const;
 
   // Null where the configuration has no quotas.
-  const catalog::QuotaRules* quota_rules() const { return purse_.rules(); }
+  const catalog::QuotaRules* quota_rules() const { return edge_quota_.rules(); }
   // Accepts a request. If it is answered at once, `response` is set and the returned id is empty; otherwise
   // the response follows in take_responses().
   RequestId submit(Time now, const dispatch::ClientRequest& request, const QuotaIdentity& quota_identity,
@@ -59,7 +59,7 @@
   const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }
   subscription::Follower& follower() { return follower_; }
   const subscription::Follower& follower() const { return follower_; }
-  const pramperet::Purse& purse() const { return purse_; }
+  const quota::EdgeQuota& edge_quota() const { return edge_quota_; }
   // Answers every open request at shutdown.
   void finish_open_requests(Time now);
 
@@ -80,7 +80,7 @@
   struct HeldResponse {
     RequestId request;
     dispatch::ClientResponse response;
-    pramperet::Ticket draw;
+    quota::Draw draw;
     Time hold_until{};
   };
 
@@ -89,17 +89,17 @@
   void retry_waiting(Time now);
   void request_ended(Time now, RequestId request, dispatch::ClientResponse response);
   RequestId dispatch_request(Time now, const dispatch::ClientRequest& request,
-                             const pramperet::Verdict& verdict, dispatch::ClientResponse& response);
+                             const quota::DrawResult& verdict, dispatch::ClientResponse& response);
 
   subscription::Follower follower_;
   dispatch::Dispatcher dispatcher_;
   catalog::Revision routed_revision_ = 0;
   bool has_initial_coverage_ = false;
-  pramperet::Purse purse_;
+  quota::EdgeQuota edge_quota_;
   std::deque<WaitingRequest> waiting_;
   std::size_t waiting_bytes_ = 0;
   std::uint32_t last_waiting_id_ = 0;
-  std::unordered_map<std::uint64_t, pramperet::Ticket> draws_;  // of open requests, by dispatcher id
+  std::unordered_map<std::uint64_t, quota::Draw> draws_;  // of open requests, by dispatcher id
   // A request that has waited keeps the id that it was given then.
   std::unordered_map<std::uint64_t, RequestId> waiting_ids_;     // by dispatcher id
   std::unordered_map<std::uint64_t, RequestId> dispatcher_ids_;  // by waiting id
--- a/src/measure/allowance_measure.cpp
+++ b/src/measure/allowance_measure.cpp
@@ -119,7 +119,7 @@
   std::vector<double> at_edge;
   for (std::size_t edge = 0; edge < cluster.edges(); ++edge)
     if (const auto* gateway = cluster.gateway(edge)) {
-      const auto& counters = gateway->purse().counters();
+      const auto& counters = gateway->edge_quota().counters();
       sum.drawn += counters.drawn, sum.waited += counters.drawn_late, sum.refused += counters.refused;
       sum.asks += counters.asks;
       at_edge.push_back(static_cast<double>(counters.drawn));
@@ -131,8 +131,8 @@
   for (double drawn : at_edge) sum.wrongly_shared += static_cast<std::uint64_t>(std::max(0.0, drawn - mean));
   for (std::size_t core = 0; core < cluster.cores(); ++core)
     if (const auto* member = cluster.member(core)) {
-      sum.entries += member->controller().bursar().counters().entries;
-      sum.given_up += member->controller().bursar().counters().given_up;
+      sum.entries += member->controller().quota_allocator().counters().entries;
+      sum.given_up += member->controller().quota_allocator().counters().given_up;
     }
   return sum;
 }
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -197,11 +197,11 @@
     packer.number(grant.number);
     put(packer, grant.tokens);
   }
-  void operator()(const pramperet::Ask& request) const {
+  void operator()(const quota::QuotaRequest& request) const {
     begin(packer, Tag::quota_request, 1);
     pack(packer, request);
   }
-  void operator()(const pramperet::Tell& reply) const {
+  void operator()(const quota::QuotaReply& reply) const {
     begin(packer, Tag::quota_reply, 1);
     pack(packer, reply);
   }
@@ -348,9 +348,9 @@
       return grant;
     }
     case Tag::quota_request:
-      return unpack_ask(in);
+      return unpack_quota_request(in);
     case Tag::quota_reply:
-      return unpack_tell(in);
+      return unpack_quota_reply(in);
     case Tag::neighbours:
       return Neighbours{get_texts(in, max_neighbours)};
     case Tag::core_query:
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -14,7 +14,7 @@
 
 #include "catalog/configuration.h"
 #include "catalog/node_list.h"
-#include "pramperet/words.h"
+#include "quota/messages.h"
 #include "raft/types.h"
 
 namespace pearspar::protocol {
@@ -159,8 +159,8 @@
 };
 
 using Message = std::variant<raft::Message, Hello, Welcome, StateSnapshot, Changes, Ping, Ack, Goodbye,
-                             ControlCall, ControlReply, TokenRequest, TokenGrant, pramperet::Ask,
-                             pramperet::Tell, Neighbours, CoreQuery, CoreAddresses>;
+                             ControlCall, ControlReply, TokenRequest, TokenGrant, quota::QuotaRequest,
+                             quota::QuotaReply, Neighbours, CoreQuery, CoreAddresses>;
 
 std::string pack(const Message& message);
 // Returns nothing where the bytes are not a message that this program knows.
--- a/src/protocol/quota_codec.cpp
+++ b/src/protocol/quota_codec.cpp
@@ -3,28 +3,28 @@
 namespace pearspar::protocol {
 namespace {
 
-using pramperet::Amount;
-using pramperet::Leaf;
+using quota::AccountKey;
+using quota::Amount;
 
 constexpr std::size_t max_items = 1 << 18;
 constexpr std::size_t max_fields = 32;
 
-void put(Packer& packer, const Leaf& leaf) {
-  packer.text(leaf.holder);
-  packer.text(leaf.kind);
+void put(Packer& packer, const AccountKey& account_key) {
+  packer.text(account_key.holder);
+  packer.text(account_key.kind);
 }
-Leaf get_leaf(Unpacker& in) {
-  Leaf leaf;
-  leaf.holder = in.text();
-  leaf.kind = in.text();
-  return leaf;
+AccountKey get_account_key(Unpacker& in) {
+  AccountKey account_key;
+  account_key.holder = in.text();
+  account_key.kind = in.text();
+  return account_key;
 }
 
 void put(Packer& packer, const std::vector<Amount>& amounts) {
   packer.array(amounts.size());
   for (const Amount& each : amounts) {
     packer.array(3);
-    put(packer, each.leaf);
+    put(packer, each.account_key);
     packer.number(each.count);
   }
 }
@@ -34,7 +34,7 @@
   for (std::size_t i = 0; i < count && in.good(); ++i) {
     in.enter(max_fields);
     Amount& each = amounts.emplace_back();
-    each.leaf = get_leaf(in);
+    each.account_key = get_account_key(in);
     each.count = in.number();
     in.leave();
   }
@@ -42,21 +42,21 @@
   return amounts;
 }
 
-void put(Packer& packer, const std::vector<pramperet::Back>& returns) {
+void put(Packer& packer, const std::vector<quota::DrawId>& returns) {
   packer.array(returns.size());
-  for (const pramperet::Back& each : returns) {
+  for (const quota::DrawId& each : returns) {
     packer.array(3);
-    put(packer, each.leaf);
+    put(packer, each.account_key);
     packer.number(each.key);
   }
 }
-std::vector<pramperet::Back> get_returns(Unpacker& in) {
-  std::vector<pramperet::Back> returns;
+std::vector<quota::DrawId> get_returns(Unpacker& in) {
+  std::vector<quota::DrawId> returns;
   std::size_t count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
     in.enter(max_fields);
-    pramperet::Back& each = returns.emplace_back();
-    each.leaf = get_leaf(in);
+    quota::DrawId& each = returns.emplace_back();
+    each.account_key = get_account_key(in);
     each.key = in.number();
     in.leave();
   }
@@ -66,37 +66,37 @@
 
 }  // namespace
 
-void pack(Packer& packer, const pramperet::Ask& request) {
+void pack(Packer& packer, const quota::QuotaRequest& request) {
   packer.array(9);
-  packer.number(request.life);
+  packer.number(request.session);
   packer.number(request.number);
   packer.number(request.window);
   packer.array(request.settled.size());
-  for (const pramperet::Settled& each : request.settled) {
+  for (const quota::SettledDraws& each : request.settled) {
     packer.array(4);
-    put(packer, each.leaf);
+    put(packer, each.account_key);
     packer.number(each.window);
     packer.array(each.keys.size());
-    for (pramperet::Key key : each.keys) packer.number(key);
+    for (quota::RequestKey key : each.keys) packer.number(key);
   }
-  put(packer, request.back);
+  put(packer, request.not_run);
   put(packer, request.unsure);
   put(packer, request.returned);
   put(packer, request.refused);
   put(packer, request.wants);
 }
 
-pramperet::Ask unpack_ask(Unpacker& in) {
-  pramperet::Ask request;
+quota::QuotaRequest unpack_quota_request(Unpacker& in) {
+  quota::QuotaRequest request;
   in.enter(max_fields);
-  request.life = in.number();
+  request.session = in.number();
   request.number = in.number();
   request.window = in.number();
   std::size_t count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
     in.enter(max_fields);
-    pramperet::Settled& each = request.settled.emplace_back();
-    each.leaf = get_leaf(in);
+    quota::SettledDraws& each = request.settled.emplace_back();
+    each.account_key = get_account_key(in);
     each.window = in.number();
     std::size_t keys = in.enter(max_items);
     for (std::size_t j = 0; j < keys && in.good(); ++j) each.keys.push_back(in.number());
@@ -104,7 +104,7 @@
     in.leave();
   }
   in.leave();
-  request.back = get_returns(in);
+  request.not_run = get_returns(in);
   request.unsure = get_returns(in);
   request.returned = get_amounts(in);
   request.refused = get_amounts(in);
@@ -113,38 +113,38 @@
   return request;
 }
 
-void pack(Packer& packer, const pramperet::Tell& reply) {
+void pack(Packer& packer, const quota::QuotaReply& reply) {
   packer.array(6);
   packer.number(reply.number);
   packer.number(reply.window);
   packer.number(reply.left_ms);
-  packer.flag(reply.gone);
+  packer.flag(reply.session_expired);
   packer.array(reply.given.size());
-  for (const pramperet::Given& each : reply.given) {
+  for (const quota::GrantResult& each : reply.given) {
     packer.array(4);
-    put(packer, each.leaf);
+    put(packer, each.account_key);
     packer.number(each.count);
     packer.flag(each.exhausted);
   }
   packer.array(reply.recalled.size());
-  for (const Leaf& leaf : reply.recalled) {
+  for (const AccountKey& account_key : reply.recalled) {
     packer.array(2);
-    put(packer, leaf);
+    put(packer, account_key);
   }
 }
 
-pramperet::Tell unpack_tell(Unpacker& in) {
-  pramperet::Tell reply;
+quota::QuotaReply unpack_quota_reply(Unpacker& in) {
+  quota::QuotaReply reply;
   in.enter(max_fields);
   reply.number = in.number();
   reply.window = in.number();
   reply.left_ms = in.number();
-  reply.gone = in.flag();
+  reply.session_expired = in.flag();
   std::size_t count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
     in.enter(max_fields);
-    pramperet::Given& each = reply.given.emplace_back();
-    each.leaf = get_leaf(in);
+    quota::GrantResult& each = reply.given.emplace_back();
+    each.account_key = get_account_key(in);
     each.count = in.number();
     each.exhausted = in.flag();
     in.leave();
@@ -153,7 +153,7 @@
   count = in.enter(max_items);
   for (std::size_t i = 0; i < count && in.good(); ++i) {
     in.enter(max_fields);
-    reply.recalled.push_back(get_leaf(in));
+    reply.recalled.push_back(get_account_key(in));
     in.leave();
   }
   in.leave();
@@ -167,12 +167,12 @@
   for (const QuotaCommand& command : commands) {
     packer.array(2);
     packer.number(command.index());
-    if (const auto* request = std::get_if<pramperet::Ask>(&command))
+    if (const auto* request = std::get_if<quota::QuotaRequest>(&command))
       pack(packer, *request);
     else if (const auto* advance = std::get_if<AdvanceWindow>(&command))
       packer.number(advance->window);
     else
-      packer.number(std::get<ExpireEdge>(command).life);
+      packer.number(std::get<ExpireEdge>(command).session);
   }
   return std::string(packer.view());
 }
@@ -184,7 +184,7 @@
     in.enter(max_fields);
     switch (in.number()) {
       case 0:
-        commands.emplace_back(unpack_ask(in));
+        commands.emplace_back(unpack_quota_request(in));
         break;
       case 1:
         commands.emplace_back(AdvanceWindow{in.number()});
--- a/src/protocol/quota_codec.h
+++ b/src/protocol/quota_codec.h
@@ -8,25 +8,25 @@
 #include <variant>
 #include <vector>
 
-#include "pramperet/words.h"
 #include "protocol/pack.h"
+#include "quota/messages.h"
 
 namespace pearspar::protocol {
 
-void pack(Packer& packer, const pramperet::Ask& ask);
-pramperet::Ask unpack_ask(Unpacker& in);
-void pack(Packer& packer, const pramperet::Tell& tell);
-pramperet::Tell unpack_tell(Unpacker& in);
+void pack(Packer& packer, const quota::QuotaRequest& request);
+quota::QuotaRequest unpack_quota_request(Unpacker& in);
+void pack(Packer& packer, const quota::QuotaReply& reply);
+quota::QuotaReply unpack_quota_reply(Unpacker& in);
 
 // Starts the given window.
 struct AdvanceWindow {
-  pramperet::Window window = 0;
+  quota::Window window = 0;
 };
 // Settles what was granted to an edge that no longer renews it.
 struct ExpireEdge {
-  pramperet::Life life = 0;
+  quota::EdgeSession session = 0;
 };
-using QuotaCommand = std::variant<pramperet::Ask, AdvanceWindow, ExpireEdge>;
+using QuotaCommand = std::variant<quota::QuotaRequest, AdvanceWindow, ExpireEdge>;
 
 // The commands of one log entry, in the order in which they are applied.
 std::string pack_quota_commands(const std::vector<QuotaCommand>& commands);
--- a/src/pramperet/purse.h
+++ b/src/quota/edge_quota.h
@@ -2,8 +2,8 @@
 // refuses. Free of I/O.
 //
 // A token is spent only while the lease holds that the last answered question renewed (or, where the operator
-// says so, as long as its window runs), and never more than most_unsettled of a leaf that the log does not
-// know of.
+// says so, as long as its window runs), and never more than max_unsettled of a account_key that the log does
+// not know of.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,19 @@
 #include <vector>
 
 #include "catalog/configuration.h"
-#include "pramperet/bursar.h"
+#include "quota/quota_allocator.h"
 
-namespace pearspar::pramperet {
+namespace pearspar::quota {
 
 // What a request drew; kept until its end.
-struct Ticket {
-  Leaf leaf;
-  Key key = 0;
+struct Draw {
+  AccountKey account_key;
+  RequestKey key = 0;
   Window window = 0;
   std::uint64_t serial = 0;  // of the spending; 0 = a try of what was counted before
 };
 
-struct Verdict {
+struct DrawResult {
   enum class Kind {
     free,     // draws on nothing
     drawn,    // `ticket` holds
@@ -35,11 +35,11 @@
     refused,  // nothing is left: `retry_after`
   };
   Kind kind = Kind::free;
-  Ticket ticket;
+  Draw ticket;
   Duration retry_after{};
 };
 
-struct PurseCounters {
+struct EdgeQuotaCounters {
   std::uint64_t drawn = 0;
   std::uint64_t repeated = 0;  // here
   std::uint64_t waited = 0;
@@ -49,34 +49,34 @@
   std::uint64_t asks = 0;
 };
 
-class Purse {
+class EdgeQuota {
  public:
-  explicit Purse(std::uint64_t seed) : random_(seed | 1) {}
+  explicit EdgeQuota(std::uint64_t seed) : random_(seed | 1) {}
 
   void configure(std::shared_ptr<const catalog::QuotaRules> rules);
   bool on() const { return rules_ != nullptr; }
   const catalog::QuotaRules* rules() const { return rules_.get(); }
 
   // `again`: it has waited, and is not counted as waiting anew.
-  Verdict draw(Time now, const std::string& holder, const std::string& kind, std::string_view key,
-               bool again);
+  DrawResult draw(Time now, const std::string& holder, const std::string& kind, std::string_view key,
+                  bool again);
   // It waits no more, and is refused.
   void refuse(const std::string& holder, const std::string& kind);
   // Nobody has run it.
-  void not_run(const Ticket& ticket);
-  // Its answer does not tell whether it ran.
-  void unsure(const Ticket& ticket) { unsure_.push_back({ticket.leaf, ticket.key}); }
+  void not_run(const Draw& ticket);
+  // Its answer does not reply whether it ran.
+  void unsure(const Draw& ticket) { unsure_.push_back({ticket.account_key, ticket.key}); }
   // A majority has it on disk that it was drawn.
-  bool settled(const Ticket& ticket) const { return ticket.serial <= settled_; }
+  bool settled(const Draw& ticket) const { return ticket.serial <= settled_; }
 
   // What is to be sent to the leader now.
-  std::optional<Ask> take_ask(Time now);
-  void on_tell(Time now, const Tell& tell);
+  std::optional<QuotaRequest> take_request(Time now);
+  void on_reply(Time now, const QuotaReply& reply);
   Time due(Time now) const;
-  const PurseCounters& counters() const { return counters_; }
+  const EdgeQuotaCounters& counters() const { return counters_; }
   // All that its next steps depend on, times as spans from now; for the search through its states.
   std::string describe(Time now) const;
-  void set_unsettled(std::uint64_t most) { most_unsettled_ = most; }
+  void set_max_unsettled(std::uint64_t most) { max_unsettled_ = most; }
 
  private:
   static constexpr Duration again_after = std::chrono::milliseconds(250);  // the same question, unanswered
@@ -100,27 +100,27 @@
     Time wanted{};
   };
 
-  std::optional<Leaf> leaf_of(const std::string& holder, const std::string& kind) const;
+  std::optional<AccountKey> account_key_of(const std::string& holder, const std::string& kind) const;
   bool may_spend(Time now, const Held& held) const;
   void drop_tokens();
   Duration left(Time now) const { return std::max(Duration(0.005), window_end_ - now); }
 
   std::shared_ptr<const catalog::QuotaRules> rules_;
   std::uint64_t random_;
-  Life life_ = 0;
-  std::uint64_t most_unsettled_ = most_unsettled;
+  EdgeSession session_ = 0;
+  std::uint64_t max_unsettled_ = max_unsettled;
   std::uint64_t number_ = 0;
   Window window_ = 0;
   Time window_end_{};
   Time lease_until_{};
-  std::map<Leaf, Held> held_;
+  std::map<AccountKey, Held> held_;
   // Retrievals counted here: how many of their tries are not known to have run nowhere. By the window's
   // parity.
-  std::unordered_map<Key, std::uint64_t> known_[2];
-  std::vector<Settled> pending_;  // spent since the last question
-  std::vector<Back> back_;
-  std::vector<Back> unsure_;
-  std::optional<Ask> under_way_;
+  std::unordered_map<RequestKey, std::uint64_t> known_[2];
+  std::vector<SettledDraws> pending_;  // spent since the last question
+  std::vector<DrawId> back_;
+  std::vector<DrawId> unsure_;
+  std::optional<QuotaRequest> under_way_;
   std::uint64_t serial_ = 0;        // of the last spending
   std::uint64_t under_way_to_ = 0;  // the last one in the question
   std::uint64_t settled_ = 0;
@@ -128,7 +128,7 @@
   Time sent_{};
   bool urgent_ = false;
   bool retire_ = false;
-  PurseCounters counters_;
+  EdgeQuotaCounters counters_;
 };
 
-}  // namespace pearspar::pramperet
+}  // namespace pearspar::quota
--- a/src/pramperet/bursar.h
+++ b/src/quota/quota_allocator.h
@@ -1,5 +1,5 @@
 // The leader's side of the allowance: edges' questions are gathered into entries of the log and answered when
-// a majority has them on disk; windows turn; edges that fell silent are given up. Free of I/O.
+// a majority has them on disk; windows advance_window; edges that fell silent are given up. Free of I/O.
 #pragma once
 
 #include <chrono>
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
-#include "pramperet/accounts.h"
 #include "protocol/quota_codec.h"
+#include "quota/quota_ledger.h"
 
-namespace pearspar::pramperet {
+namespace pearspar::quota {
 
 using Duration = std::chrono::duration<double>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -23,31 +23,33 @@
 // spends nothing.
 inline constexpr Duration token_lease = std::chrono::seconds(2);
 
-struct BursarCounters {
+struct QuotaAllocatorCounters {
   std::uint64_t asks = 0;
   std::uint64_t entries = 0;
   std::uint64_t dropped = 0;
   std::uint64_t given_up = 0;  // edges
 };
 
-class Bursar {
+class QuotaAllocator {
  public:
   // On every member, after each event: windows are timed from when their entry was applied here.
-  void watch(Time now, const Accounts& accounts);
-  void open(Time now, const Accounts& accounts);
+  void observe_window(Time now, const QuotaLedger& ledger);
+  void open(Time now, const QuotaLedger& ledger);
   void close();
 
-  void ask(Time now, Link link, Ask ask);
+  void on_request(Time now, Link link, QuotaRequest ask);
   // What is to be put into the log now; nothing while an entry is under way. Then proposed() follows.
-  std::optional<std::string> entry(Time now, const Accounts& accounts, const catalog::QuotaRules* rules);
+  std::optional<std::string> next_entry(Time now, const QuotaLedger& ledger,
+                                        const catalog::QuotaRules* rules);
   void proposed(std::optional<std::uint64_t> index);
   // What is to be told, now that entries up to `applied` are in force.
-  std::vector<std::pair<Link, Tell>> tells(Time now, std::uint64_t applied, const Accounts& accounts,
-                                           const catalog::QuotaRules* rules);
+  std::vector<std::pair<Link, QuotaReply>> take_replies(Time now, std::uint64_t applied,
+                                                        const QuotaLedger& ledger,
+                                                        const catalog::QuotaRules* rules);
   Time due(const catalog::QuotaRules* rules) const;
   // Of the window that runs.
   Duration left(Time now, const catalog::QuotaRules* rules) const;
-  const BursarCounters& counters() const { return counters_; }
+  const QuotaAllocatorCounters& counters() const { return counters_; }
 
  private:
   // A request waits for what is wanted; what is only reported has the time that nodes work.
@@ -57,22 +59,23 @@
   static constexpr Duration look_every = std::chrono::milliseconds(200);
   static constexpr std::size_t most_waiting = 4096;
 
-  void look(Time now, const Accounts& accounts, const catalog::QuotaRules& rules,
+  void look(Time now, const QuotaLedger& ledger, const catalog::QuotaRules& rules,
             std::vector<protocol::QuotaCommand>& steps);
-  Tell tell(Time now, const Ask& ask, const Accounts& accounts, const catalog::QuotaRules* rules) const;
+  QuotaReply tell(Time now, const QuotaRequest& ask, const QuotaLedger& ledger,
+                  const catalog::QuotaRules* rules) const;
 
   bool open_ = false;
   Window seen_ = 0;
   Time turned_{};
-  std::vector<std::pair<Link, Ask>> waiting_;    // for the next entry
-  std::vector<std::pair<Link, Ask>> under_way_;  // in the entry that was proposed
+  std::vector<std::pair<Link, QuotaRequest>> waiting_;    // for the next entry
+  std::vector<std::pair<Link, QuotaRequest>> under_way_;  // in the entry that was proposed
   std::optional<std::uint64_t> index_;
   bool busy_ = false;  // an entry was proposed
   Time gather_due_ = Time::max();
   Time look_due_{};
-  std::vector<std::pair<Link, Tell>> now_;  // what needs no entry
-  std::map<Life, std::pair<Link, Time>> heard_;
-  BursarCounters counters_;
+  std::vector<std::pair<Link, QuotaReply>> now_;  // what needs no entry
+  std::map<EdgeSession, std::pair<Link, Time>> heard_;
+  QuotaAllocatorCounters counters_;
 };
 
-}  // namespace pearspar::pramperet
+}  // namespace pearspar::quota
--- a/src/pramperet/fold.cpp
+++ b/src/quota/quota_ledger_snapshot.cpp
@@ -1,35 +1,35 @@
 // The agreed accounts as bytes, for snapshots.
-#include "pramperet/accounts.h"
 #include "protocol/pack.h"
+#include "quota/quota_ledger.h"
 
-namespace pearspar::pramperet {
+namespace pearspar::quota {
 namespace {
 
 constexpr std::size_t most_lines = 1 << 20;
 
-void put(protocol::Packer& packer, const Leaf& leaf) {
-  packer.text(leaf.holder);
-  packer.text(leaf.kind);
+void put(protocol::Packer& packer, const AccountKey& account_key) {
+  packer.text(account_key.holder);
+  packer.text(account_key.kind);
 }
-Leaf get_leaf(protocol::Unpacker& in) {
-  Leaf leaf;
-  leaf.holder = in.text();
-  leaf.kind = in.text();
-  return leaf;
+AccountKey get_account_key(protocol::Unpacker& in) {
+  AccountKey account_key;
+  account_key.holder = in.text();
+  account_key.kind = in.text();
+  return account_key;
 }
 
 }  // namespace
 
-void Accounts::fold(protocol::Packer& packer) const {
+void QuotaLedger::save(protocol::Packer& packer) const {
   packer.array(2);
   packer.array(periods_.size());
   for (const Period& each : periods_) {
     packer.array(3);
     packer.number(each.number);
     packer.array(each.counts.size());
-    for (const auto& [leaf, count] : each.counts) {
+    for (const auto& [account_key, count] : each.counts) {
       packer.array(9);
-      put(packer, leaf);
+      put(packer, account_key);
       for (std::uint64_t value : {count.out, count.drawn, count.unsure, count.in_doubt, count.given_back,
                                   count.repeated, count.refused})
         packer.number(value);
@@ -38,22 +38,22 @@
     for (const auto& [key, claim] : each.keys) {
       packer.array(5);
       packer.number(key);
-      put(packer, claim.leaf);
+      put(packer, claim.account_key);
       packer.number(claim.tries);
       packer.flag(claim.unsure);
     }
   }
   packer.array(held_.size());
-  for (const auto& [life, held] : held_) {
+  for (const auto& [session, held] : held_) {
     packer.array(6);
-    packer.number(life);
+    packer.number(session);
     packer.number(held.number);
     packer.flag(held.gone);
     packer.number(held.heard);
     packer.array(held.given.size());
-    for (const Given& given : held.given) {
+    for (const GrantResult& given : held.given) {
       packer.array(4);
-      put(packer, given.leaf);
+      put(packer, given.account_key);
       packer.number(given.count);
       packer.flag(given.exhausted);
     }
@@ -68,7 +68,7 @@
   }
 }
 
-bool Accounts::restore(protocol::Unpacker& in) {
+bool QuotaLedger::restore(protocol::Unpacker& in) {
   periods_.clear();
   held_.clear();
   in.enter(8);
@@ -80,7 +80,7 @@
     std::size_t counts = in.enter(most_lines);
     for (std::size_t j = 0; j < counts && in.good(); ++j) {
       in.enter(16);
-      Count& count = each.counts[get_leaf(in)];
+      UsageCounts& count = each.counts[get_account_key(in)];
       for (std::uint64_t* value : {&count.out, &count.drawn, &count.unsure, &count.in_doubt,
                                    &count.given_back, &count.repeated, &count.refused})
         *value = in.number();
@@ -90,9 +90,9 @@
     std::size_t keys = in.enter(most_lines);
     for (std::size_t j = 0; j < keys && in.good(); ++j) {
       in.enter(8);
-      Key key = in.number();
+      RequestKey key = in.number();
       Claim& claim = each.keys[key];
-      claim.leaf = get_leaf(in);
+      claim.account_key = get_account_key(in);
       claim.tries = in.number();
       claim.unsure = in.flag();
       in.leave();
@@ -101,8 +101,8 @@
     in.leave();
   }
   in.leave();
-  std::size_t lives = in.enter(most_lines);
-  for (std::size_t i = 0; i < lives && in.good(); ++i) {
+  std::size_t sessions_with_tokens = in.enter(most_lines);
+  for (std::size_t i = 0; i < sessions_with_tokens && in.good(); ++i) {
     in.enter(8);
     Held& held = held_[in.number()];
     held.number = in.number();
@@ -111,8 +111,8 @@
     std::size_t given = in.enter(most_lines);
     for (std::size_t j = 0; j < given && in.good(); ++j) {
       in.enter(8);
-      Given& each = held.given.emplace_back();
-      each.leaf = get_leaf(in);
+      GrantResult& each = held.given.emplace_back();
+      each.account_key = get_account_key(in);
       each.count = in.number();
       each.exhausted = in.flag();
       in.leave();
@@ -121,9 +121,9 @@
     std::size_t grants = in.enter(most_lines);
     for (std::size_t j = 0; j < grants && in.good(); ++j) {
       in.enter(8);
-      Leaf leaf = get_leaf(in);
+      AccountKey account_key = get_account_key(in);
       Window window = in.number();
-      Grant& grant = held.grants[{std::move(leaf), window}];
+      Grant& grant = held.grants[{std::move(account_key), window}];
       grant.out = in.number();
       grant.in_doubt = in.number();
       in.leave();
@@ -136,4 +136,4 @@
   return in.good();
 }
 
-}  // namespace pearspar::pramperet
+}  // namespace pearspar::quota
--- a/src/subscription/follower.cpp
+++ b/src/subscription/follower.cpp
@@ -83,7 +83,7 @@
                                            options_.incarnation, ++token_request_, std::move(tokens)}));
 }
 
-bool Follower::send_quota_request(const pramperet::Ask& request) {
+bool Follower::send_quota_request(const quota::QuotaRequest& request) {
   return leader_link_ != 0 && transport_.send(leader_link_, protocol::pack(request));
 }
 
@@ -120,7 +120,7 @@
       granted_tokens_.emplace_back(token_request_at_ + retry_tokens::token_lifetime, each);
     return false;
   }
-  if (const auto* reply = std::get_if<pramperet::Tell>(&*message)) {
+  if (const auto* reply = std::get_if<quota::QuotaReply>(&*message)) {
     quota_replies_.push_back(*reply);
     return false;
   }
--- a/src/subscription/follower.h
+++ b/src/subscription/follower.h
@@ -50,8 +50,8 @@
   // Whether a leader is known, and no token request is pending.
   bool can_request_tokens(Time now) const { return leader_link_ != 0 && now >= token_request_due_; }
   // Returns false where no leader is known.
-  bool send_quota_request(const pramperet::Ask& request);
-  std::vector<pramperet::Tell> take_quota_replies() { return std::exchange(quota_replies_, {}); }
+  bool send_quota_request(const quota::QuotaRequest& request);
+  std::vector<quota::QuotaReply> take_quota_replies() { return std::exchange(quota_replies_, {}); }
   // The tokens granted since the last call, each with the time at which it expires.
   std::vector<std::pair<Time, protocol::Tokens>> take_granted_tokens() {
     return std::exchange(granted_tokens_, {});
@@ -95,7 +95,7 @@
   Time token_request_at_{};
   Time token_request_due_{};
   std::vector<std::pair<Time, protocol::Tokens>> granted_tokens_;
-  std::vector<pramperet::Tell> quota_replies_;
+  std::vector<quota::QuotaReply> quota_replies_;
   std::uint64_t unreadable_frames_ = 0;
 };
 
--- a/tests/system/allowance_test.cpp
+++ b/tests/system/allowance_test.cpp
@@ -5,15 +5,15 @@
 #include <fstream>
 
 #include "biella/cluster.h"
-#include "pramperet/accounts.h"
-#include "pramperet/purse.h"
 #include "protocol/pack.h"
+#include "quota/edge_quota.h"
+#include "quota/quota_ledger.h"
 
 namespace pearspar {
 
-using pramperet::Accounts;
-using pramperet::Ask;
-using pramperet::Leaf;
+using quota::AccountKey;
+using quota::QuotaLedger;
+using quota::QuotaRequest;
 
 namespace {
 
@@ -76,27 +76,27 @@
   CPPUNIT_TEST(troublesLeaveTheCountsWithinTheirBounds);
   CPPUNIT_TEST_SUITE_END();
 
-  const Leaf branch{"f/b", "pull"}, firm{"f", "pull"};
+  const AccountKey branch{"f/b", "pull"}, firm{"f", "pull"};
 
-  static Ask ask(pramperet::Life life, std::uint64_t number, pramperet::Window window = 1) {
-    Ask ask;
-    ask.life = life;
+  static QuotaRequest ask(quota::EdgeSession session, std::uint64_t number, quota::Window window = 1) {
+    QuotaRequest ask;
+    ask.session = session;
     ask.number = number;
     ask.window = window;
     return ask;
   }
-  static Accounts begun(const std::string& accounts, const std::string& extra = "") {
-    Accounts state;
+  static QuotaLedger begun(const std::string& accounts, const std::string& extra = "") {
+    QuotaLedger state;
     state.configure(read(rules(accounts, extra)));
-    state.turn(1);
+    state.advance_window(1);
     return state;
   }
-  static std::uint64_t want(Accounts& state, pramperet::Life life, std::uint64_t number, const Leaf& leaf,
-                            std::uint64_t count) {
-    Ask question = ask(life, number, state.window());
-    question.wants.push_back({leaf, count});
+  static std::uint64_t want(QuotaLedger& state, quota::EdgeSession session, std::uint64_t number,
+                            const AccountKey& account_key, std::uint64_t count) {
+    QuotaRequest question = ask(session, number, state.window());
+    question.wants.push_back({account_key, count});
     state.apply(question);
-    return state.given(life, number)->front().count;
+    return state.given(session, number)->front().count;
   }
 
  public:
@@ -113,8 +113,8 @@
   }
 
   void tokensBindAtBothLevels() {
-    Accounts state = begun(account("f", "", "pull", 10) + "," + account("f", "b", "pull", 4) + "," +
-                           account("f", "c", "pull", 5, ",\"borrows\":true"));
+    QuotaLedger state = begun(account("f", "", "pull", 10) + "," + account("f", "b", "pull", 4) + "," +
+                              account("f", "c", "pull", 5, ",\"borrows\":true"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, want(state, 1, 1, branch, 100));  // half of what is left
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, want(state, 2, 1, branch, 100));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, want(state, 2, 2, branch, 100));
@@ -129,9 +129,9 @@
   }
 
   void aQuestionCountsOnce() {
-    Accounts state = begun(account("f", "", "pull", 10));
+    QuotaLedger state = begun(account("f", "", "pull", 10));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, want(state, 1, 1, firm, 3));
-    Ask spent = ask(1, 2);
+    QuotaRequest spent = ask(1, 2);
     spent.settled.push_back({firm, 1, {11, 12}});
     for (int i = 0; i < 3; ++i) state.apply(spent);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.count(firm).drawn);
@@ -140,24 +140,24 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).out);
   }
 
-  void spendTheSameAtTwoEdges(Accounts& state) const {
-    for (pramperet::Life life : {1, 2}) {
-      want(state, life, 1, firm, 2);
-      Ask spent = ask(life, 2);
+  void spendTheSameAtTwoEdges(QuotaLedger& state) const {
+    for (quota::EdgeSession session : {1, 2}) {
+      want(state, session, 1, firm, 2);
+      QuotaRequest spent = ask(session, 2);
       spent.settled.push_back({firm, 1, {11}});
       state.apply(spent);
     }
   }
 
   void aKeyCountsOnceOverEdgesAndWindows() {
-    Accounts state = begun(account("f", "", "pull", 10));
+    QuotaLedger state = begun(account("f", "", "pull", 10));
     spendTheSameAtTwoEdges(state);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).drawn);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).repeated);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.count(firm).out);  // the second's token is free again
-    state.turn(2);
+    state.advance_window(2);
     want(state, 1, 3, firm, 2);
-    Ask spent = ask(1, 4, 2);
+    QuotaRequest spent = ask(1, 4, 2);
     spent.settled.push_back({firm, 2, {11}});
     state.apply(spent);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).drawn);
@@ -165,38 +165,38 @@
   }
 
   void whatNobodyRanIsGivenBackOnce() {
-    Accounts state = begun(account("f", "", "pull", 10));
+    QuotaLedger state = begun(account("f", "", "pull", 10));
     spendTheSameAtTwoEdges(state);
-    Ask back = ask(1, 3);
-    back.back.push_back({firm, 11});
+    QuotaRequest back = ask(1, 3);
+    back.not_run.push_back({firm, 11});
     state.apply(back);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).drawn);  // the other try may have run
     back = ask(2, 3);
-    back.back.push_back({firm, 11});
+    back.not_run.push_back({firm, 11});
     state.apply(back);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).drawn);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).given_back);
     back = ask(2, 4);
-    back.back.push_back({firm, 11});
+    back.not_run.push_back({firm, 11});
     state.apply(back);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).given_back);
   }
 
   void whatADeadEdgeHeldComesBackButForWhatIsInDoubt() {
     for (bool spends : {false, true}) {
-      Accounts state = begun(account("f", "", "pull", 200), spends ? ",\"outOfTouch\":\"spend\"" : "");
+      QuotaLedger state = begun(account("f", "", "pull", 200), spends ? ",\"outOfTouch\":\"spend\"" : "");
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, want(state, 1, 1, firm, 1000));
-      Ask spent = ask(1, 2);
+      QuotaRequest spent = ask(1, 2);
       spent.settled.push_back({firm, 1, {1, 2, 3}});
       state.apply(spent);
-      state.gone(1);
-      state.gone(1);
-      std::uint64_t doubt = spends ? 97 : pramperet::most_unsettled;
+      state.expire_edge(1);
+      state.expire_edge(1);
+      std::uint64_t doubt = spends ? 97 : quota::max_unsettled;
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).out);
       CPPUNIT_ASSERT_EQUAL(doubt, state.count(firm).in_doubt);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, state.count(firm).drawn);
-      // It was only away: what it tells late leaves doubt; it gets nothing more under that life.
-      Ask late = ask(1, 3);
+      // It was only away: what it tells late leaves doubt; it gets nothing more under that session.
+      QuotaRequest late = ask(1, 3);
       late.settled.push_back({firm, 1, {4, 5}});
       late.wants.push_back({firm, 5});
       late.returned.push_back({firm, 5});
@@ -204,7 +204,7 @@
       CPPUNIT_ASSERT_EQUAL(doubt - 2, state.count(firm).in_doubt);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.count(firm).drawn);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).out);
-      CPPUNIT_ASSERT(state.is_gone(1));
+      CPPUNIT_ASSERT(state.is_expired(1));
       // All that is left may go out, and no more.
       std::uint64_t sum = 0;
       for (std::uint64_t i = 1; i <= 20; ++i) sum += want(state, 2, i, firm, 1000);
@@ -213,28 +213,28 @@
   }
 
   void aLateReportIsCountedInItsWindow() {
-    Accounts state = begun(account("f", "", "pull", 10));
+    QuotaLedger state = begun(account("f", "", "pull", 10));
     want(state, 1, 1, firm, 4);
-    state.turn(2);
-    state.turn(2);
-    state.turn(7);
-    CPPUNIT_ASSERT_EQUAL(pramperet::Window{2}, state.window());
-    Ask late = ask(1, 2, 1);
+    state.advance_window(2);
+    state.advance_window(2);
+    state.advance_window(7);
+    CPPUNIT_ASSERT_EQUAL(quota::Window{2}, state.window());
+    QuotaRequest late = ask(1, 2, 1);
     late.settled.push_back({firm, 1, {1, 2}});
     state.apply(late);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).drawn);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.lines()[0].count.drawn);
-    CPPUNIT_ASSERT_EQUAL(pramperet::Window{1}, state.lines()[0].window);
+    CPPUNIT_ASSERT_EQUAL(quota::Window{1}, state.lines()[0].window);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, want(state, 2, 1, firm, 100));  // the new one is whole
-    for (pramperet::Window window = 3; window < 9; ++window) state.turn(window);
+    for (quota::Window window = 3; window < 9; ++window) state.advance_window(window);
     CPPUNIT_ASSERT(state.lines().empty());
     CPPUNIT_ASSERT(!state.applied(1, 1));  // forgotten
   }
 
   void aLimitThatMovesBindsAtOnce() {
-    Accounts state = begun(account("f", "", "pull", 10));
+    QuotaLedger state = begun(account("f", "", "pull", 10));
     want(state, 1, 1, firm, 4);
-    Ask spent = ask(1, 2);
+    QuotaRequest spent = ask(1, 2);
     spent.settled.push_back({firm, 1, {1, 2, 3, 4}});
     state.apply(spent);
     state.configure(read(rules(account("f", "", "pull", 2))));
@@ -249,27 +249,27 @@
   }
 
   void theFoldHoldsAll() {
-    Accounts state = begun(account("f", "", "pull", 50) + "," + account("f", "b", "pull", 40));
+    QuotaLedger state = begun(account("f", "", "pull", 50) + "," + account("f", "b", "pull", 40));
     want(state, 1, 1, branch, 9);
     want(state, 2, 1, firm, 30);
-    Ask spent = ask(1, 2);
+    QuotaRequest spent = ask(1, 2);
     spent.settled.push_back({branch, 1, {1, 2, 3}});
     spent.unsure.push_back({branch, 2});
     spent.refused.push_back({branch, 7});
     state.apply(spent);
-    state.gone(2);
-    state.turn(2);
-    auto bytes = [](const Accounts& from) {
+    state.expire_edge(2);
+    state.advance_window(2);
+    auto bytes = [](const QuotaLedger& from) {
       protocol::Packer packer;
-      from.fold(packer);
+      from.save(packer);
       return std::string(packer.view());
     };
     std::string folded = bytes(state);
     protocol::Packer whole;
     whole.array(1);
-    state.fold(whole);
+    state.save(whole);
     protocol::Unpacker in(whole.view());
-    Accounts again;
+    QuotaLedger again;
     again.configure(read(rules(account("f", "", "pull", 50) + "," + account("f", "b", "pull", 40))));
     CPPUNIT_ASSERT(again.restore(in));
     CPPUNIT_ASSERT(in.at_end());
@@ -280,94 +280,94 @@
       CPPUNIT_ASSERT_EQUAL(state.lines()[i].count.unsure, again.lines()[i].count.unsure);
       CPPUNIT_ASSERT_EQUAL(state.lines()[i].count.in_doubt, again.lines()[i].count.in_doubt);
     }
-    CPPUNIT_ASSERT(again.is_gone(2) && !again.is_gone(1));
+    CPPUNIT_ASSERT(again.is_expired(2) && !again.is_expired(1));
     state.apply(spent);
     again.apply(spent);  // taken before
     CPPUNIT_ASSERT_EQUAL(state.count(branch).drawn, again.count(branch).drawn);
   }
 
-  // A purse with ten tokens of "f", told at `now`.
-  static pramperet::Purse purse(pramperet::Time now, const std::string& extra = "") {
-    pramperet::Purse purse(9);
-    purse.configure(read(rules(account("f", "", "pull", 100), extra)));
-    using Kind = pramperet::Verdict::Kind;
-    CPPUNIT_ASSERT(purse.draw(now, "f", "pull", "first", false).kind == Kind::wait);
-    auto question = purse.take_ask(now);
+  // A edge_quota with ten tokens of "f", told at `now`.
+  static quota::EdgeQuota edge_quota(quota::Time now, const std::string& extra = "") {
+    quota::EdgeQuota edge_quota(9);
+    edge_quota.configure(read(rules(account("f", "", "pull", 100), extra)));
+    using Kind = quota::DrawResult::Kind;
+    CPPUNIT_ASSERT(edge_quota.draw(now, "f", "pull", "first", false).kind == Kind::wait);
+    auto question = edge_quota.take_request(now);
     CPPUNIT_ASSERT(question);
-    pramperet::Tell tell;
+    quota::QuotaReply tell;
     tell.number = question->number;
     tell.window = 1;
     tell.left_ms = 60000;
     tell.given.push_back({{"f", "pull"}, 40, false});
-    purse.on_tell(now, tell);
-    CPPUNIT_ASSERT(purse.draw(now, "f", "pull", "first", true).kind == Kind::drawn);
-    return purse;
+    edge_quota.on_reply(now, tell);
+    CPPUNIT_ASSERT(edge_quota.draw(now, "f", "pull", "first", true).kind == Kind::drawn);
+    return edge_quota;
   }
 
   void aFrozenPurseSpendsNothing() {
-    using Kind = pramperet::Verdict::Kind;
-    pramperet::Time now{pramperet::Duration(100)};
-    auto frozen = purse(now);
-    now += pramperet::Duration(2.01);
+    using Kind = quota::DrawResult::Kind;
+    quota::Time now{quota::Duration(100)};
+    auto frozen = edge_quota(now);
+    now += quota::Duration(2.01);
     CPPUNIT_ASSERT(frozen.draw(now, "f", "pull", "x", false).kind == Kind::wait);
     // What it counted itself is a try of the same.
     CPPUNIT_ASSERT(frozen.draw(now, "f", "pull", "first", false).kind == Kind::drawn);
-    auto spends = purse(now, ",\"outOfTouch\":\"spend\"");
-    now += pramperet::Duration(30);
+    auto spends = edge_quota(now, ",\"outOfTouch\":\"spend\"");
+    now += quota::Duration(30);
     CPPUNIT_ASSERT(spends.draw(now, "f", "pull", "x", false).kind == Kind::drawn);
-    now += pramperet::Duration(31);
+    now += quota::Duration(31);
     CPPUNIT_ASSERT(spends.draw(now, "f", "pull", "y", false).kind == Kind::wait);  // its window is over
   }
 
   void noMoreThanAFewAreUnsettled() {
-    using Kind = pramperet::Verdict::Kind;
-    pramperet::Time now{pramperet::Duration(100)};
-    auto busy = purse(now);
+    using Kind = quota::DrawResult::Kind;
+    quota::Time now{quota::Duration(100)};
+    auto busy = edge_quota(now);
     std::uint64_t drawn = 1;
     for (int i = 0; i < 30; ++i)
       drawn += busy.draw(now, "f", "pull", "k" + std::to_string(i), false).kind == Kind::drawn;
-    CPPUNIT_ASSERT_EQUAL(pramperet::most_unsettled, drawn);
+    CPPUNIT_ASSERT_EQUAL(quota::max_unsettled, drawn);
     // The question is sent again unchanged until it is answered; then the next may be spent.
-    auto question = busy.take_ask(now);
-    CPPUNIT_ASSERT(question && !busy.take_ask(now));
-    now += pramperet::Duration(0.3);
-    auto again = busy.take_ask(now);
+    auto question = busy.take_request(now);
+    CPPUNIT_ASSERT(question && !busy.take_request(now));
+    now += quota::Duration(0.3);
+    auto again = busy.take_request(now);
     CPPUNIT_ASSERT(again && again->number == question->number &&
                    again->settled[0].keys == question->settled[0].keys);
-    pramperet::Tell tell;
+    quota::QuotaReply tell;
     tell.number = question->number;
     tell.window = 1;
     tell.left_ms = 60000;
-    busy.on_tell(now, tell);
+    busy.on_reply(now, tell);
     CPPUNIT_ASSERT(busy.draw(now, "f", "pull", "z", false).kind == Kind::drawn);
-    busy.on_tell(now, tell);  // an answer that comes twice
-    CPPUNIT_ASSERT(busy.take_ask(now));
+    busy.on_reply(now, tell);  // an answer that comes twice
+    CPPUNIT_ASSERT(busy.take_request(now));
   }
 
   void aWindowThatTurnsTakesItsTokensAlong() {
-    using Kind = pramperet::Verdict::Kind;
-    pramperet::Time now{pramperet::Duration(100)};
-    auto turned = purse(now);
+    using Kind = quota::DrawResult::Kind;
+    quota::Time now{quota::Duration(100)};
+    auto turned = edge_quota(now);
     CPPUNIT_ASSERT(turned.draw(now, "f", "pull", "x", false).kind == Kind::drawn);
-    pramperet::Tell tell;
+    quota::QuotaReply tell;
     tell.window = 2;
     tell.left_ms = 60000;
-    turned.on_tell(now, tell);
+    turned.on_reply(now, tell);
     CPPUNIT_ASSERT(turned.draw(now, "f", "pull", "y", false).kind == Kind::wait);
     CPPUNIT_ASSERT(turned.draw(now, "f", "pull", "x", false).kind ==
                    Kind::drawn);  // counted in the one before
     // What was spent before is reported for the window that it was spent in.
-    auto question = turned.take_ask(now);
+    auto question = turned.take_request(now);
     CPPUNIT_ASSERT(question && question->settled.size() == 1);
-    CPPUNIT_ASSERT_EQUAL(pramperet::Window{1}, question->settled[0].window);
+    CPPUNIT_ASSERT_EQUAL(quota::Window{1}, question->settled[0].window);
     // Exhaustion that is pushed is believed at once, and for a second; then the leader is asked again.
     tell.number = 0;
     tell.given.push_back({{"f", "pull"}, 0, true});
-    turned.on_tell(now, tell);
+    turned.on_reply(now, tell);
     auto refused = turned.draw(now, "f", "pull", "z", false);
     CPPUNIT_ASSERT(refused.kind == Kind::refused);
-    CPPUNIT_ASSERT(refused.retry_after > pramperet::Duration(59));
-    CPPUNIT_ASSERT(turned.draw(now + pramperet::Duration(1.1), "f", "pull", "z", false).kind == Kind::wait);
+    CPPUNIT_ASSERT(refused.retry_after > quota::Duration(59));
+    CPPUNIT_ASSERT(turned.draw(now + quota::Duration(1.1), "f", "pull", "z", false).kind == Kind::wait);
   }
 
   static biella::ClusterOptions options(std::uint64_t seed, const std::string& accounts,
@@ -404,12 +404,12 @@
     CPPUNIT_ASSERT(cluster.auditor().served() > 100);
     for (std::size_t edge = 0; edge < cluster.edges(); ++edge) {
       CPPUNIT_ASSERT(!cluster.gateway(edge)->quota_rules());
-      CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, cluster.gateway(edge)->purse().counters().asks);
+      CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, cluster.gateway(edge)->edge_quota().counters().asks);
     }
     int leader = cluster.leader();
     CPPUNIT_ASSERT_EQUAL(
         std::uint64_t{0},
-        cluster.member(static_cast<std::size_t>(leader))->controller().bursar().counters().entries);
+        cluster.member(static_cast<std::size_t>(leader))->controller().quota_allocator().counters().entries);
   }
 
   void countsEqualWhatRan() {
@@ -422,7 +422,7 @@
       cluster.run(8);
       cluster.stop_retrieving();
       cluster.run(6);
-      auto counts = cluster.member(static_cast<std::size_t>(cluster.leader()))->state().accounts();
+      auto counts = cluster.member(static_cast<std::size_t>(cluster.leader()))->state().quota_ledger();
       CPPUNIT_ASSERT(counts.count({"f", "pull"}).drawn > 40);
       CPPUNIT_ASSERT_EQUAL(cluster.auditor().truth("f", "pull"), counts.count({"f", "pull"}).drawn);
       CPPUNIT_ASSERT_EQUAL(cluster.auditor().truth("f/b", "sweep"), counts.count({"f/b", "sweep"}).drawn);
@@ -460,7 +460,7 @@
     }
     cluster.run(6);
     good(cluster, {}, true);
-    auto counts = cluster.member(static_cast<std::size_t>(cluster.leader()))->state().accounts();
+    auto counts = cluster.member(static_cast<std::size_t>(cluster.leader()))->state().quota_ledger();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, counts.count({"f", "sweep"}).drawn);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, counts.count({"f", "pull"}).drawn);
   }
@@ -514,7 +514,7 @@
       cluster.stop_retrieving();
       cluster.run(1.5);
       CPPUNIT_ASSERT(cluster.leader() >= 0);
-      auto accounts = cluster.member(static_cast<std::size_t>(cluster.leader()))->state().accounts();
+      auto accounts = cluster.member(static_cast<std::size_t>(cluster.leader()))->state().quota_ledger();
       std::uint64_t truth = cluster.auditor().truth("f", "pull");
       CPPUNIT_ASSERT(truth <= 30 * accounts.window());
       CPPUNIT_ASSERT(truth > 30 * 3);
@@ -546,7 +546,7 @@
           case 3: {
             std::string address = cluster.edge_address(cluster.world().below(cluster.edges()));
             cluster.cut_off(address, true, true);
-            cluster.world().in(pramperet::Duration(3), [&cluster, address] { cluster.heal(address); });
+            cluster.world().in(quota::Duration(3), [&cluster, address] { cluster.heal(address); });
             break;
           }
           case 4:
--- a/tests/system/replicated_state_test.cpp
+++ b/tests/system/replicated_state_test.cpp
@@ -46,11 +46,11 @@
 raft::Entry change(catalog::Revision base, catalog::Revision revision, const std::string& text) {
   return entry(ReplicatedState::encode_change(base, revision, digest_of(text), text));
 }
-raft::Entry steps(std::uint64_t number, std::uint64_t wanted, pramperet::Window turn = 0) {
+raft::Entry steps(std::uint64_t number, std::uint64_t wanted, quota::Window turn = 0) {
   std::vector<protocol::QuotaCommand> made;
   if (turn > 0) made.push_back(protocol::AdvanceWindow{turn});
-  pramperet::Ask ask;
-  ask.life = 9;
+  quota::QuotaRequest ask;
+  ask.session = 9;
   ask.number = number;
   ask.window = 1;
   ask.wants.push_back({{"f", "pull"}, wanted});
@@ -301,7 +301,7 @@
     CPPUNIT_ASSERT(state.may_serve() && state.configuration());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.history().size());
     CPPUNIT_ASSERT(state.has_applied(7, digest_of(state.text())));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.accounts().count({"f", "pull"}).out);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.quota_ledger().count({"f", "pull"}).out);
     CPPUNIT_ASSERT(state.take_snapshot() == bytes_of(older_snapshot));
     ReplicatedState folded;
     folded.apply(entry(bytes_of(older_entry)));
@@ -333,7 +333,7 @@
     CPPUNIT_ASSERT(made.good());
     ReplicatedState state;
     for (catalog::Revision e = 1; e <= 600; ++e) state.apply(change(e - 1, e, config(e)));
-    for (pramperet::Window window : {0, 1}) {
+    for (quota::Window window : {0, 1}) {
       if (window > 0) state.apply(steps(1, 5, window));
       std::string folded = state.take_snapshot();
       protocol::Unpacker in(folded);
@@ -346,7 +346,7 @@
         in.leave();
       }
       in.leave();
-      pramperet::Accounts accounts;
+      quota::QuotaLedger accounts;
       CPPUNIT_ASSERT(in.more() && accounts.restore(in));
       CPPUNIT_ASSERT_EQUAL(window > 0 ? 5 : 0, static_cast<int>(accounts.count({"f", "pull"}).out));
     }
--- a/tests/system/wire_fuzz_test.cpp
+++ b/tests/system/wire_fuzz_test.cpp
@@ -56,8 +56,9 @@
       protocol::ControlReply{16, 200, "{}"},
       protocol::TokenRequest{7, 2, {{"d", 3}}},
       protocol::TokenGrant{2, {{"d", 3}}},
-      pramperet::Ask{7, 1, 2, {{{"f", "k"}, 2, {5, 6}}}, {{{"f", "k"}, 5}}, {}, {{{"f/b", "k"}, 3}}, {}, {}},
-      pramperet::Tell{1, 2, 500, false, {{{"f", "k"}, 4, true}}, {{"f", "k"}}}};
+      quota::QuotaRequest{
+          7, 1, 2, {{{"f", "k"}, 2, {5, 6}}}, {{{"f", "k"}, 5}}, {}, {{{"f/b", "k"}, 3}}, {}, {}},
+      quota::QuotaReply{1, 2, 500, false, {{{"f", "k"}, 4, true}}, {{"f", "k"}}}};
   for (int kind = 0; kind <= static_cast<int>(raft::MessageKind::leave); ++kind) {
     raft::Message message;
     message.kind = static_cast<raft::MessageKind>(kind);
