--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -103,7 +103,7 @@
 }
 
 void Broker::start() {
-  engine_.know(loop_.now(), config_.known);
+  engine_.restore_members(loop_.now(), config_.known);
   front_.listen(config_.listen);
   log_.info("{} listens on {}, {} nodes known", config_.name, front_.address().text(), engine_.nodes());
   if (!config_.module.membership_by_subscription) members_.start();
@@ -181,7 +181,7 @@
     if (found == tenants_.end()) return refuse_bad(connection, 400, "X-Account: no such tenant");
     tenant = found->second;
   }
-  engine::Arrival arrival;
+  engine::QueryRequest arrival;
   arrival.client = client_of(connection);
   arrival.id = asked.id;
   arrival.text = std::move(asked.text);
@@ -192,13 +192,13 @@
   for (const clients::QueryPart& part : asked.parts)
     arrival.parts.push_back({part.shard, part.weight, part.key, part.cost_us.has_value(),
                              Duration(part.cost_us.value_or(0) / 1e6)});
-  switch (engine_.take(loop_.now(), std::move(arrival))) {
-    case engine::Engine::Taken::taken:
+  switch (engine_.submit(loop_.now(), std::move(arrival))) {
+    case engine::Engine::Admission::accepted:
       return;
-    case engine::Engine::Taken::full:
+    case engine::Engine::Admission::full:
       return front_.answer(connection,
                            {503, clients::error_body("all places are taken"), "application/json", {}, 0});
-    case engine::Engine::Taken::same:
+    case engine::Engine::Admission::duplicate_id:
       return refuse_bad(connection, 409, "X-Correlation-Id: a request under this id is open");
   }
 }
@@ -291,7 +291,7 @@
   engine_.probe_ended(end, nodelink::read_report(end.report, config_.broker.report_fields));
 }
 
-void Broker::numbered(NodeId node, std::string_view id, const net::Address& address) {
+void Broker::node_numbered(NodeId node, std::string_view id, const net::Address& address) {
   log_.debug("node {} is {} at {}", node, id, address.text());
 }
 
@@ -300,7 +300,7 @@
 void Broker::members_told(const membership::MemberList& list) { engine_.members_told(loop_.now(), list); }
 void Broker::members_failed() { engine_.members_failed(); }
 
-void Broker::say(bool fault, std::string_view text) {
+void Broker::write_line(bool fault, std::string_view text) {
   fault ? log_.error("{}", text) : log_.info("{}", text);
 }
 
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -32,7 +32,7 @@
                engine::Clients,
                engine::Nodes,
                engine::Members,
-               engine::Lines {
+               engine::PolicyLog {
  public:
   Broker(net::Loop& loop, log::Logger& log, const config::Config& config, std::unique_ptr<Policy> policy,
          const options::Options& options = {});
@@ -85,8 +85,8 @@
   void drop_idle(NodeId node) override { links_.drop_idle(node); }
   void fetch() override { members_.fetch(); }
   void subscribe(bool on) override { on ? members_.start() : members_.stop(); }
-  void say(bool fault, std::string_view text) override;
-  void numbered(NodeId node, std::string_view id, const net::Address& address) override;
+  void write_line(bool fault, std::string_view text) override;
+  void node_numbered(NodeId node, std::string_view id, const net::Address& address) override;
 
   net::Loop& loop_;
   log::Logger& log_;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -15,7 +15,7 @@
 Engine::Engine(const Settings& settings, Names names, std::unique_ptr<Policy> policy, const Ports& ports)
     : settings_(settings), names_(std::move(names)), policy_(std::move(policy)), ports_(ports) {}
 
-void Engine::know(net::Time now, const membership::MemberList& saved) {
+void Engine::restore_members(net::Time now, const membership::MemberList& saved) {
   now_ = now;
   if (!saved.entries.empty()) take_list(saved, MemberListForm::saved);
 }
@@ -49,14 +49,14 @@
 
 // ---- clients ----
 
-Engine::Taken Engine::take(net::Time now, Arrival asked) {
+Engine::Admission Engine::submit(net::Time now, QueryRequest asked) {
   now_ = now;
   if (queries_.size() + parts_.size() >= static_cast<std::size_t>(settings_.max_open)) {
     ++counters_.turned_away;
-    return Taken::full;
+    return Admission::full;
   }
   // Two queries under one id would share the ids of their parts at the nodes.
-  if (open_ids_.count(asked.id) != 0) return Taken::same;
+  if (open_ids_.count(asked.id) != 0) return Admission::duplicate_id;
   ++counters_.queries;
   QueryId id = ++last_id_;
   std::uint32_t ordinal = ++last_ordinal_;
@@ -80,13 +80,13 @@
   arrival.parts = static_cast<int>(asked.parts.size());
   arrival.repeat = asked.repeat;
   arrival.cost_known = !asked.parts.empty();
-  for (const ArrivalPart& part : asked.parts) {
+  for (const QueryRequestPart& part : asked.parts) {
     arrival.cost_known = arrival.cost_known && part.cost_known;
     arrival.cost += part.cost;
   }
   if (!arrival.cost_known) arrival.cost = Duration{};
   events_.emplace_back(arrival);
-  for (const ArrivalPart& part : asked.parts) {
+  for (const QueryRequestPart& part : asked.parts) {
     PartArrived told;
     told.part = ++last_id_;
     told.ordinal = ordinal;
@@ -99,7 +99,7 @@
     query.parts.push_back({told.part, part.shard, 0, false, {}});
     events_.emplace_back(told);
   }
-  return Taken::taken;
+  return Admission::accepted;
 }
 
 void Engine::client_left(net::Time now, ClientId client) {
@@ -115,7 +115,7 @@
 // The module ends each query in time; this is the net under it, so that no client is left without an answer.
 void Engine::out_of_time(QueryId id) {
   ++counters_.out_of_time;
-  ports_.lines.say(true, "a query was still open at its deadline");
+  ports_.policy_log.write_line(true, "a query was still open at its deadline");
   events_.emplace_back(ClientDisconnected{id});
   Result result{Result::Kind::out_of_time, {}, {}};
   end_query(id, &result);
@@ -209,7 +209,7 @@
 }
 
 // Where nodes come under new ids all day, those that are gone must not be kept. Within the time in which a
-// node counts as cold its number stays: should it return, the module has to know it again.
+// node counts as cold its number stays: should it return, the module has to restore_members it again.
 void Engine::forget_gone() {
   net::Duration keep = settings_.warm_up_time + settings_.cold_load_window;
   std::erase_if(nodes_, [&](const auto& entry) {
@@ -226,7 +226,7 @@
     if (found == nodes_.end()) {
       if (entry.phase == membership::Phase::gone) continue;  // never heard of
       found = nodes_.emplace(entry.id, KnownNode{++last_node_, {}, {}}).first;
-      ports_.lines.numbered(found->second.number, entry.id, entry.address);
+      ports_.policy_log.node_numbered(found->second.number, entry.id, entry.address);
     }
     KnownNode& node = found->second;
     if (entry.phase == membership::Phase::gone) {
@@ -355,6 +355,6 @@
 }
 void Engine::act(const SetTimer& timer) { timers_.emplace(now_ + timer.after, timer.token); }
 void Engine::act(const DropIdleConnections& drop) { ports_.nodes.drop_idle(drop.node); }
-void Engine::act(const LogLine& line) { ports_.lines.say(false, line.text); }
+void Engine::act(const LogLine& line) { ports_.policy_log.write_line(false, line.text); }
 
 }  // namespace pearspar::engine
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -43,7 +43,7 @@
   std::vector<std::string> kinds;
 };
 
-struct ArrivalPart {
+struct QueryRequestPart {
   int shard = 0;
   double weight = 0;
   std::uint64_t key = 0;  // 0 = none
@@ -51,7 +51,7 @@
   Duration cost{};
 };
 
-struct Arrival {
+struct QueryRequest {
   ClientId client = 0;
   std::string id;    // differs from those of all open queries
   std::string text;  // what each part carries
@@ -59,24 +59,24 @@
   int tenant = 0;
   net::Time deadline{};
   bool repeat = false;
-  std::vector<ArrivalPart> parts;
+  std::vector<QueryRequestPart> parts;
 };
 
 class Engine {
  public:
-  enum class Taken {
-    taken,
-    full,  // `max_open` queries and parts are held: to be refused by whoever asks
-    same   // a query of that id is open
+  enum class Admission {
+    accepted,
+    full,         // `max_open` queries and parts are held: to be refused by whoever asks
+    duplicate_id  // a query of that id is open
   };
 
   Engine(const Settings& settings, Names names, std::unique_ptr<Policy> policy, const Ports& ports);
 
   // The list as it was last had, before any other.
-  void know(net::Time now, const membership::MemberList& saved);
+  void restore_members(net::Time now, const membership::MemberList& saved);
   // The module's first batch: where the list does not come by itself, it asks for it.
   void start(net::Time now);
-  Taken take(net::Time now, Arrival arrival);
+  Admission submit(net::Time now, QueryRequest arrival);
   void client_left(net::Time now, ClientId client);
   void attempt_ended(const AttemptEnd& end, std::vector<double> report);
   void probe_ended(const ProbeEnd& end, std::vector<double> report);
--- a/src/engine/ports.h
+++ b/src/engine/ports.h
@@ -86,20 +86,20 @@
   virtual void subscribe(bool on) = 0;
 };
 
-class Lines {
+class PolicyLog {
  public:
-  virtual ~Lines() = default;
+  virtual ~PolicyLog() = default;
   // What the module has to say; `fault`: what should never have come to pass.
-  virtual void say(bool fault, std::string_view text) = 0;
-  // From here on the module's lines name that node by its number.
-  virtual void numbered(NodeId node, std::string_view id, const net::Address& address) = 0;
+  virtual void write_line(bool fault, std::string_view text) = 0;
+  // From here on the module's policy_log name that node by its number.
+  virtual void node_numbered(NodeId node, std::string_view id, const net::Address& address) = 0;
 };
 
 struct Ports {
   Clients& clients;
   Nodes& nodes;
   Members& members;
-  Lines& lines;
+  PolicyLog& policy_log;
 };
 
 }  // namespace pearspar::engine
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 // One broker: its engine, and what stands behind the engine's ports.
-struct Fleet::Broker final : engine::Clients, engine::Nodes, engine::Members, engine::Lines {
+struct Fleet::Broker final : engine::Clients, engine::Nodes, engine::Members, engine::PolicyLog {
   struct Open {
     std::uint64_t client = 0;
     double deadline = 0;
@@ -55,8 +55,8 @@
   void drop_idle(NodeId) override {}
   void fetch() override {}
   void subscribe(bool) override {}
-  void say(bool, std::string_view) override {}
-  void numbered(NodeId, std::string_view, const net::Address&) override {}
+  void write_line(bool, std::string_view) override {}
+  void node_numbered(NodeId, std::string_view, const net::Address&) override {}
 
   void send(NodeId name, std::span<const engine::Call> calls) override {
     int target = named.at(name);
@@ -160,7 +160,7 @@
     }
   std::erase_if(list.entries, [](const auto& entry) { return entry.phase == membership::Phase::gone; });
   list.revision = broker.revision + 1;
-  broker.engine->know(at_time(now_), list);
+  broker.engine->restore_members(at_time(now_), list);
   broker.engine->start(at_time(now_));
   for (std::int64_t i = broker.revision + 1; i < static_cast<std::int64_t>(history_.size()); ++i)
     schedule(now_ + shape_.list_delay, [this, number, i, life = broker.life] {
@@ -260,7 +260,7 @@
     number = (number + 1) % shape_.brokers;
   Broker& broker = *brokers_[static_cast<std::size_t>(number)];
   if (!broker.up) return ended_without(id, 0);
-  engine::Arrival arrival;
+  engine::QueryRequest arrival;
   Broker::Open open{id, client.leaves, client.cls, {}};
   std::uint64_t name = (static_cast<std::uint64_t>(broker.life) << 32) + ++broker.last_ask;
   arrival.client = name;
@@ -275,7 +275,7 @@
     open.weights[shard] = shares[i];
   }
   broker.open[name] = std::move(open);
-  if (broker.engine->take(at_time(now_), std::move(arrival)) != engine::Engine::Taken::taken) {
+  if (broker.engine->submit(at_time(now_), std::move(arrival)) != engine::Engine::Admission::accepted) {
     broker.open.erase(name);
     return ended_without(id, 0.5);
   }
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-struct World : Clients, Nodes, Members, Lines {
+struct World : Clients, Nodes, Members, PolicyLog {
   struct Sent {
     NodeId node = 0;
     PartId part = 0;
@@ -50,8 +50,8 @@
   void drop_idle(NodeId) override {}
   void fetch() override {}
   void subscribe(bool) override {}
-  void say(bool fault, std::string_view) override { faults += fault ? 1 : 0; }
-  void numbered(NodeId, std::string_view, const net::Address&) override { ++numbers; }
+  void write_line(bool fault, std::string_view) override { faults += fault ? 1 : 0; }
+  void node_numbered(NodeId, std::string_view, const net::Address&) override { ++numbers; }
 
   void end(Sent& each, Outcome outcome, const std::string& value = {}) {
     if (std::exchange(each.ended, true)) return;
@@ -87,11 +87,11 @@
     engine = std::make_unique<Engine>(settings, Names{}, make_policy(settings, 3),
                                       Ports{world, world, world, world});
     world.engine = engine.get();
-    engine->know(now, list_of(6, settings.cells));
+    engine->restore_members(now, list_of(6, settings.cells));
     engine->start(now);
   }
-  Arrival query(ClientId client, std::vector<int> shards, net::Duration wait = 2s) {
-    Arrival arrival;
+  QueryRequest query(ClientId client, std::vector<int> shards, net::Duration wait = 2s) {
+    QueryRequest arrival;
     arrival.client = client;
     arrival.id = "q" + std::to_string(client);
     arrival.text = "text";
@@ -101,7 +101,7 @@
       arrival.parts.push_back({shard, 1.0 / static_cast<double>(shards.size()), 0, false, {}});
     return arrival;
   }
-  Engine::Taken take(Arrival arrival) { return engine->take(now, std::move(arrival)); }
+  Engine::Admission take(QueryRequest arrival) { return engine->submit(now, std::move(arrival)); }
   void pass(net::Duration time) {
     net::Time end = now + time;
     while (true) {
@@ -130,7 +130,7 @@
 
 TEST_F(EngineTest, AQueryIsSentAndAnsweredOnceWithWhatIsIn) {
   EXPECT_EQ(world.numbers, 6);
-  ASSERT_EQ(take(query(1, {0, 1})), Engine::Taken::taken);
+  ASSERT_EQ(take(query(1, {0, 1})), Engine::Admission::accepted);
   EXPECT_EQ(engine->open_parts(), 2u);
   pass(10ms);
   ASSERT_EQ(world.sent.size(), 2u);
@@ -145,12 +145,12 @@
 }
 
 TEST_F(EngineTest, AnIdThatIsOpenAndPlacesThatAreTakenAreSaidAtOnce) {
-  ASSERT_EQ(take(query(1, {0})), Engine::Taken::taken);
-  Arrival same = query(2, {0});
+  ASSERT_EQ(take(query(1, {0})), Engine::Admission::accepted);
+  QueryRequest same = query(2, {0});
   same.id = "q1";
-  EXPECT_EQ(take(std::move(same)), Engine::Taken::same);
+  EXPECT_EQ(take(std::move(same)), Engine::Admission::duplicate_id);
   ClientId client = 10;
-  while (take(query(client, {0, 1, 2, 3})) == Engine::Taken::taken) ++client;
+  while (take(query(client, {0, 1, 2, 3})) == Engine::Admission::accepted) ++client;
   EXPECT_EQ(engine->counters().turned_away, 1u);
   EXPECT_LE(engine->open() + engine->open_parts(), static_cast<std::size_t>(settings.max_open) + 5);
 }
@@ -158,8 +158,8 @@
 // The place of an answered query is free for one that comes within the answer.
 TEST_F(EngineTest, TheNextQueryMayComeWithinTheAnswer) {
   while (engine->open() + engine->open_parts() < static_cast<std::size_t>(settings.max_open))
-    ASSERT_EQ(take(query(1000 + engine->counters().queries, {0})), Engine::Taken::taken);
-  std::vector<Engine::Taken> results;
+    ASSERT_EQ(take(query(1000 + engine->counters().queries, {0})), Engine::Admission::accepted);
+  std::vector<Engine::Admission> results;
   world.on_answer = [&](ClientId client) {
     if (results.empty()) results.push_back(take(query(client + 5000, {0})));
   };
@@ -167,7 +167,7 @@
   serve_all();
   pass(50ms);
   ASSERT_FALSE(results.empty());
-  EXPECT_EQ(results[0], Engine::Taken::taken);
+  EXPECT_EQ(results[0], Engine::Admission::accepted);
 }
 
 TEST_F(EngineTest, AClientThatLeavesIsNotAnswered) {
@@ -201,14 +201,14 @@
   for (int i = 0; i < 4000; ++i) {
     if (random() % 2 == 0) {
       ClientId client = ++next;
-      Arrival arrival =
+      QueryRequest arrival =
           query(client, {static_cast<int>(random() % 8), static_cast<int>(8 - random() % 8) - 1},
                 net::Duration(0.05 + static_cast<double>(random() % 100) / 100));
       if (arrival.parts[0].shard == arrival.parts[1].shard)
         arrival.parts.resize(1), arrival.parts[0].weight = 1;
       arrival.cls = static_cast<int>(random() % 2);
       net::Time deadline = arrival.deadline;
-      if (take(std::move(arrival)) == Engine::Taken::taken) deadlines[client] = deadline;
+      if (take(std::move(arrival)) == Engine::Admission::accepted) deadlines[client] = deadline;
     }
     pass(net::Duration(static_cast<double>(random() % 10) / 1000));
     for (std::size_t n = random() % 4; n > 0 && !world.sent.empty(); --n) {
