--- a/src/quota/edge_quota.h
+++ b/src/quota/edge_quota.h
@@ -1,9 +1,8 @@
-// An edge's side of the allowance: the tokens that it holds, what it has spent and not yet settled, whom it
-// refuses. Free of I/O.
+// An edge's side of quotas: the tokens that it holds, and draws that are not yet in the log. Performs no I/O.
 //
-// A token is spent only while the lease holds that the last answered question renewed (or, where the operator
-// says so, as long as its window runs), and never more than max_unsettled of a account_key that the log does
-// not know of.
+// A token is spent only while the lease renewed by the last answered request holds (or until its window ends,
+// where the configuration allows spending while disconnected), and at most max_unsettled tokens of an account
+// may be spent without the log knowing of it.
 #pragma once
 
 #include <cstdint>
@@ -19,31 +18,33 @@
 
 namespace pearspar::quota {
 
-// What a request drew; kept until its end.
+// What a client request drew; kept until the request ends.
 struct Draw {
   AccountKey account_key;
   RequestKey key = 0;
   Window window = 0;
-  std::uint64_t serial = 0;  // of the spending; 0 = a try of what was counted before
+  std::uint64_t serial = 0;  // of the spent token; of the last one for a further attempt
 };
 
+// Result of EdgeQuota::draw.
 struct DrawResult {
   enum class Kind {
-    free,     // draws on nothing
-    drawn,    // `ticket` holds
-    wait,     // the leader is being asked
-    refused,  // nothing is left: `retry_after`
+    free,     // no quota applies
+    drawn,    // `ticket` is set
+    wait,     // tokens are being requested from the leader
+    refused,  // the quota is exhausted: see `retry_after`
   };
   Kind kind = Kind::free;
   Draw ticket;
   Duration retry_after{};
 };
 
+// Totals since the start of the process.
 struct EdgeQuotaCounters {
   std::uint64_t drawn = 0;
-  std::uint64_t repeated = 0;  // here
+  std::uint64_t repeated = 0;  // further attempts of requests counted at this edge
   std::uint64_t waited = 0;
-  std::uint64_t drawn_late = 0;  // of those drawn: after a wait
+  std::uint64_t drawn_late = 0;  // of `drawn`: after a wait
   std::uint64_t refused = 0;
   std::uint64_t given_back = 0;
   std::uint64_t asks = 0;
@@ -57,45 +58,45 @@
   bool on() const { return rules_ != nullptr; }
   const catalog::QuotaRules* rules() const { return rules_.get(); }
 
-  // `again`: it has waited, and is not counted as waiting anew.
+  // Draws one token for a request; `again`: the request has waited, and is not counted as waiting again.
   DrawResult draw(Time now, const std::string& holder, const std::string& kind, std::string_view key,
                   bool again);
-  // It waits no more, and is refused.
+  // Gives up a waiting request.
   void refuse(const std::string& holder, const std::string& kind);
-  // Nobody has run it.
+  // Returns the draw: no node has run the request.
   void not_run(const Draw& ticket);
-  // Its answer does not reply whether it ran.
+  // The outcome leaves open whether the request ran.
   void unsure(const Draw& ticket) { unsure_.push_back({ticket.account_key, ticket.key}); }
-  // A majority has it on disk that it was drawn.
-  bool settled(const Draw& ticket) const { return ticket.serial <= settled_; }
+  // Whether the draw is committed to the log.
+  bool settled(const Draw& ticket) const { return ticket.serial <= settled_serial_; }
 
-  // What is to be sent to the leader now.
+  // The request to send to the leader now, if any.
   std::optional<QuotaRequest> take_request(Time now);
   void on_reply(Time now, const QuotaReply& reply);
   Time due(Time now) const;
   const EdgeQuotaCounters& counters() const { return counters_; }
-  // All that its next steps depend on, times as spans from now; for the search through its states.
+  // Canonical text of the state, with times relative to now; for state-space exploration.
   std::string describe(Time now) const;
   void set_max_unsettled(std::uint64_t most) { max_unsettled_ = most; }
 
  private:
-  static constexpr Duration again_after = std::chrono::milliseconds(250);  // the same question, unanswered
-  static constexpr Duration touch_every = std::chrono::milliseconds(500);  // while tokens are held
-  static constexpr Duration idle_after = std::chrono::seconds(2);          // tokens go back
-  static constexpr Duration retry_every = std::chrono::milliseconds(20);   // where nothing came
-  static constexpr Duration believe = std::chrono::seconds(1);             // that nothing is left
-  static constexpr std::uint64_t least_batch = 4;
-  static constexpr std::uint64_t most_batch = 256;
+  static constexpr Duration resend_after = std::chrono::milliseconds(250);     // an unanswered request
+  static constexpr Duration report_interval = std::chrono::milliseconds(500);  // while tokens are held
+  static constexpr Duration token_idle_time = std::chrono::seconds(2);  // then unused tokens are returned
+  static constexpr Duration retry_interval = std::chrono::milliseconds(20);  // after a grant of nothing
+  static constexpr Duration exhausted_ttl = std::chrono::seconds(1);         // of an exhausted reply
+  static constexpr std::uint64_t min_batch = 4;
+  static constexpr std::uint64_t max_batch = 256;
 
   struct Held {
     std::uint64_t tokens = 0;
-    std::uint64_t unsettled = 0;  // spent, and not in the log as far as is known
-    std::uint64_t waiting = 0;    // requests that found none
-    std::uint64_t refused = 0;    // since the last question
-    std::uint64_t batch = least_batch;
-    bool short_of = false;
-    Time exhausted_until{};  // believed so long
-    Time not_before{};       // it is asked for again
+    std::uint64_t unsettled = 0;  // spent, not yet known to be in the log
+    std::uint64_t waiting = 0;    // client requests waiting for a token
+    std::uint64_t refused = 0;    // since the last report
+    std::uint64_t batch = min_batch;
+    bool needs_tokens = false;
+    Time exhausted_until{};
+    Time not_before{};  // next request for tokens
     Time used{};
     Time wanted{};
   };
@@ -114,20 +115,19 @@
   Time window_end_{};
   Time lease_until_{};
   std::map<AccountKey, Held> held_;
-  // Retrievals counted here: how many of their tries are not known to have run nowhere. By the window's
-  // parity.
-  std::unordered_map<RequestKey, std::uint64_t> known_[2];
-  std::vector<SettledDraws> pending_;  // spent since the last question
-  std::vector<DrawId> back_;
+  // Attempts per request counted here, without those reported as not run; by the parity of the window.
+  std::unordered_map<RequestKey, std::uint64_t> known_requests_[2];
+  std::vector<SettledDraws> pending_;  // spent since the last request
+  std::vector<DrawId> not_run_;
   std::vector<DrawId> unsure_;
-  std::optional<QuotaRequest> under_way_;
-  std::uint64_t serial_ = 0;        // of the last spending
-  std::uint64_t under_way_to_ = 0;  // the last one in the question
-  std::uint64_t settled_ = 0;
+  std::optional<QuotaRequest> in_flight_;
+  std::uint64_t serial_ = 0;            // of the last spent token
+  std::uint64_t in_flight_serial_ = 0;  // last one reported in in_flight_
+  std::uint64_t settled_serial_ = 0;
   Time first_sent_{};
   Time sent_{};
-  bool urgent_ = false;
-  bool retire_ = false;
+  bool send_now_ = false;
+  bool renew_session_ = false;
   EdgeQuotaCounters counters_;
 };
 
--- a/src/quota/quota_ledger.cpp
+++ b/src/quota/quota_ledger.cpp
@@ -12,30 +12,30 @@
 }
 
 template <class What>
-void QuotaLedger::at_levels(Period& period, const AccountKey& account_key, What what) {
-  for (const AccountKey& level : levels(account_key)) what(period.counts[level]);
+void QuotaLedger::for_each_level(WindowState& window_state, const AccountKey& account_key, What what) {
+  for (const AccountKey& level : levels(account_key)) what(window_state.counts[level]);
 }
 
-QuotaLedger::Period* QuotaLedger::period(Window window) {
-  for (Period& each : periods_)
+QuotaLedger::WindowState* QuotaLedger::find_period(Window window) {
+  for (WindowState& each : windows_)
     if (each.number == window) return &each;
   return nullptr;
 }
 
 UsageCounts QuotaLedger::count(const AccountKey& level) const {
-  if (periods_.empty()) return {};
-  auto found = periods_.back().counts.find(level);
-  return found == periods_.back().counts.end() ? UsageCounts{} : found->second;
+  if (windows_.empty()) return {};
+  auto found = windows_.back().counts.find(level);
+  return found == windows_.back().counts.end() ? UsageCounts{} : found->second;
 }
 
-// What may still go out: the least that is left at a level that binds.
+// Tokens that may still be granted: the minimum left over all accounts that apply.
 std::uint64_t QuotaLedger::available(const AccountKey& account_key) const {
   std::optional<std::uint64_t> least;
   std::vector<AccountKey> all = levels(account_key);
   for (const AccountKey& level : all) {
     const catalog::QuotaAccount* account = rules_->find(level.holder, level.kind);
     if (!account) continue;
-    // Past its own limit a branch that borrows is bound by its firm alone.
+    // A branch that borrows is limited only by its firm.
     if (account->borrows && rules_->find(all.back().holder, account_key.kind)) continue;
     UsageCounts used = count(level);
     std::uint64_t sum = used.out + used.drawn + used.in_doubt;
@@ -45,47 +45,48 @@
   return least.value_or(0);
 }
 
-void QuotaLedger::settle(Held& held, const SettledDraws& settled) {
-  Period* at = period(settled.window);
-  if (!at && !periods_.empty())
-    at = &periods_.front();  // so late that its window is closed: counted all the same
+void QuotaLedger::apply_settled(EdgeState& edge, const SettledDraws& settled) {
+  WindowState* at = find_period(settled.window);
+  if (!at && !windows_.empty())
+    at = &windows_.front();  // reported after its window was dropped: still counted
   if (!at) return;
-  auto grant = held.grants.find({settled.account_key, at->number});
+  auto grant = edge.grants.find({settled.account_key, at->number});
   for (RequestKey key : settled.keys) {
-    if (grant != held.grants.end()) {
-      // The token that was spent: out with a session, or in doubt since that session was given up.
+    if (grant != edge.grants.end()) {
+      // The spent token is still out, or in doubt if the session has expired.
       if (grant->second.out > 0) {
         --grant->second.out;
-        at_levels(*at, settled.account_key, [](UsageCounts& count) { count.out -= count.out > 0; });
+        for_each_level(*at, settled.account_key, [](UsageCounts& count) { count.out -= count.out > 0; });
       } else if (grant->second.in_doubt > 0) {
         --grant->second.in_doubt;
-        at_levels(*at, settled.account_key, [](UsageCounts& count) { count.in_doubt -= count.in_doubt > 0; });
+        for_each_level(*at, settled.account_key,
+                       [](UsageCounts& count) { count.in_doubt -= count.in_doubt > 0; });
       }
     }
     Claim* claim = nullptr;
-    for (Period& each : periods_)
+    for (WindowState& each : windows_)
       if (auto known = each.keys.find(key); known != each.keys.end()) {
         claim = &known->second;
-        sure(each, *claim);  // this try will tell
+        clear_unsure(each, *claim);  // the outcome of this attempt decides
       }
     if (claim) {
       ++claim->tries;
-      at_levels(*at, settled.account_key, [](UsageCounts& count) { ++count.repeated; });
+      for_each_level(*at, settled.account_key, [](UsageCounts& count) { ++count.repeated; });
     } else {
       at->keys[key] = {settled.account_key, 1, false};
-      at_levels(*at, settled.account_key, [](UsageCounts& count) { ++count.drawn; });
+      for_each_level(*at, settled.account_key, [](UsageCounts& count) { ++count.drawn; });
     }
   }
 }
 
-void QuotaLedger::back(const DrawId& back) {
-  for (Period& each : periods_) {
+void QuotaLedger::apply_not_run(const DrawId& back) {
+  for (WindowState& each : windows_) {
     auto known = each.keys.find(back.key);
     if (known == each.keys.end()) continue;
-    // Another try of it may have run.
+    // Another attempt may have run.
     if (--known->second.tries > 0) return;
-    sure(each, known->second);
-    at_levels(each, known->second.account_key, [](UsageCounts& count) {
+    clear_unsure(each, known->second);
+    for_each_level(each, known->second.account_key, [](UsageCounts& count) {
       count.drawn -= count.drawn > 0;
       ++count.given_back;
     });
@@ -94,86 +95,88 @@
   }
 }
 
-void QuotaLedger::sure(Period& period, Claim& claim) {
+void QuotaLedger::clear_unsure(WindowState& window_state, Claim& claim) {
   if (!claim.unsure) return;
   claim.unsure = false;
-  at_levels(period, claim.account_key, [](UsageCounts& count) { count.unsure -= count.unsure > 0; });
+  for_each_level(window_state, claim.account_key,
+                 [](UsageCounts& count) { count.unsure -= count.unsure > 0; });
 }
 
-void QuotaLedger::unsure(const DrawId& which) {
-  for (Period& each : periods_) {
+void QuotaLedger::apply_unsure(const DrawId& which) {
+  for (WindowState& each : windows_) {
     auto known = each.keys.find(which.key);
     if (known == each.keys.end() || known->second.unsure) continue;
     known->second.unsure = true;
-    at_levels(each, known->second.account_key, [](UsageCounts& count) { ++count.unsure; });
+    for_each_level(each, known->second.account_key, [](UsageCounts& count) { ++count.unsure; });
     return;
   }
 }
 
-void QuotaLedger::grant_tokens(Held& held, const Amount& want) {
+void QuotaLedger::grant_tokens(EdgeState& edge, const Amount& want) {
   GrantResult given{want.account_key, 0, false};
   std::uint64_t left = available(want.account_key);
-  // Half of the rest at most, so that the others find some.
+  // At most half of what is left, so that other edges find some.
   given.count = std::min(want.count, (left + 1) / 2);
   if (given.count > 0) {
-    held.grants[{want.account_key, window()}].out += given.count;
-    at_levels(periods_.back(), want.account_key, [&](UsageCounts& count) { count.out += given.count; });
+    edge.grants[{want.account_key, window()}].out += given.count;
+    for_each_level(windows_.back(), want.account_key, [&](UsageCounts& count) { count.out += given.count; });
   } else {
     std::uint64_t out = 0;
     for (const AccountKey& level : levels(want.account_key)) out += count(level).out;
     given.exhausted = out == 0;
   }
-  held.given.push_back(std::move(given));
+  edge.given.push_back(std::move(given));
 }
 
 void QuotaLedger::apply(const QuotaRequest& request) {
-  if (!rules_ || periods_.empty()) return;
-  Held& held = held_[request.session];
-  if (request.number <= held.number) return;
-  held.number = request.number;
-  held.heard = window();
-  held.given.clear();
-  for (const SettledDraws& settled : request.settled) settle(held, settled);
-  for (const DrawId& each : request.not_run) back(each);
-  for (const DrawId& each : request.unsure) unsure(each);
+  if (!rules_ || windows_.empty()) return;
+  EdgeState& edge = edges_[request.session];
+  if (request.number <= edge.number) return;
+  edge.number = request.number;
+  edge.heard = window();
+  edge.given.clear();
+  for (const SettledDraws& settled : request.settled) apply_settled(edge, settled);
+  for (const DrawId& each : request.not_run) apply_not_run(each);
+  for (const DrawId& each : request.unsure) apply_unsure(each);
   for (const Amount& returned : request.returned) {
-    auto grant = held.grants.find({returned.account_key, request.window});
-    if (held.gone || grant == held.grants.end()) continue;
+    auto grant = edge.grants.find({returned.account_key, request.window});
+    if (edge.expired || grant == edge.grants.end()) continue;
     std::uint64_t count = std::min(returned.count, grant->second.out);
     grant->second.out -= count;
-    if (Period* at = period(request.window))
-      at_levels(*at, returned.account_key, [&](UsageCounts& each) { each.out -= std::min(each.out, count); });
+    if (WindowState* at = find_period(request.window))
+      for_each_level(*at, returned.account_key,
+                     [&](UsageCounts& each) { each.out -= std::min(each.out, count); });
   }
   for (const Amount& refused : request.refused)
-    at_levels(periods_.back(), refused.account_key,
-              [&](UsageCounts& count) { count.refused += refused.count; });
-  if (held.gone) return;
-  for (const Amount& want : request.wants) grant_tokens(held, want);
+    for_each_level(windows_.back(), refused.account_key,
+                   [&](UsageCounts& count) { count.refused += refused.count; });
+  if (edge.expired) return;
+  for (const Amount& want : request.wants) grant_tokens(edge, want);
 }
 
 void QuotaLedger::advance_window(Window next) {
   if (next != window() + 1) return;
-  periods_.push_back({next, {}, {}});
-  if (periods_.size() > periods_kept) periods_.pop_front();
-  // What is older than the windows that are kept is forgotten, and who has not asked since.
-  Window oldest = periods_.front().number;
-  std::erase_if(held_, [&](const auto& each) { return each.second.heard < oldest; });
-  for (auto& [session, held] : held_)
-    std::erase_if(held.grants, [&](const auto& grant) { return grant.first.second < oldest; });
+  windows_.push_back({next, {}, {}});
+  if (windows_.size() > max_windows) windows_.pop_front();
+  // Drops grants of windows that are no longer kept, and edges that have sent nothing since.
+  Window oldest = windows_.front().number;
+  std::erase_if(edges_, [&](const auto& each) { return each.second.heard < oldest; });
+  for (auto& [session, edge] : edges_)
+    std::erase_if(edge.grants, [&](const auto& grant) { return grant.first.second < oldest; });
 }
 
 void QuotaLedger::expire_edge(EdgeSession session) {
-  auto found = held_.find(session);
-  if (found == held_.end() || found->second.gone || !rules_) return;
-  found->second.gone = true;
+  auto found = edges_.find(session);
+  if (found == edges_.end() || found->second.expired || !rules_) return;
+  found->second.expired = true;
   for (auto& [place, grant] : found->second.grants) {
-    Period* at = period(place.second);
+    WindowState* at = find_period(place.second);
     if (!at || grant.out == 0) continue;
     std::uint64_t out = grant.out;
     std::uint64_t doubt = rules_->spend_when_disconnected ? out : std::min(out, max_unsettled_);
     grant.out = 0;
     grant.in_doubt = doubt;
-    at_levels(*at, place.first, [&](UsageCounts& count) {
+    for_each_level(*at, place.first, [&](UsageCounts& count) {
       count.out -= std::min(count.out, out);
       count.in_doubt += doubt;
     });
@@ -181,28 +184,28 @@
 }
 
 const std::vector<GrantResult>* QuotaLedger::given(EdgeSession session, std::uint64_t number) const {
-  auto found = held_.find(session);
-  // Tokens of a window that is over are of no use to anybody.
-  if (found == held_.end() || found->second.number != number || found->second.heard != window())
+  auto found = edges_.find(session);
+  // Tokens of an earlier window cannot be spent.
+  if (found == edges_.end() || found->second.number != number || found->second.heard != window())
     return nullptr;
   return &found->second.given;
 }
 
 bool QuotaLedger::applied(EdgeSession session, std::uint64_t number) const {
-  auto found = held_.find(session);
-  return found != held_.end() && found->second.number >= number;
+  auto found = edges_.find(session);
+  return found != edges_.end() && found->second.number >= number;
 }
 
 bool QuotaLedger::is_expired(EdgeSession session) const {
-  auto found = held_.find(session);
-  return found != held_.end() && found->second.gone;
+  auto found = edges_.find(session);
+  return found != edges_.end() && found->second.expired;
 }
 
 std::vector<EdgeSession> QuotaLedger::sessions_with_tokens() const {
   std::vector<EdgeSession> found;
-  for (const auto& [session, held] : held_)
-    if (!held.gone && std::any_of(held.grants.begin(), held.grants.end(),
-                                  [](const auto& grant) { return grant.second.out > 0; }))
+  for (const auto& [session, edge] : edges_)
+    if (!edge.expired && std::any_of(edge.grants.begin(), edge.grants.end(),
+                                     [](const auto& grant) { return grant.second.out > 0; }))
       found.push_back(session);
   return found;
 }
@@ -210,9 +213,9 @@
 std::vector<EdgeSession> QuotaLedger::sessions_holding(const AccountKey& account_key) const {
   std::vector<EdgeSession> found;
   const std::string firm = levels(account_key).back().holder;
-  for (const auto& [session, held] : held_) {
-    if (held.gone) continue;
-    for (const auto& [place, grant] : held.grants)
+  for (const auto& [session, edge] : edges_) {
+    if (edge.expired) continue;
+    for (const auto& [place, grant] : edge.grants)
       if (grant.out > 0 && place.second == window() && place.first.kind == account_key.kind &&
           levels(place.first).back().holder == firm) {
         found.push_back(session);
@@ -224,7 +227,7 @@
 
 std::vector<QuotaLedger::Line> QuotaLedger::lines() const {
   std::vector<Line> found;
-  for (auto at = periods_.rbegin(); at != periods_.rend(); ++at)
+  for (auto at = windows_.rbegin(); at != windows_.rend(); ++at)
     for (const auto& [account_key, count] : at->counts) {
       const catalog::QuotaAccount* account =
           rules_ ? rules_->find(account_key.holder, account_key.kind) : nullptr;
--- a/src/quota/quota_ledger_snapshot.cpp
+++ b/src/quota/quota_ledger_snapshot.cpp
@@ -1,11 +1,11 @@
-// The agreed accounts as bytes, for snapshots.
+// Snapshot encoding of the quota ledger.
 #include "protocol/pack.h"
 #include "quota/quota_ledger.h"
 
 namespace pearspar::quota {
 namespace {
 
-constexpr std::size_t most_lines = 1 << 20;
+constexpr std::size_t max_items = 1 << 20;
 
 void put(protocol::Packer& packer, const AccountKey& account_key) {
   packer.text(account_key.holder);
@@ -22,8 +22,8 @@
 
 void QuotaLedger::save(protocol::Packer& packer) const {
   packer.array(2);
-  packer.array(periods_.size());
-  for (const Period& each : periods_) {
+  packer.array(windows_.size());
+  for (const WindowState& each : windows_) {
     packer.array(3);
     packer.number(each.number);
     packer.array(each.counts.size());
@@ -43,22 +43,22 @@
       packer.flag(claim.unsure);
     }
   }
-  packer.array(held_.size());
-  for (const auto& [session, held] : held_) {
+  packer.array(edges_.size());
+  for (const auto& [session, edge] : edges_) {
     packer.array(6);
     packer.number(session);
-    packer.number(held.number);
-    packer.flag(held.gone);
-    packer.number(held.heard);
-    packer.array(held.given.size());
-    for (const GrantResult& given : held.given) {
+    packer.number(edge.number);
+    packer.flag(edge.expired);
+    packer.number(edge.heard);
+    packer.array(edge.given.size());
+    for (const GrantResult& given : edge.given) {
       packer.array(4);
       put(packer, given.account_key);
       packer.number(given.count);
       packer.flag(given.exhausted);
     }
-    packer.array(held.grants.size());
-    for (const auto& [place, grant] : held.grants) {
+    packer.array(edge.grants.size());
+    for (const auto& [place, grant] : edge.grants) {
       packer.array(5);
       put(packer, place.first);
       packer.number(place.second);
@@ -69,15 +69,15 @@
 }
 
 bool QuotaLedger::restore(protocol::Unpacker& in) {
-  periods_.clear();
-  held_.clear();
+  windows_.clear();
+  edges_.clear();
   in.enter(8);
-  std::size_t periods = in.enter(most_lines);
-  for (std::size_t i = 0; i < periods && in.good(); ++i) {
+  std::size_t windows = in.enter(max_items);
+  for (std::size_t i = 0; i < windows && in.good(); ++i) {
     in.enter(8);
-    Period& each = periods_.emplace_back();
+    WindowState& each = windows_.emplace_back();
     each.number = in.number();
-    std::size_t counts = in.enter(most_lines);
+    std::size_t counts = in.enter(max_items);
     for (std::size_t j = 0; j < counts && in.good(); ++j) {
       in.enter(16);
       UsageCounts& count = each.counts[get_account_key(in)];
@@ -87,7 +87,7 @@
       in.leave();
     }
     in.leave();
-    std::size_t keys = in.enter(most_lines);
+    std::size_t keys = in.enter(max_items);
     for (std::size_t j = 0; j < keys && in.good(); ++j) {
       in.enter(8);
       RequestKey key = in.number();
@@ -101,29 +101,29 @@
     in.leave();
   }
   in.leave();
-  std::size_t sessions_with_tokens = in.enter(most_lines);
-  for (std::size_t i = 0; i < sessions_with_tokens && in.good(); ++i) {
+  std::size_t edges = in.enter(max_items);
+  for (std::size_t i = 0; i < edges && in.good(); ++i) {
     in.enter(8);
-    Held& held = held_[in.number()];
-    held.number = in.number();
-    held.gone = in.flag();
-    held.heard = in.number();
-    std::size_t given = in.enter(most_lines);
+    EdgeState& edge = edges_[in.number()];
+    edge.number = in.number();
+    edge.expired = in.flag();
+    edge.heard = in.number();
+    std::size_t given = in.enter(max_items);
     for (std::size_t j = 0; j < given && in.good(); ++j) {
       in.enter(8);
-      GrantResult& each = held.given.emplace_back();
+      GrantResult& each = edge.given.emplace_back();
       each.account_key = get_account_key(in);
       each.count = in.number();
       each.exhausted = in.flag();
       in.leave();
     }
     in.leave();
-    std::size_t grants = in.enter(most_lines);
+    std::size_t grants = in.enter(max_items);
     for (std::size_t j = 0; j < grants && in.good(); ++j) {
       in.enter(8);
       AccountKey account_key = get_account_key(in);
       Window window = in.number();
-      Grant& grant = held.grants[{std::move(account_key), window}];
+      Grant& grant = edge.grants[{std::move(account_key), window}];
       grant.out = in.number();
       grant.in_doubt = in.number();
       in.leave();
