--- a/tests/system/allowance_test.cpp
+++ b/tests/system/allowance_test.cpp
@@ -1,5 +1,5 @@
-// One allowance over all edges: what the core agrees on, and whole clusters whose auditor saw only what
-// clients asked and nodes ran.
+// Quotas shared by all edges: the ledger and an edge's side on their own, and whole clusters whose auditor
+// sees only what clients requested and what nodes ran.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
@@ -18,9 +18,10 @@
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr unsigned thin = 6;
+// Sanitizer builds run fewer seeds.
+constexpr unsigned seed_divisor = 6;
 #else
-constexpr unsigned thin = 1;
+constexpr unsigned seed_divisor = 1;
 #endif
 
 std::string configuration(const std::string& allowances) {
@@ -54,26 +55,26 @@
 
 class AllowanceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AllowanceTest);
-  CPPUNIT_TEST(aFaultInTheRulesIsToldItsKey);
-  CPPUNIT_TEST(tokensBindAtBothLevels);
-  CPPUNIT_TEST(aQuestionCountsOnce);
-  CPPUNIT_TEST(aKeyCountsOnceOverEdgesAndWindows);
-  CPPUNIT_TEST(whatNobodyRanIsGivenBackOnce);
-  CPPUNIT_TEST(whatADeadEdgeHeldComesBackButForWhatIsInDoubt);
-  CPPUNIT_TEST(aLateReportIsCountedInItsWindow);
-  CPPUNIT_TEST(aLimitThatMovesBindsAtOnce);
-  CPPUNIT_TEST(theFoldHoldsAll);
-  CPPUNIT_TEST(aFrozenPurseSpendsNothing);
-  CPPUNIT_TEST(noMoreThanAFewAreUnsettled);
-  CPPUNIT_TEST(aWindowThatTurnsTakesItsTokensAlong);
-  CPPUNIT_TEST(withoutRulesNothingIsSaid);
-  CPPUNIT_TEST(countsEqualWhatRan);
-  CPPUNIT_TEST(theLastTokensAreAskedForByAll);
-  CPPUNIT_TEST(oneRetrievalAtTwoEdgesIsOneDraw);
-  CPPUNIT_TEST(idleTokensAreAskedBack);
-  CPPUNIT_TEST(aRaisedLimitIsServedAgain);
+  CPPUNIT_TEST(configurationErrorNamesItsKey);
+  CPPUNIT_TEST(grantsAreLimitedByBranchAndFirm);
+  CPPUNIT_TEST(repeatedRequestIsAppliedOnce);
+  CPPUNIT_TEST(requestKeyCountsOnceAcrossEdgesAndWindows);
+  CPPUNIT_TEST(drawNotRunIsReturnedOnce);
+  CPPUNIT_TEST(expiredEdgeKeepsOnlyDoubtfulTokens);
+  CPPUNIT_TEST(lateReportCountsInItsOwnWindow);
+  CPPUNIT_TEST(changedLimitAppliesAtOnce);
+  CPPUNIT_TEST(snapshotRestoresLedger);
+  CPPUNIT_TEST(edgeWithExpiredLeaseSpendsNothing);
+  CPPUNIT_TEST(unsettledTokensAreBounded);
+  CPPUNIT_TEST(newWindowInvalidatesTokens);
+  CPPUNIT_TEST(noMessagesWithoutQuotaRules);
+  CPPUNIT_TEST(countsEqualRequestsThatRan);
+  CPPUNIT_TEST(contendedLastTokensAreAllSpent);
+  CPPUNIT_TEST(requestSentToTwoEdgesDrawsOnce);
+  CPPUNIT_TEST(idleTokensAreRecalled);
+  CPPUNIT_TEST(raisedLimitIsServed);
   CPPUNIT_TEST(everyWindowKeepsItsLimit);
-  CPPUNIT_TEST(troublesLeaveTheCountsWithinTheirBounds);
+  CPPUNIT_TEST(countsStayWithinBoundsUnderFaults);
   CPPUNIT_TEST_SUITE_END();
 
   const AccountKey branch{"f/b", "pull"}, firm{"f", "pull"};
@@ -85,7 +86,7 @@
     ask.window = window;
     return ask;
   }
-  static QuotaLedger begun(const std::string& accounts, const std::string& extra = "") {
+  static QuotaLedger ledger_with(const std::string& accounts, const std::string& extra = "") {
     QuotaLedger state;
     state.configure(read(rules(accounts, extra)));
     state.advance_window(1);
@@ -93,14 +94,14 @@
   }
   static std::uint64_t want(QuotaLedger& state, quota::EdgeSession session, std::uint64_t number,
                             const AccountKey& account_key, std::uint64_t count) {
-    QuotaRequest question = ask(session, number, state.window());
-    question.wants.push_back({account_key, count});
-    state.apply(question);
+    QuotaRequest request = ask(session, number, state.window());
+    request.wants.push_back({account_key, count});
+    state.apply(request);
     return state.given(session, number)->front().count;
   }
 
  public:
-  void aFaultInTheRulesIsToldItsKey() {
+  void configurationErrorNamesItsKey() {
     CPPUNIT_ASSERT_EQUAL(std::string("allowances.accounts[0].kind: is no route's allowanceKind"),
                          fault_of(rules(account("f", "", "sing", 3))));
     CPPUNIT_ASSERT_EQUAL(std::string("allowances.accounts[1].kind: stands twice for this holder"),
@@ -112,35 +113,35 @@
     CPPUNIT_ASSERT(fault_of(rules("", ",\"outOfTouch\":\"hope\"")).starts_with("allowances.outOfTouch"));
   }
 
-  void tokensBindAtBothLevels() {
-    QuotaLedger state = begun(account("f", "", "pull", 10) + "," + account("f", "b", "pull", 4) + "," +
-                              account("f", "c", "pull", 5, ",\"borrows\":true"));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, want(state, 1, 1, branch, 100));  // half of what is left
+  void grantsAreLimitedByBranchAndFirm() {
+    QuotaLedger state = ledger_with(account("f", "", "pull", 10) + "," + account("f", "b", "pull", 4) + "," +
+                                    account("f", "c", "pull", 5, ",\"borrows\":true"));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, want(state, 1, 1, branch, 100));  // at most half of what is left
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, want(state, 2, 1, branch, 100));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, want(state, 2, 2, branch, 100));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, want(state, 3, 1, branch, 1));
-    CPPUNIT_ASSERT(!state.given(3, 1)->front().exhausted);  // others hold some
+    CPPUNIT_ASSERT(!state.given(3, 1)->front().exhausted);  // other edges hold some
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, state.count(firm).out);
-    // One that borrows is bound by its firm alone.
+    // A branch that borrows is limited only by its firm.
     std::uint64_t borrowed = 0;
     for (std::uint64_t i = 1; i <= 8; ++i) borrowed += want(state, 4, i, {"f/c", "pull"}, 100);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, borrowed);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, state.count(firm).out);
   }
 
-  void aQuestionCountsOnce() {
-    QuotaLedger state = begun(account("f", "", "pull", 10));
+  void repeatedRequestIsAppliedOnce() {
+    QuotaLedger state = ledger_with(account("f", "", "pull", 10));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, want(state, 1, 1, firm, 3));
     QuotaRequest spent = ask(1, 2);
     spent.settled.push_back({firm, 1, {11, 12}});
     for (int i = 0; i < 3; ++i) state.apply(spent);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.count(firm).drawn);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).out);
-    state.apply(ask(1, 1));  // older than what was taken
+    state.apply(ask(1, 1));  // older than the last applied one
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).out);
   }
 
-  void spendTheSameAtTwoEdges(QuotaLedger& state) const {
+  void spend_same_key_at_two_edges(QuotaLedger& state) const {
     for (quota::EdgeSession session : {1, 2}) {
       want(state, session, 1, firm, 2);
       QuotaRequest spent = ask(session, 2);
@@ -149,12 +150,12 @@
     }
   }
 
-  void aKeyCountsOnceOverEdgesAndWindows() {
-    QuotaLedger state = begun(account("f", "", "pull", 10));
-    spendTheSameAtTwoEdges(state);
+  void requestKeyCountsOnceAcrossEdgesAndWindows() {
+    QuotaLedger state = ledger_with(account("f", "", "pull", 10));
+    spend_same_key_at_two_edges(state);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).drawn);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).repeated);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.count(firm).out);  // the second's token is free again
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.count(firm).out);  // the second edge's token is returned
     state.advance_window(2);
     want(state, 1, 3, firm, 2);
     QuotaRequest spent = ask(1, 4, 2);
@@ -164,13 +165,13 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).repeated);
   }
 
-  void whatNobodyRanIsGivenBackOnce() {
-    QuotaLedger state = begun(account("f", "", "pull", 10));
-    spendTheSameAtTwoEdges(state);
+  void drawNotRunIsReturnedOnce() {
+    QuotaLedger state = ledger_with(account("f", "", "pull", 10));
+    spend_same_key_at_two_edges(state);
     QuotaRequest back = ask(1, 3);
     back.not_run.push_back({firm, 11});
     state.apply(back);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).drawn);  // the other try may have run
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).drawn);  // the other attempt may have run
     back = ask(2, 3);
     back.not_run.push_back({firm, 11});
     state.apply(back);
@@ -182,9 +183,10 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, state.count(firm).given_back);
   }
 
-  void whatADeadEdgeHeldComesBackButForWhatIsInDoubt() {
+  void expiredEdgeKeepsOnlyDoubtfulTokens() {
     for (bool spends : {false, true}) {
-      QuotaLedger state = begun(account("f", "", "pull", 200), spends ? ",\"outOfTouch\":\"spend\"" : "");
+      QuotaLedger state =
+          ledger_with(account("f", "", "pull", 200), spends ? ",\"outOfTouch\":\"spend\"" : "");
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{100}, want(state, 1, 1, firm, 1000));
       QuotaRequest spent = ask(1, 2);
       spent.settled.push_back({firm, 1, {1, 2, 3}});
@@ -195,7 +197,7 @@
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).out);
       CPPUNIT_ASSERT_EQUAL(doubt, state.count(firm).in_doubt);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, state.count(firm).drawn);
-      // It was only away: what it tells late leaves doubt; it gets nothing more under that session.
+      // A late report of the expired session settles doubtful tokens, but gets no more grants.
       QuotaRequest late = ask(1, 3);
       late.settled.push_back({firm, 1, {4, 5}});
       late.wants.push_back({firm, 5});
@@ -205,15 +207,15 @@
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.count(firm).drawn);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).out);
       CPPUNIT_ASSERT(state.is_expired(1));
-      // All that is left may go out, and no more.
+      // Exactly what is left can be granted.
       std::uint64_t sum = 0;
       for (std::uint64_t i = 1; i <= 20; ++i) sum += want(state, 2, i, firm, 1000);
       CPPUNIT_ASSERT_EQUAL(200 - 5 - (doubt - 2), sum);
     }
   }
 
-  void aLateReportIsCountedInItsWindow() {
-    QuotaLedger state = begun(account("f", "", "pull", 10));
+  void lateReportCountsInItsOwnWindow() {
+    QuotaLedger state = ledger_with(account("f", "", "pull", 10));
     want(state, 1, 1, firm, 4);
     state.advance_window(2);
     state.advance_window(2);
@@ -225,14 +227,15 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, state.count(firm).drawn);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, state.lines()[0].count.drawn);
     CPPUNIT_ASSERT_EQUAL(quota::Window{1}, state.lines()[0].window);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, want(state, 2, 1, firm, 100));  // the new one is whole
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{5},
+                         want(state, 2, 1, firm, 100));  // the new window has its full limit
     for (quota::Window window = 3; window < 9; ++window) state.advance_window(window);
     CPPUNIT_ASSERT(state.lines().empty());
-    CPPUNIT_ASSERT(!state.applied(1, 1));  // forgotten
+    CPPUNIT_ASSERT(!state.applied(1, 1));  // its session was dropped
   }
 
-  void aLimitThatMovesBindsAtOnce() {
-    QuotaLedger state = begun(account("f", "", "pull", 10));
+  void changedLimitAppliesAtOnce() {
+    QuotaLedger state = ledger_with(account("f", "", "pull", 10));
     want(state, 1, 1, firm, 4);
     QuotaRequest spent = ask(1, 2);
     spent.settled.push_back({firm, 1, {1, 2, 3, 4}});
@@ -242,14 +245,14 @@
     CPPUNIT_ASSERT(state.given(2, 1)->front().exhausted);
     state.configure(read(rules(account("f", "", "pull", 5))));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, want(state, 2, 2, firm, 5));
-    // A branch that has moved to another firm counts there from then on.
+    // A branch moved to another firm counts there from then on.
     state.configure(read(rules(account("g", "", "pull", 5) + "," + account("g", "b", "pull", 5))));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, want(state, 2, 3, {"f/b", "pull"}, 5));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, want(state, 2, 4, {"g/b", "pull"}, 5));
   }
 
-  void theFoldHoldsAll() {
-    QuotaLedger state = begun(account("f", "", "pull", 50) + "," + account("f", "b", "pull", 40));
+  void snapshotRestoresLedger() {
+    QuotaLedger state = ledger_with(account("f", "", "pull", 50) + "," + account("f", "b", "pull", 40));
     want(state, 1, 1, branch, 9);
     want(state, 2, 1, firm, 30);
     QuotaRequest spent = ask(1, 2);
@@ -282,44 +285,44 @@
     }
     CPPUNIT_ASSERT(again.is_expired(2) && !again.is_expired(1));
     state.apply(spent);
-    again.apply(spent);  // taken before
+    again.apply(spent);  // already applied
     CPPUNIT_ASSERT_EQUAL(state.count(branch).drawn, again.count(branch).drawn);
   }
 
-  // A edge_quota with ten tokens of "f", told at `now`.
+  // An edge that was granted 40 tokens of "f" at `now` and has spent one.
   static quota::EdgeQuota edge_quota(quota::Time now, const std::string& extra = "") {
     quota::EdgeQuota edge_quota(9);
     edge_quota.configure(read(rules(account("f", "", "pull", 100), extra)));
     using Kind = quota::DrawResult::Kind;
     CPPUNIT_ASSERT(edge_quota.draw(now, "f", "pull", "first", false).kind == Kind::wait);
-    auto question = edge_quota.take_request(now);
-    CPPUNIT_ASSERT(question);
-    quota::QuotaReply tell;
-    tell.number = question->number;
-    tell.window = 1;
-    tell.left_ms = 60000;
-    tell.given.push_back({{"f", "pull"}, 40, false});
-    edge_quota.on_reply(now, tell);
+    auto request = edge_quota.take_request(now);
+    CPPUNIT_ASSERT(request);
+    quota::QuotaReply reply;
+    reply.number = request->number;
+    reply.window = 1;
+    reply.left_ms = 60000;
+    reply.given.push_back({{"f", "pull"}, 40, false});
+    edge_quota.on_reply(now, reply);
     CPPUNIT_ASSERT(edge_quota.draw(now, "f", "pull", "first", true).kind == Kind::drawn);
     return edge_quota;
   }
 
-  void aFrozenPurseSpendsNothing() {
+  void edgeWithExpiredLeaseSpendsNothing() {
     using Kind = quota::DrawResult::Kind;
     quota::Time now{quota::Duration(100)};
     auto frozen = edge_quota(now);
     now += quota::Duration(2.01);
     CPPUNIT_ASSERT(frozen.draw(now, "f", "pull", "x", false).kind == Kind::wait);
-    // What it counted itself is a try of the same.
+    // A further attempt of a request counted here needs no token.
     CPPUNIT_ASSERT(frozen.draw(now, "f", "pull", "first", false).kind == Kind::drawn);
     auto spends = edge_quota(now, ",\"outOfTouch\":\"spend\"");
     now += quota::Duration(30);
     CPPUNIT_ASSERT(spends.draw(now, "f", "pull", "x", false).kind == Kind::drawn);
     now += quota::Duration(31);
-    CPPUNIT_ASSERT(spends.draw(now, "f", "pull", "y", false).kind == Kind::wait);  // its window is over
+    CPPUNIT_ASSERT(spends.draw(now, "f", "pull", "y", false).kind == Kind::wait);  // the window has ended
   }
 
-  void noMoreThanAFewAreUnsettled() {
+  void unsettledTokensAreBounded() {
     using Kind = quota::DrawResult::Kind;
     quota::Time now{quota::Duration(100)};
     auto busy = edge_quota(now);
@@ -327,43 +330,43 @@
     for (int i = 0; i < 30; ++i)
       drawn += busy.draw(now, "f", "pull", "k" + std::to_string(i), false).kind == Kind::drawn;
     CPPUNIT_ASSERT_EQUAL(quota::max_unsettled, drawn);
-    // The question is sent again unchanged until it is answered; then the next may be spent.
-    auto question = busy.take_request(now);
-    CPPUNIT_ASSERT(question && !busy.take_request(now));
+    // The request is resent unchanged until it is answered; then more tokens may be spent.
+    auto request = busy.take_request(now);
+    CPPUNIT_ASSERT(request && !busy.take_request(now));
     now += quota::Duration(0.3);
     auto again = busy.take_request(now);
-    CPPUNIT_ASSERT(again && again->number == question->number &&
-                   again->settled[0].keys == question->settled[0].keys);
-    quota::QuotaReply tell;
-    tell.number = question->number;
-    tell.window = 1;
-    tell.left_ms = 60000;
-    busy.on_reply(now, tell);
+    CPPUNIT_ASSERT(again && again->number == request->number &&
+                   again->settled[0].keys == request->settled[0].keys);
+    quota::QuotaReply reply;
+    reply.number = request->number;
+    reply.window = 1;
+    reply.left_ms = 60000;
+    busy.on_reply(now, reply);
     CPPUNIT_ASSERT(busy.draw(now, "f", "pull", "z", false).kind == Kind::drawn);
-    busy.on_reply(now, tell);  // an answer that comes twice
+    busy.on_reply(now, reply);  // duplicate reply
     CPPUNIT_ASSERT(busy.take_request(now));
   }
 
-  void aWindowThatTurnsTakesItsTokensAlong() {
+  void newWindowInvalidatesTokens() {
     using Kind = quota::DrawResult::Kind;
     quota::Time now{quota::Duration(100)};
     auto turned = edge_quota(now);
     CPPUNIT_ASSERT(turned.draw(now, "f", "pull", "x", false).kind == Kind::drawn);
-    quota::QuotaReply tell;
-    tell.window = 2;
-    tell.left_ms = 60000;
-    turned.on_reply(now, tell);
+    quota::QuotaReply reply;
+    reply.window = 2;
+    reply.left_ms = 60000;
+    turned.on_reply(now, reply);
     CPPUNIT_ASSERT(turned.draw(now, "f", "pull", "y", false).kind == Kind::wait);
     CPPUNIT_ASSERT(turned.draw(now, "f", "pull", "x", false).kind ==
-                   Kind::drawn);  // counted in the one before
-    // What was spent before is reported for the window that it was spent in.
-    auto question = turned.take_request(now);
-    CPPUNIT_ASSERT(question && question->settled.size() == 1);
-    CPPUNIT_ASSERT_EQUAL(quota::Window{1}, question->settled[0].window);
-    // Exhaustion that is pushed is believed at once, and for a second; then the leader is asked again.
-    tell.number = 0;
-    tell.given.push_back({{"f", "pull"}, 0, true});
-    turned.on_reply(now, tell);
+                   Kind::drawn);  // counted in the window before
+    // A draw is reported for the window in which it was made.
+    auto request = turned.take_request(now);
+    CPPUNIT_ASSERT(request && request->settled.size() == 1);
+    CPPUNIT_ASSERT_EQUAL(quota::Window{1}, request->settled[0].window);
+    // A notification of exhaustion applies at once for a second; then the leader is asked again.
+    reply.number = 0;
+    reply.given.push_back({{"f", "pull"}, 0, true});
+    turned.on_reply(now, reply);
     auto refused = turned.draw(now, "f", "pull", "z", false);
     CPPUNIT_ASSERT(refused.kind == Kind::refused);
     CPPUNIT_ASSERT(refused.retry_after > quota::Duration(59));
@@ -395,7 +398,7 @@
     cluster.change(0);
   }
 
-  void withoutRulesNothingIsSaid() {
+  void noMessagesWithoutQuotaRules() {
     biella::ClusterOptions plain = options(1, "", {"f"});
     plain.allowances.clear();
     biella::Cluster cluster(plain);
@@ -412,8 +415,8 @@
         cluster.member(static_cast<std::size_t>(leader))->controller().quota_allocator().counters().entries);
   }
 
-  void countsEqualWhatRan() {
-    for (std::uint64_t seed = 1; seed <= 12 / thin; ++seed) {
+  void countsEqualRequestsThatRan() {
+    for (std::uint64_t seed = 1; seed <= 12 / seed_divisor; ++seed) {
       biella::Cluster cluster(options(
           seed,
           both("f", "", 100000, 100000) + "," + both("f", "b", 9000, 9000) + "," + both("g", "", 9000, 9000),
@@ -432,8 +435,8 @@
     }
   }
 
-  void theLastTokensAreAskedForByAll() {
-    for (std::uint64_t seed = 1; seed <= 20 / thin; ++seed) {
+  void contendedLastTokensAreAllSpent() {
+    for (std::uint64_t seed = 1; seed <= 20 / seed_divisor; ++seed) {
       auto few = options(seed, both("f", "", 37, 23), {"f"});
       biella::Cluster cluster(few);
       begin(cluster);
@@ -441,14 +444,14 @@
       cluster.stop_retrieving();
       cluster.run(6);
       good(cluster, {{"f", "sweep", 37}, {"f", "pull", 23}}, true);
-      // All of it was served, and nothing past it.
+      // The whole limit was served, and no more.
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{37}, cluster.auditor().truth("f", "sweep"));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{23}, cluster.auditor().truth("f", "pull"));
       CPPUNIT_ASSERT(cluster.auditor().refused() > 100);
     }
   }
 
-  void oneRetrievalAtTwoEdgesIsOneDraw() {
+  void requestSentToTwoEdgesDrawsOnce() {
     auto deployment = options(3, both("f", "", 1000, 1000), {"f"});
     deployment.retrievals_per_s = 0;
     biella::Cluster cluster(deployment);
@@ -465,8 +468,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, counts.count({"f", "pull"}).drawn);
   }
 
-  // One edge holds what is left and does not use it; another gets it.
-  void idleTokensAreAskedBack() {
+  // Idle tokens of one edge go to another that needs them.
+  void idleTokensAreRecalled() {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       auto deployment = options(seed, both("f", "", 9, 9), {"f"});
       deployment.retrievals_per_s = 0;
@@ -483,7 +486,7 @@
     }
   }
 
-  void aRaisedLimitIsServedAgain() {
+  void raisedLimitIsServed() {
     auto deployment = options(5, both("f", "", 20, 20), {"f"});
     biella::Cluster cluster(deployment);
     begin(cluster);
@@ -498,10 +501,10 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{50}, cluster.auditor().truth("f", "pull"));
   }
 
-  // Short windows and an overdrawn firm, leaders that die at their ends: each window serves its limit at
-  // most, and the next one serves again.
+  // With short windows, demand above the limit and leader failures, each window serves at most its limit and
+  // the next one serves again.
   void everyWindowKeepsItsLimit() {
-    for (std::uint64_t seed = 1; seed <= 10 / thin; ++seed) {
+    for (std::uint64_t seed = 1; seed <= 10 / seed_divisor; ++seed) {
       auto deployment = options(seed, both("f", "", 30, 30), {"f"});
       deployment.allowances.replace(deployment.allowances.find("600000"), 6, "2000");
       biella::Cluster cluster(deployment);
@@ -523,10 +526,10 @@
     }
   }
 
-  // Edges die, freeze and are cut off; leaders die, disks are wiped, all of the core is killed; nodes crash.
-  void troublesLeaveTheCountsWithinTheirBounds() {
+  // Edges crash, freeze and are partitioned; leaders and the whole core crash; disks are wiped; nodes crash.
+  void countsStayWithinBoundsUnderFaults() {
     std::uint64_t served = 0;
-    for (std::uint64_t seed = 1; seed <= 40 / thin; ++seed) {
+    for (std::uint64_t seed = 1; seed <= 40 / seed_divisor; ++seed) {
       auto deployment =
           options(seed, both("f", "", 260, 240) + "," + both("f", "b", 90, 400), {"f", "f/b", "f"});
       if (seed % 3 == 0) deployment.sync_s = 0.005;
@@ -571,7 +574,7 @@
       good(cluster, {{"f", "sweep", 260}, {"f", "pull", 240}, {"f/b", "sweep", 90}}, false);
       served += cluster.auditor().served();
     }
-    CPPUNIT_ASSERT(served > 40 / thin * 150);
+    CPPUNIT_ASSERT(served > 40 / seed_divisor * 150);
   }
 };
 
