--- a/src/allocation/allocation.cpp
+++ b/src/allocation/allocation.cpp
@@ -17,9 +17,9 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t longest_name = 64;
-constexpr std::size_t longest_line = 2048;  // under PIPE_BUF: written whole
-constexpr std::size_t longest_holdings = 1024;
+constexpr std::size_t max_name_bytes = 64;
+constexpr std::size_t max_line_bytes = 2048;  // below PIPE_BUF, so that the write is atomic
+constexpr std::size_t max_holdings_bytes = 1024;
 
 std::array<std::atomic<void*>, reserve_blocks> reserve{};
 std::atomic<std::uint64_t> refused{0};
@@ -27,14 +27,14 @@
 
 struct Report {
   int descriptor = STDERR_FILENO;
-  char node[longest_name] = "";
+  char node[max_name_bytes] = "";
   const Holdings* holdings = nullptr;
   Clock::time_point started = Clock::now();
 };
 Report report;
 
-// A reader that lets the pipe stand must not keep the process from ending.
-void write_last_line(const char* line, std::size_t size) noexcept {
+// Polls first: a reader that does not drain the pipe must not block the exit.
+void write_out_of_memory_line(const char* line, std::size_t size) noexcept {
   pollfd out{report.descriptor, POLLOUT, 0};
   if (::poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) return;
   [[maybe_unused]] const ssize_t written = ::write(report.descriptor, line, size);
@@ -50,19 +50,19 @@
 }
 
 [[noreturn]] void end_process(std::size_t wanted) noexcept {
-  char held[longest_holdings] = "";
+  char held[max_holdings_bytes] = "";
   if (report.holdings) {
     const std::size_t size = report.holdings->describe(held, sizeof held - 1);
     held[std::min(size, sizeof held - 1)] = '\0';
   }
-  char line[longest_line];
+  char line[max_line_bytes];
   const double now = std::chrono::duration<double>(Clock::now() - report.started).count();
   const int size =
       std::snprintf(line, sizeof line,
                     "{\"t\":%.3f,\"level\":\"error\",\"node\":\"%s\",\"event\":\"out_of_memory\","
                     "\"doing\":\"%s\",\"wanted_bytes\":%zu,\"refusals\":%llu,\"held\":{%s}}\n",
                     now, report.node, activity, wanted, static_cast<unsigned long long>(refusals()), held);
-  write_last_line(line, std::min(static_cast<std::size_t>(std::max(size, 0)), sizeof line - 1));
+  write_out_of_memory_line(line, std::min(static_cast<std::size_t>(std::max(size, 0)), sizeof line - 1));
   std::_Exit(out_of_memory_status);
 }
 
@@ -115,8 +115,8 @@
 
 std::uint64_t refusals() noexcept { return refused.load(std::memory_order_relaxed); }
 
-Activity::Activity(const char* what) noexcept : before_(std::exchange(activity, what)) {}
-Activity::~Activity() { activity = before_; }
+Activity::Activity(const char* what) noexcept : previous_(std::exchange(activity, what)) {}
+Activity::~Activity() { activity = previous_; }
 
 void set_report(int descriptor, const char* node, const Holdings* holdings) noexcept {
   report.descriptor = descriptor;
--- a/src/allocation/global_new.cpp
+++ b/src/allocation/global_new.cpp
@@ -1,5 +1,5 @@
-// Global operator new and delete of our programs: what the system refuses is met as allocation.h says, in
-// place of std::bad_alloc. Linked into a program as an object, never into a library.
+// Global operator new and delete that use allocation.h instead of throwing std::bad_alloc. Linked into
+// programs as an object file, never into a library.
 #include <cstdlib>
 #include <new>
 
@@ -15,7 +15,7 @@
 void* operator new[](std::size_t size, std::align_val_t alignment) {
   return allocation::allocate_aligned(size, static_cast<std::size_t>(alignment));
 }
-// Whoever asks so is ready for a refusal.
+// Callers of the nothrow forms handle a null result.
 void* operator new(std::size_t size, const std::nothrow_t& /*tag*/) noexcept { return std::malloc(size | 1); }
 void* operator new[](std::size_t size, const std::nothrow_t& /*tag*/) noexcept {
   return std::malloc(size | 1);
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -5,7 +5,7 @@
 namespace pearspar::engine {
 namespace {
 
-// A name that stands in no list of the settings gets a number of its own behind them.
+// The index of a name; names that are not configured all get the index after the last.
 int place_in(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -17,24 +17,24 @@
 
 void Engine::restore_members(net::Time now, const membership::MemberList& saved) {
   now_ = now;
-  if (!saved.entries.empty()) take_list(saved, MemberListForm::saved);
+  if (!saved.entries.empty()) apply_list(saved, MemberListForm::saved);
 }
 
 void Engine::start(net::Time now) {
   now_ = now;
-  hand_batch();
+  run_batch();
 }
 
 void Engine::end_turn(net::Time now) {
   now_ = now;
-  if (something_to_tell() && now_ >= last_batch_ + settings_.min_batch_interval) hand_batch();
+  if (has_events() && now_ >= last_batch_ + settings_.min_batch_interval) run_batch();
 }
 
-// Also for what the batch itself brought about (an attempt called off, one not sent): without a time for it
-// the host could sleep on it until something else happens.
+// Includes events that a batch itself has caused (a cancelled or unsent attempt), which would otherwise wait
+// for the next incoming event.
 net::Time Engine::due() const {
   net::Time first = net::Time::max();
-  if (something_to_tell()) first = last_batch_ + settings_.min_batch_interval;
+  if (has_events()) first = last_batch_ + settings_.min_batch_interval;
   if (!deadlines_.empty()) first = std::min(first, deadlines_.begin()->first);
   if (!timers_.empty()) first = std::min(first, timers_.begin()->first);
   return first;
@@ -49,55 +49,55 @@
 
 // ---- clients ----
 
-Engine::Admission Engine::submit(net::Time now, QueryRequest asked) {
+Engine::Admission Engine::submit(net::Time now, QueryRequest request) {
   now_ = now;
   if (queries_.size() + parts_.size() >= static_cast<std::size_t>(settings_.max_open)) {
     ++counters_.turned_away;
     return Admission::full;
   }
-  // Two queries under one id would share the ids of their parts at the nodes.
-  if (open_ids_.count(asked.id) != 0) return Admission::duplicate_id;
+  // The ids of parts on the wire derive from the query id.
+  if (open_ids_.count(request.id) != 0) return Admission::duplicate_id;
   ++counters_.queries;
   QueryId id = ++last_id_;
   std::uint32_t ordinal = ++last_ordinal_;
   net::SlotId slot = queries_.add();
   query_slots_[id] = slot;
-  by_client_[asked.client] = id;
+  by_client_[request.client] = id;
   Query& query = *queries_.find(slot);
-  query.client = asked.client;
-  query.id = std::move(asked.id);
+  query.client = request.client;
+  query.id = std::move(request.id);
   open_ids_.insert(query.id);
-  query.text = std::move(asked.text);
-  query.deadline = asked.deadline;
+  query.text = std::move(request.text);
+  query.deadline = request.deadline;
   deadlines_.emplace(query.deadline, id);
 
   QueryArrived arrival;
   arrival.query = id;
   arrival.ordinal = ordinal;
-  arrival.cls = asked.cls;
-  arrival.tenant = asked.tenant;
+  arrival.cls = request.cls;
+  arrival.tenant = request.tenant;
   arrival.deadline = query.deadline;
-  arrival.parts = static_cast<int>(asked.parts.size());
-  arrival.repeat = asked.repeat;
-  arrival.cost_known = !asked.parts.empty();
-  for (const QueryRequestPart& part : asked.parts) {
+  arrival.parts = static_cast<int>(request.parts.size());
+  arrival.repeat = request.repeat;
+  arrival.cost_known = !request.parts.empty();
+  for (const QueryRequestPart& part : request.parts) {
     arrival.cost_known = arrival.cost_known && part.cost_known;
     arrival.cost += part.cost;
   }
   if (!arrival.cost_known) arrival.cost = Duration{};
   events_.emplace_back(arrival);
-  for (const QueryRequestPart& part : asked.parts) {
-    PartArrived told;
-    told.part = ++last_id_;
-    told.ordinal = ordinal;
-    told.shard = part.shard;
-    told.weight = part.weight;
-    told.key = part.key;
-    told.cost_known = part.cost_known;
-    told.cost = part.cost;
-    parts_[told.part] = {id, query.parts.size()};
-    query.parts.push_back({told.part, part.shard, 0, false, {}});
-    events_.emplace_back(told);
+  for (const QueryRequestPart& part : request.parts) {
+    PartArrived part_arrived;
+    part_arrived.part = ++last_id_;
+    part_arrived.ordinal = ordinal;
+    part_arrived.shard = part.shard;
+    part_arrived.weight = part.weight;
+    part_arrived.key = part.key;
+    part_arrived.cost_known = part.cost_known;
+    part_arrived.cost = part.cost;
+    parts_[part_arrived.part] = {id, query.parts.size()};
+    query.parts.push_back({part_arrived.part, part.shard, 0, false, {}});
+    events_.emplace_back(part_arrived);
   }
   return Admission::accepted;
 }
@@ -112,7 +112,7 @@
   end_query(id, nullptr);
 }
 
-// The module ends each query in time; this is the net under it, so that no client is left without an answer.
+// Fallback for a query that the policy has not ended in time: the client still gets an answer.
 void Engine::out_of_time(QueryId id) {
   ++counters_.out_of_time;
   ports_.policy_log.write_line(true, "a query was still open at its deadline");
@@ -129,7 +129,7 @@
 void Engine::end_query(QueryId id, const Result* result) {
   auto found = query_slots_.find(id);
   if (found == query_slots_.end()) return;
-  // What this batch sends for it goes out first; the text is the query's.
+  // Pending sends refer to the text of the query.
   flush_sends();
   net::SlotId slot = found->second;
   Query& query = *queries_.find(slot);
@@ -142,8 +142,8 @@
   by_client_.erase(client);
   open_ids_.erase(query.id);
   query_slots_.erase(found);
-  // The values of the result are slices of the parts': they go once the client has them. The place is free
-  // before, since the client's next query may come within the answer.
+  // The result refers to values of the parts, so they are kept until the client is answered. The slot is
+  // released first, since the client may submit its next query within the callback.
   std::vector<Part> parts = std::move(query.parts);
   queries_.release(slot);
   if (result) ports_.clients.answered(client, *result);
@@ -151,7 +151,7 @@
 
 // ---- nodes ----
 
-// Only notes what came: it may be called from within a send.
+// May be called from within Nodes::send, so it only records the event.
 void Engine::attempt_ended(const AttemptEnd& end, std::vector<double> report) {
   ++counters_.attempts[static_cast<std::size_t>(end.outcome)];
   AttemptEnded event;
@@ -176,16 +176,16 @@
   events_.emplace_back(ProbeEnded{end.node, end.outcome, end.took, std::move(report)});
 }
 
-// ---- the list of nodes ----
+// ---- members ----
 
 void Engine::members_told(net::Time now, const membership::MemberList& list) {
   now_ = now;
-  take_list(list, list.complete ? MemberListForm::full : MemberListForm::delta);
+  apply_list(list, list.complete ? MemberListForm::full : MemberListForm::delta);
 }
 
 void Engine::members_failed() {
   if (settings_.membership_by_subscription)
-    list_news_.emplace_back(MembersChanged{MemberListForm::failed, 0, nullptr});
+    member_events_.emplace_back(MembersChanged{MemberListForm::failed, 0, nullptr});
 }
 
 Member Engine::member_of(const membership::Entry& entry) const {
@@ -202,14 +202,14 @@
   return member;
 }
 
-void Engine::note_gone(KnownNode& node) {
+void Engine::mark_gone(KnownNode& node) {
   if (node.member.status != NodeStatus::gone) node.gone_at = now_;
   node.member.status = NodeStatus::gone;
   ports_.nodes.retire(node.number);
 }
 
-// Where nodes come under new ids all day, those that are gone must not be kept. Within the time in which a
-// node counts as cold its number stays: should it return, the module has to restore_members it again.
+// Removes nodes that are gone, so that the table stays bounded when nodes keep coming under new ids. A node
+// that returns while it would still count as cold keeps its number.
 void Engine::forget_gone() {
   net::Duration keep = settings_.warm_up_time + settings_.cold_load_window;
   std::erase_if(nodes_, [&](const auto& entry) {
@@ -218,19 +218,19 @@
   });
 }
 
-void Engine::take_list(const membership::MemberList& list, MemberListForm form) {
+void Engine::apply_list(const membership::MemberList& list, MemberListForm form) {
   auto members = std::make_shared<std::vector<Member>>();
   std::set<NodeId> listed;
   for (const membership::Entry& entry : list.entries) {
     auto found = nodes_.find(entry.id);
     if (found == nodes_.end()) {
-      if (entry.phase == membership::Phase::gone) continue;  // never heard of
+      if (entry.phase == membership::Phase::gone) continue;  // unknown node
       found = nodes_.emplace(entry.id, KnownNode{++last_node_, {}, {}}).first;
       ports_.policy_log.node_numbered(found->second.number, entry.id, entry.address);
     }
     KnownNode& node = found->second;
     if (entry.phase == membership::Phase::gone) {
-      note_gone(node);
+      mark_gone(node);
     } else {
       node.member = member_of(entry);
       node.member.node = node.number;
@@ -241,34 +241,34 @@
   }
   if (form != MemberListForm::delta) {
     for (auto& [name, node] : nodes_) {
-      if (listed.count(node.number) == 0) note_gone(node);
+      if (listed.count(node.number) == 0) mark_gone(node);
     }
   }
   forget_gone();
   ready_ = ready_ || !members->empty();
-  list_news_.emplace_back(
+  member_events_.emplace_back(
       MembersChanged{form, static_cast<std::uint32_t>(list.revision), std::move(members)});
 }
 
-// ---- the module ----
+// ---- policy ----
 
-void Engine::hand_batch() {
-  std::vector<Event> batch = std::move(list_news_);
-  list_news_.clear();
+void Engine::run_batch() {
+  std::vector<Event> batch = std::move(member_events_);
+  member_events_.clear();
   std::move(events_.begin(), events_.end(), std::back_inserter(batch));
   events_.clear();
   last_batch_ = now_;
   ++counters_.batches;
   std::vector<Action> actions;
   policy_->handle(last_batch_, batch, actions);
-  for (const Action& action : actions) std::visit([this](const auto& asked) { act(asked); }, action);
+  for (const Action& action : actions) std::visit([this](const auto& chosen) { act(chosen); }, action);
   flush_sends();
 }
 
 void Engine::act(const SendPart& send) {
   auto place = parts_.find(send.part);
   if (place == parts_.end()) {
-    // The query is over: not sent.
+    // The query has ended.
     events_.emplace_back(AttemptEnded{send.part, send.node, 0, Outcome::not_sent, {}, false, {}});
     return;
   }
@@ -348,7 +348,7 @@
   ports_.nodes.probe(probe.node);
 }
 
-void Engine::act(const SendToPeer&) {}  // no way leads there yet
+void Engine::act(const SendToPeer&) {}  // peer messages are not supported
 void Engine::act(const FetchMembers&) { ports_.members.fetch(); }
 void Engine::act(const SubscribeMembers& subscribe) {
   if (settings_.membership_by_subscription) ports_.members.subscribe(subscribe.on);
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -1,8 +1,9 @@
-// Queries, parts, attempts and the batches of the module between them. Free of I/O and given the time: what
-// comes in becomes the module's events, its actions go out through the ports. Nothing here decides.
+// Runs queries under a dispatch policy: keeps their parts and attempts, passes incoming events to the policy
+// in batches and carries out its actions through the ports. Performs no I/O, reads no clock and makes no
+// dispatch decisions itself.
 //
-// Between calls: every query that was taken is open or has been answered once; every attempt that was sent
-// has one end; the ids of the open queries differ. Calls only note what happened; the module runs in
+// Invariants between calls: each accepted query is open or has been answered once; each attempt ends exactly
+// once; the ids of open queries are unique. Calls only record events; the policy runs in start() and
 // end_turn().
 #pragma once
 
@@ -22,27 +23,29 @@
 
 namespace pearspar::engine {
 
+// Totals since the start of the process.
 struct Counters {
-  std::uint64_t queries = 0;  // taken in: each of them ends in one of the next six
+  std::uint64_t queries = 0;  // accepted; each ends as one of the next six
   std::uint64_t whole = 0;
   std::uint64_t partial = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
   std::uint64_t clients_left = 0;
-  std::uint64_t out_of_time = 0;   // the module had not ended them by their deadline
-  std::uint64_t turned_away = 0;   // before the module: all places were taken
-  std::uint64_t attempts[8] = {};  // ended, by Outcome
+  std::uint64_t out_of_time = 0;   // still open at their deadline
+  std::uint64_t turned_away = 0;   // rejected before the policy: `max_open` reached
+  std::uint64_t attempts[8] = {};  // ended attempts by Outcome
   std::uint64_t sends = 0;
   std::uint64_t probes = 0;
   std::uint64_t batches = 0;
 };
 
-// The names by which zones and kinds stand in a list, in the order of the module's numbers.
+// Zone and kind names of the member list; the policy sees their indices.
 struct Names {
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
 };
 
+// One part of a requested query.
 struct QueryRequestPart {
   int shard = 0;
   double weight = 0;
@@ -51,10 +54,11 @@
   Duration cost{};
 };
 
+// A client's query as it is submitted to the engine.
 struct QueryRequest {
   ClientId client = 0;
-  std::string id;    // differs from those of all open queries
-  std::string text;  // what each part carries
+  std::string id;    // unique among open queries
+  std::string text;  // sent with each part
   int cls = 0;
   int tenant = 0;
   net::Time deadline{};
@@ -66,34 +70,34 @@
  public:
   enum class Admission {
     accepted,
-    full,         // `max_open` queries and parts are held: to be refused by whoever asks
-    duplicate_id  // a query of that id is open
+    full,         // `max_open` queries and parts are open
+    duplicate_id  // a query with that id is open
   };
 
   Engine(const Settings& settings, Names names, std::unique_ptr<Policy> policy, const Ports& ports);
 
-  // The list as it was last had, before any other.
+  // Loads the saved member list; called before any other list arrives.
   void restore_members(net::Time now, const membership::MemberList& saved);
-  // The module's first batch: where the list does not come by itself, it asks for it.
+  // Runs the policy's first batch, in which it may fetch or subscribe to the member list.
   void start(net::Time now);
-  Admission submit(net::Time now, QueryRequest arrival);
+  Admission submit(net::Time now, QueryRequest request);
   void client_left(net::Time now, ClientId client);
   void attempt_ended(const AttemptEnd& end, std::vector<double> report);
   void probe_ended(const ProbeEnd& end, std::vector<double> report);
   void members_told(net::Time now, const membership::MemberList& list);
   void members_failed();
 
-  // Deadlines and the module's timers that have come due.
+  // Handles deadlines and policy timers that are due.
   void tick(net::Time now);
-  // Hands the module what has come in, if its time has come.
+  // Passes recorded events to the policy if the minimum batch interval has elapsed.
   void end_turn(net::Time now);
-  // When tick() or end_turn() has something to do next, if nothing comes in before.
+  // When to call tick() and end_turn() next if no event arrives before.
   net::Time due() const;
 
   std::size_t open() const { return queries_.size(); }
   std::size_t open_parts() const { return parts_.size(); }
   std::size_t nodes() const { return nodes_.size(); }
-  // A node was known once.
+  // Whether any node has ever been known.
   bool ready() const { return ready_; }
   const Counters& counters() const { return counters_; }
 
@@ -112,7 +116,7 @@
     net::Time deadline{};
     std::vector<Part> parts;
   };
-  struct Place {  // of a part
+  struct PartPosition {
     QueryId query = 0;
     std::size_t index = 0;
   };
@@ -128,13 +132,13 @@
     net::Time give_up_at{};
   };
 
-  void take_list(const membership::MemberList& list, MemberListForm form);
+  void apply_list(const membership::MemberList& list, MemberListForm form);
   Member member_of(const membership::Entry& entry) const;
-  void note_gone(KnownNode& node);
+  void mark_gone(KnownNode& node);
   void forget_gone();
   void out_of_time(QueryId id);
-  bool something_to_tell() const { return !events_.empty() || !list_news_.empty(); }
-  void hand_batch();
+  bool has_events() const { return !events_.empty() || !member_events_.empty(); }
+  void run_batch();
 
   void act(const SendPart& send);
   void act(const CancelAttempt& cancel);
@@ -152,29 +156,29 @@
   void flush_sends();
   void flush_node(NodeId node, std::vector<Send>& sends);
   Query* find(QueryId id);
-  // The one place where a query ends: its slot and its parts are given back, and its client is answered.
+  // Ends a query: releases its slot and parts and, if `result` is set, answers its client.
   void end_query(QueryId id, const Result* result);
 
   Settings settings_;
   Names names_;
   std::unique_ptr<Policy> policy_;
   Ports ports_;
-  net::Time now_{};  // of the call that is being made
+  net::Time now_{};  // time of the current call
 
-  std::vector<Event> list_news_;  // told before all else in their batch
+  std::vector<Event> member_events_;  // first in the next batch
   std::vector<Event> events_;
   net::Time last_batch_{};
-  std::multimap<net::Time, std::uint64_t> timers_;  // the module's
+  std::multimap<net::Time, std::uint64_t> timers_;  // tokens of policy timers
   std::set<std::pair<net::Time, QueryId>> deadlines_;
 
   net::SlotTable<Query> queries_;
   std::unordered_map<QueryId, net::SlotId> query_slots_;
   std::map<ClientId, QueryId> by_client_;
-  std::set<std::string_view> open_ids_;      // those of the queries that are open, as slices of theirs
-  std::unordered_map<PartId, Place> parts_;  // of open queries
-  std::uint32_t last_id_ = 0;                // of queries and parts
+  std::set<std::string_view> open_ids_;             // views of Query::id
+  std::unordered_map<PartId, PartPosition> parts_;  // parts of open queries
+  std::uint32_t last_id_ = 0;                       // of queries and parts
   std::uint32_t last_ordinal_ = 0;
-  std::map<NodeId, std::vector<Send>> sends_;  // of this batch, not yet written
+  std::map<NodeId, std::vector<Send>> sends_;  // of the current batch, not yet sent
 
   std::map<std::string, KnownNode, std::less<>> nodes_;
   NodeId last_node_ = 0;
--- a/src/engine/ports.h
+++ b/src/engine/ports.h
@@ -1,5 +1,5 @@
-// What the engine speaks through: whoever hosts it (the broker on sockets, an emulator, a test) stands behind
-// these. Nothing here is a wire's.
+// Interfaces between the engine and its host: the broker on sockets, a simulator or a test. Independent of
+// any wire format.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace pearspar::engine {
 
-// A client's request, as its front names it; of no meaning to the engine.
+// Identifies a client request; chosen by the host.
 using ClientId = std::uint64_t;
 
 struct PartValue {
@@ -26,37 +26,40 @@
 struct Result {
   enum class Kind { whole, partial, refused, failed, out_of_time };
   Kind kind = Kind::failed;
-  std::span<const PartValue> values;  // whole, partial: those that are in; they hold during the call
-  Duration retry_after{};             // refused: 0 = no advice
+  std::span<const PartValue> values;  // of whole and partial results; valid during the call
+  Duration retry_after{};             // of refused results; 0 = none
 };
 
+// Receives the results of queries.
 class Clients {
  public:
   virtual ~Clients() = default;
   virtual void answered(ClientId client, const Result& result) = 0;
 };
 
-// One part of a call, with the name under which its end is reported.
+// One part of a call to a node; `part` and `attempt` identify it in AttemptEnd.
 struct Call {
   PartId part = 0;
   int attempt = 0;
-  std::string_view id;  // on the node's wire
+  std::string_view id;  // id sent to the node
   int shard = 0;
   std::string_view text;
-  net::Time give_up_at{};  // then it has timed out
-  net::Time forget_at{};   // until then an answer to it may still come in
+  net::Time give_up_at{};  // attempt timeout
+  net::Time forget_at{};   // a late answer is accepted until then
 };
 
+// The outcome of an attempt.
 struct AttemptEnd {
   PartId part = 0;
   int attempt = 0;
   NodeId node = 0;
   Outcome outcome = Outcome::error;
   net::Duration took{};
-  std::string_view value;   // of one that was served
-  std::string_view report;  // as the node wrote it, empty where there is none
+  std::string_view value;   // of a served attempt
+  std::string_view report;  // load report as sent by the node; may be empty
 };
 
+// The outcome of a probe.
 struct ProbeEnd {
   NodeId node = 0;
   Outcome outcome = Outcome::error;
@@ -64,21 +67,21 @@
   std::string_view report;
 };
 
-// Each attempt that is sent ends with exactly one Engine::attempt_ended, perhaps within the very call.
+// Calls to nodes. Each sent attempt ends with exactly one Engine::attempt_ended, possibly within send().
 class Nodes {
  public:
   virtual ~Nodes() = default;
   virtual void place(NodeId node, const net::Address& address, double up_since_ms) = 0;
   virtual void retire(NodeId node) = 0;
   virtual void send(NodeId node, std::span<const Call> call) = 0;
-  // The part's query is over: what has not begun to go out must not go out any more.
+  // The query of the part has ended: attempts that are still queued must not be sent.
   virtual void withdraw(PartId part) = 0;
   virtual void give_up(PartId part, int attempt) = 0;
   virtual void probe(NodeId node) = 0;
   virtual void drop_idle(NodeId node) = 0;
 };
 
-// Where the list of nodes comes from.
+// Source of the member list.
 class Members {
  public:
   virtual ~Members() = default;
@@ -86,15 +89,17 @@
   virtual void subscribe(bool on) = 0;
 };
 
+// Log output of the policy.
 class PolicyLog {
  public:
   virtual ~PolicyLog() = default;
-  // What the module has to say; `fault`: what should never have come to pass.
+  // Writes one line; `fault` marks a violated invariant.
   virtual void write_line(bool fault, std::string_view text) = 0;
-  // From here on the module's policy_log name that node by its number.
+  // Announces the number by which following lines refer to a node.
   virtual void node_numbered(NodeId node, std::string_view id, const net::Address& address) = 0;
 };
 
+// The interfaces of one engine.
 struct Ports {
   Clients& clients;
   Nodes& nodes;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -16,16 +16,16 @@
 
   bool has(const std::string& path) const { return values_.find(path) != nullptr; }
 
-  const std::string& text(const std::string& path) const { return need(path, Form::text, "a text").text; }
+  const std::string& text(const std::string& path) const { return require(path, Form::text, "a text").text; }
 
   double number(const std::string& path) const {
-    return to_number(path, need(path, Form::number, "a number").text);
+    return to_number(path, require(path, Form::number, "a number").text);
   }
   double number_or(const std::string& path, double otherwise) const {
     return has(path) ? number(path) : otherwise;
   }
-  Duration span(const std::string& path) const { return Duration(number(path)); }
-  Duration span_or_none(const std::string& path) const { return Duration(number_or(path, 0)); }
+  Duration duration(const std::string& path) const { return Duration(number(path)); }
+  Duration duration_or_zero(const std::string& path) const { return Duration(number_or(path, 0)); }
 
   long whole(const std::string& path) const {
     double value = number(path);
@@ -41,22 +41,22 @@
   }
 
   bool flag(const std::string& path) const {
-    const std::string& value = need(path, Form::flag, "true or false").text;
+    const std::string& value = require(path, Form::flag, "true or false").text;
     if (value == "true" || value == "1") return true;
     if (value == "false" || value == "0") return false;
     throw SettingsError("settings: " + path + " is neither true nor false");
   }
-  bool flag_or_not(const std::string& path) const { return has(path) && flag(path); }
+  bool flag_or_false(const std::string& path) const { return has(path) && flag(path); }
 
   std::vector<std::string> list(const std::string& path) const {
     std::vector<std::string> items;
     if (!has(path)) return items;
-    std::istringstream in(need(path, Form::list, "a list").text);
+    std::istringstream in(require(path, Form::list, "a list").text);
     for (std::string item; std::getline(in, item, ',');) items.push_back(item);
     return items;
   }
 
-  // A list with one number for each class.
+  // The entry for a class in a list of one number per class.
   double for_class(const std::string& path, std::size_t cls) const {
     std::vector<std::string> items = list(path);
     if (cls >= items.size()) throw SettingsError("settings: " + path + " is too short");
@@ -72,7 +72,7 @@
   }
 
  private:
-  const Values::Value& need(const std::string& path, Form form, const char* what) const {
+  const Values::Value& require(const std::string& path, Form form, const char* what) const {
     const Values::Value* value = values_.find(path);
     if (!value) throw SettingsError("settings: " + path + " is missing");
     if (value->form != Form::any && value->form != form)
@@ -96,15 +96,15 @@
   std::string at = "classes." + std::to_string(index) + ".";
   ClassSettings cls;
   cls.name = reader.text(at + "name");
-  cls.latency_target = reader.span(at + "aim_s");
+  cls.latency_target = reader.duration(at + "aim_s");
   cls.latency_target_per_work = reader.number_or(at + "aim_stretch", 0);
-  cls.client_timeout = reader.span(at + "give_up_s");
+  cls.client_timeout = reader.duration(at + "give_up_s");
   cls.worth = reader.number(at + "worth");
   cls.late_worth = reader.number(at + "late_worth");
   cls.idempotency = reader.choice<Idempotency>(at + "effect", {{"retryable", Idempotency::idempotent},
                                                                {"dedup", Idempotency::deduplicated},
                                                                {"fragile", Idempotency::non_idempotent}});
-  cls.dedup_window = reader.span_or_none(at + "dedup_window_s");
+  cls.dedup_window = reader.duration_or_zero(at + "dedup_window_s");
   cls.min_coverage = reader.for_class("specifics.class_floor", index);
   cls.whole_coverage = reader.for_class("specifics.whole_at", index);
   cls.partial_worth = reader.for_class("specifics.class_partial", index);
@@ -171,7 +171,7 @@
     s.tenants.push_back(read_tenant(reader, static_cast<std::size_t>(i)));
   s.over_share_worth = reader.number_or("over_share_worth", 1);
   s.worth_by_work = reader.text("counted_by") == "work";
-  s.clients_mark_retries = reader.flag_or_not("callers.marks_retry");
+  s.clients_mark_retries = reader.flag_or_false("callers.marks_retry");
   s.membership_by_subscription = reader.choice<bool>("registry_mode", {{"push", false}, {"ask", true}});
 
   s.cells = static_cast<int>(reader.whole("specifics.sets"));
@@ -180,31 +180,31 @@
   s.parts_per_call = static_cast<int>(reader.whole("specifics.parts_a_call"));
   if (s.cells < 1 || s.cells_per_shard < 1) throw SettingsError("settings: a layout without cells");
   if (s.parts_per_call < 1) throw SettingsError("settings: calls without parts");
-  s.call_cost = reader.span_or_none("specifics.call_s");
-  s.warm_keys = reader.flag_or_not("specifics.warm_keys");
+  s.call_cost = reader.duration_or_zero("specifics.call_s");
+  s.warm_keys = reader.flag_or_false("specifics.warm_keys");
 
   s.may_cancel = reader.flag("limits.cancel");
   s.may_probe = reader.flag("limits.probes");
   s.may_message_peers = reader.flag("limits.peers");
   s.may_hedge = reader.flag("limits.second_copies");
   s.may_send_retry_after = reader.flag("limits.retry_after");
-  s.max_retry_after = reader.span_or_none("limits.max_retry_after_s");
-  s.connect_timeout = reader.span_or_none("limits.connect_timeout_s");
+  s.max_retry_after = reader.duration_or_zero("limits.max_retry_after_s");
+  s.connect_timeout = reader.duration_or_zero("limits.connect_timeout_s");
   s.max_attempts = static_cast<int>(reader.whole("limits.try_limit"));
   s.max_open = static_cast<int>(reader.whole("limits.max_open"));
-  s.min_batch_interval = reader.span_or_none("quantum_s");
+  s.min_batch_interval = reader.duration_or_zero("quantum_s");
 
-  s.answer_slack = reader.span_or_none("safety.answer_slack_s");
-  s.drain_grace = reader.span_or_none("safety.drain_grace_s");
-  s.subscribe_within = reader.span_or_none("safety.ask_within_s");
+  s.answer_slack = reader.duration_or_zero("safety.answer_slack_s");
+  s.drain_grace = reader.duration_or_zero("safety.drain_grace_s");
+  s.subscribe_within = reader.duration_or_zero("safety.ask_within_s");
   s.cold_load_multiple = reader.number("safety.fall_multiple");
-  s.cold_load_window = reader.span("safety.fall_s");
+  s.cold_load_window = reader.duration("safety.fall_s");
   s.cold_start_capacity = reader.number("safety.start_capacity");
-  s.warm_up_time = reader.span("safety.warm_within_s");
+  s.warm_up_time = reader.duration("safety.warm_within_s");
   s.has_retry_budget = reader.has("safety.resend_span_s");
   s.retry_budget_base = reader.number_or("safety.min_extra", 0);
   s.retry_budget_ratio = reader.number_or("safety.further_ratio", 0);
-  s.retry_budget_window = reader.span_or_none("safety.resend_span_s");
+  s.retry_budget_window = reader.duration_or_zero("safety.resend_span_s");
 
   s.report_source = reader.choice<ReportSource>(
       "stats.source",
@@ -239,7 +239,7 @@
   s.report_fields = reader.list("stats.fields");
   s.calls_per_connection = static_cast<int>(reader.whole("limits.max_streams"));
   if (s.calls_per_connection < 1) throw SettingsError("settings: limits.max_streams is below 1");
-  s.idle_close = reader.span("limits.idle_close_s");
+  s.idle_close = reader.duration("limits.idle_close_s");
   if (s.idle_close <= Duration{}) throw SettingsError("settings: limits.idle_close_s is not above 0");
   return s;
 }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,5 +1,5 @@
-// The one reader of the module's settings: it takes path and value pairs, whether they came as lines
-// (path=value) or as the members of a configuration file, and fills the interface's Settings.
+// Reads the policy's Settings from pairs of path and value, which come from path=value lines or from the
+// members of a configuration file.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
 
 namespace pearspar::settings {
 
-// What cannot be read; the text is one plain line that names the path.
+// Invalid settings; the message is one line that names the path.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// What a value was written as, where its source tells.
+// The type under which a value was written, where the source has types.
 enum class Form { any, text, number, flag, list };
 
-// A list of plain values is joined by commas under its path; one of objects has its length under path.count
-// and its items under path.0, path.1 and so on.
+// Settings by path. A list of scalars is one comma-separated value; a list of objects has its length under
+// path.count and its items under path.0, path.1 and so on.
 class Values {
  public:
   struct Value {
@@ -39,16 +39,16 @@
     return found == values_.end() ? nullptr : &found->second;
   }
   bool empty() const { return values_.empty(); }
-  // The first path under which the two hold different values; nothing where they are alike.
+  // The first path whose values differ, if any.
   std::optional<std::string> first_difference(const Values& other) const;
-  // Alike for the same paths and values, wherever it is made.
+  // A hash of all paths and values; the same on every platform.
   std::uint64_t fingerprint() const;
 
  private:
   std::map<std::string, Value> values_;
 };
 
-// What a broker needs beside the module: the names that stand on its wires, and its connections' limits.
+// Settings that the broker uses itself: names on its wire formats and connection limits.
 struct BrokerSettings {
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
@@ -57,7 +57,7 @@
   Duration idle_close{};
 };
 
-// All throw SettingsError. Unknown paths are ignored.
+// All functions throw SettingsError and ignore unknown paths.
 Values values_of_lines(const std::string& text);
 Settings read_settings(const Values& values);
 BrokerSettings read_broker_settings(const Values& values);
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -1,4 +1,4 @@
-// The engine with nothing around it: time is a number, nodes and clients are lists of what was asked.
+// Tests of the engine on simulated time, with recording nodes and clients.
 #include "engine/engine.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-struct World : Clients, Nodes, Members, PolicyLog {
+struct RecordingHost : Clients, Nodes, Members, PolicyLog {
   struct Sent {
     NodeId node = 0;
     PartId part = 0;
@@ -41,7 +41,7 @@
       sent.push_back({node, each.part, each.attempt, std::string(each.id), each.give_up_at, false});
   }
   void withdraw(PartId) override {}
-  // Called off: that is an end too, told within the call.
+  // A cancelled attempt ends within the call.
   void give_up(PartId part, int attempt) override {
     for (Sent& each : sent)
       if (each.part == part && each.attempt == attempt) end(each, Outcome::cancelled);
@@ -51,7 +51,7 @@
   void fetch() override {}
   void subscribe(bool) override {}
   void write_line(bool fault, std::string_view) override { faults += fault ? 1 : 0; }
-  void node_numbered(NodeId, std::string_view, const net::Address&) override { ++numbers; }
+  void node_numbered(NodeId, std::string_view, const net::Address&) override { ++numbered_nodes; }
 
   void end(Sent& each, Outcome outcome, const std::string& value = {}) {
     if (std::exchange(each.ended, true)) return;
@@ -64,7 +64,7 @@
   std::function<void(ClientId)> on_answer;
   std::vector<Sent> sent;
   std::vector<NodeId> retired;
-  int calls = 0, placed = 0, numbers = 0, faults = 0;
+  int calls = 0, placed = 0, numbered_nodes = 0, faults = 0;
 };
 
 membership::MemberList list_of(int nodes, int cells, std::int64_t revision = 1) {
@@ -84,9 +84,9 @@
 class EngineTest : public ::testing::Test {
  protected:
   explicit EngineTest(Settings s = testing::plain_settings()) : settings(std::move(s)) {
-    engine = std::make_unique<Engine>(settings, Names{}, make_policy(settings, 3),
-                                      Ports{world, world, world, world});
-    world.engine = engine.get();
+    engine =
+        std::make_unique<Engine>(settings, Names{}, make_policy(settings, 3), Ports{host, host, host, host});
+    host.engine = engine.get();
     engine->restore_members(now, list_of(6, settings.cells));
     engine->start(now);
   }
@@ -101,99 +101,99 @@
       arrival.parts.push_back({shard, 1.0 / static_cast<double>(shards.size()), 0, false, {}});
     return arrival;
   }
-  Engine::Admission take(QueryRequest arrival) { return engine->submit(now, std::move(arrival)); }
-  void pass(net::Duration time) {
+  Engine::Admission submit(QueryRequest arrival) { return engine->submit(now, std::move(arrival)); }
+  void advance(net::Duration time) {
     net::Time end = now + time;
     while (true) {
       net::Time due = std::max(engine->due(), now);
       if (due > end) break;
-      world.now = now = due;
+      host.now = now = due;
       engine->tick(now);
       engine->end_turn(now);
     }
-    world.now = now = end;
+    host.now = now = end;
     engine->tick(now);
     engine->end_turn(now);
   }
   void serve_all() {
-    for (std::size_t i = 0; i < world.sent.size(); ++i) {
-      World::Sent each = world.sent[i];
-      world.end(world.sent[i], Outcome::ok, "v" + each.id);
+    for (std::size_t i = 0; i < host.sent.size(); ++i) {
+      RecordingHost::Sent each = host.sent[i];
+      host.end(host.sent[i], Outcome::ok, "v" + each.id);
     }
   }
 
   Settings settings;
-  World world;
+  RecordingHost host;
   net::Time now{100s};
   std::unique_ptr<Engine> engine;
 };
 
-TEST_F(EngineTest, AQueryIsSentAndAnsweredOnceWithWhatIsIn) {
-  EXPECT_EQ(world.numbers, 6);
-  ASSERT_EQ(take(query(1, {0, 1})), Engine::Admission::accepted);
+TEST_F(EngineTest, QueryIsSentAndAnsweredOnceWithItsValues) {
+  EXPECT_EQ(host.numbered_nodes, 6);
+  ASSERT_EQ(submit(query(1, {0, 1})), Engine::Admission::accepted);
   EXPECT_EQ(engine->open_parts(), 2u);
-  pass(10ms);
-  ASSERT_EQ(world.sent.size(), 2u);
-  EXPECT_EQ(world.sent[0].id.substr(0, 3), "q1.");
+  advance(10ms);
+  ASSERT_EQ(host.sent.size(), 2u);
+  EXPECT_EQ(host.sent[0].id.substr(0, 3), "q1.");
   serve_all();
-  pass(10ms);
-  ASSERT_EQ(world.answers[1].size(), 1u);
-  EXPECT_EQ(world.answers[1][0].kind, Result::Kind::whole);
-  EXPECT_EQ(world.answers[1][0].values, (std::vector<std::string>{"vq1.0", "vq1.1"}));
+  advance(10ms);
+  ASSERT_EQ(host.answers[1].size(), 1u);
+  EXPECT_EQ(host.answers[1][0].kind, Result::Kind::whole);
+  EXPECT_EQ(host.answers[1][0].values, (std::vector<std::string>{"vq1.0", "vq1.1"}));
   EXPECT_EQ(engine->open(), 0u);
   EXPECT_EQ(engine->open_parts(), 0u);
 }
 
-TEST_F(EngineTest, AnIdThatIsOpenAndPlacesThatAreTakenAreSaidAtOnce) {
-  ASSERT_EQ(take(query(1, {0})), Engine::Admission::accepted);
+TEST_F(EngineTest, DuplicateIdAndFullTableAreRejected) {
+  ASSERT_EQ(submit(query(1, {0})), Engine::Admission::accepted);
   QueryRequest same = query(2, {0});
   same.id = "q1";
-  EXPECT_EQ(take(std::move(same)), Engine::Admission::duplicate_id);
+  EXPECT_EQ(submit(std::move(same)), Engine::Admission::duplicate_id);
   ClientId client = 10;
-  while (take(query(client, {0, 1, 2, 3})) == Engine::Admission::accepted) ++client;
+  while (submit(query(client, {0, 1, 2, 3})) == Engine::Admission::accepted) ++client;
   EXPECT_EQ(engine->counters().turned_away, 1u);
   EXPECT_LE(engine->open() + engine->open_parts(), static_cast<std::size_t>(settings.max_open) + 5);
 }
 
-// The place of an answered query is free for one that comes within the answer.
-TEST_F(EngineTest, TheNextQueryMayComeWithinTheAnswer) {
+// The slot of an answered query is free for a query submitted within the callback.
+TEST_F(EngineTest, NextQueryMayBeSubmittedWithinTheAnswer) {
   while (engine->open() + engine->open_parts() < static_cast<std::size_t>(settings.max_open))
-    ASSERT_EQ(take(query(1000 + engine->counters().queries, {0})), Engine::Admission::accepted);
+    ASSERT_EQ(submit(query(1000 + engine->counters().queries, {0})), Engine::Admission::accepted);
   std::vector<Engine::Admission> results;
-  world.on_answer = [&](ClientId client) {
-    if (results.empty()) results.push_back(take(query(client + 5000, {0})));
+  host.on_answer = [&](ClientId client) {
+    if (results.empty()) results.push_back(submit(query(client + 5000, {0})));
   };
-  pass(50ms);
+  advance(50ms);
   serve_all();
-  pass(50ms);
+  advance(50ms);
   ASSERT_FALSE(results.empty());
   EXPECT_EQ(results[0], Engine::Admission::accepted);
 }
 
-TEST_F(EngineTest, AClientThatLeavesIsNotAnswered) {
-  take(query(1, {0}));
-  pass(10ms);
+TEST_F(EngineTest, DisconnectedClientIsNotAnswered) {
+  submit(query(1, {0}));
+  advance(10ms);
   engine->client_left(now, 1);
   engine->client_left(now, 1);
   serve_all();
-  pass(3s);
-  EXPECT_TRUE(world.answers.empty());
+  advance(3s);
+  EXPECT_TRUE(host.answers.empty());
   EXPECT_EQ(engine->counters().clients_left, 1u);
 }
 
-TEST_F(EngineTest, ANodeThatIsGoneIsRetiredAndAWholeListRetiresTheRest) {
+TEST_F(EngineTest, GoneAndUnlistedNodesAreRetired) {
   membership::MemberList changes;
   changes.revision = 2;
   changes.entries = {list_of(1, 1).entries[0]};
   changes.entries[0].phase = membership::Phase::gone;
   engine->members_told(now, changes);
-  EXPECT_EQ(world.retired.size(), 1u);
+  EXPECT_EQ(host.retired.size(), 1u);
   engine->members_told(now, list_of(3, 2, 3));
-  EXPECT_EQ(world.retired.size(), 4u);  // s-3 to s-5; s-0 is back
+  EXPECT_EQ(host.retired.size(), 4u);  // s-3 to s-5; s-0 is back
 }
 
-// Thousands of queries under chance: each is answered once, in its time, whatever its nodes do.
-TEST_F(EngineTest, EachQueryHasOneAnswerInItsTime) {
+// Randomized: each query is answered once by its deadline, whatever its nodes do.
+TEST_F(EngineTest, EveryQueryIsAnsweredOnceByItsDeadline) {
   std::mt19937_64 random(7);
   std::map<ClientId, net::Time> deadlines;
   std::set<ClientId> left;
@@ -208,11 +208,11 @@
         arrival.parts.resize(1), arrival.parts[0].weight = 1;
       arrival.cls = static_cast<int>(random() % 2);
       net::Time deadline = arrival.deadline;
-      if (take(std::move(arrival)) == Engine::Admission::accepted) deadlines[client] = deadline;
+      if (submit(std::move(arrival)) == Engine::Admission::accepted) deadlines[client] = deadline;
     }
-    pass(net::Duration(static_cast<double>(random() % 10) / 1000));
-    for (std::size_t n = random() % 4; n > 0 && !world.sent.empty(); --n) {
-      World::Sent& each = world.sent[random() % world.sent.size()];
+    advance(net::Duration(static_cast<double>(random() % 10) / 1000));
+    for (std::size_t n = random() % 4; n > 0 && !host.sent.empty(); --n) {
+      RecordingHost::Sent& each = host.sent[random() % host.sent.size()];
       constexpr Outcome outcomes[] = {Outcome::ok,
                                       Outcome::ok,
                                       Outcome::ok,
@@ -220,29 +220,29 @@
                                       Outcome::refused,
                                       Outcome::reset,
                                       Outcome::connect_failed};
-      world.end(each, outcomes[random() % 7], "v");
+      host.end(each, outcomes[random() % 7], "v");
     }
-    for (World::Sent& each : world.sent)
-      if (each.give_up_at <= now) world.end(each, Outcome::timeout);
-    std::erase_if(world.sent, [](const World::Sent& each) { return each.ended; });
+    for (RecordingHost::Sent& each : host.sent)
+      if (each.give_up_at <= now) host.end(each, Outcome::timeout);
+    std::erase_if(host.sent, [](const RecordingHost::Sent& each) { return each.ended; });
     if (random() % 50 == 0 && next > 0) {
       ClientId client = 1 + random() % next;
-      if (world.answers.count(client) == 0 && deadlines.count(client) != 0) {
+      if (host.answers.count(client) == 0 && deadlines.count(client) != 0) {
         engine->client_left(now, client);
         left.insert(client);
       }
     }
   }
-  pass(5s);
+  advance(5s);
   EXPECT_EQ(engine->open(), 0u);
   EXPECT_EQ(engine->open_parts(), 0u);
   for (const auto& [client, deadline] : deadlines) {
     if (left.count(client) != 0) {
-      EXPECT_EQ(world.answers.count(client), 0u);
+      EXPECT_EQ(host.answers.count(client), 0u);
       continue;
     }
-    ASSERT_EQ(world.answers[client].size(), 1u);
-    EXPECT_LE(world.answers[client][0].at, deadline);
+    ASSERT_EQ(host.answers[client].size(), 1u);
+    EXPECT_LE(host.answers[client][0].at, deadline);
   }
   const Counters& c = engine->counters();
   EXPECT_EQ(c.queries, c.whole + c.partial + c.refused + c.failed + c.clients_left + c.out_of_time);
