--- a/src/phases/budget.h
+++ b/src/phases/budget.h
@@ -1,9 +1,9 @@
-// How long a first phase may last so that the second can still be done: learnt from what second phases took.
-// Free of I/O and given the time; one for each class.
+// Time budget of two-phase queries: how long the first phase may last so that the second can still finish,
+// estimated from the durations of earlier second phases. Performs no I/O; one instance per class.
 //
-// A second phase is done when its last part is: with n parts side by side it is within t with probability
-// F(t)^n, so the quantile that is asked of one part is q^(1/n). F is a histogram of the parts' times on a
-// logarithmic axis, halved every `memory`, so that what was learnt long ago weighs little.
+// A second phase ends with its last part: n parallel parts all finish within t with probability F(t)^n, so
+// the quantile needed of one part is q^(1/n). F is a histogram of part durations on a logarithmic axis with
+// exponential decay.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -14,70 +14,71 @@
 
 namespace pearspar::phases {
 
+// Parameters of a Budget; shares are of the client's time.
 struct BudgetRules {
-  double first_share = 0.5;  // of the client's time, where nothing was learnt yet
-  double least_first = 0.2;  // bounds on it, whatever was learnt
-  double most_first = 0.8;
-  double sure = 0.95;  // how likely the second phase is to be done in what it is left
-  net::Duration slack = std::chrono::milliseconds(20);  // for the answer itself
-  net::Duration memory = std::chrono::seconds(30);
-  double least_samples = 30;  // parts of second phases before what was learnt counts
+  double initial_first_share = 0.5;  // used until `min_samples` are reached
+  double min_first_share = 0.2;      // bounds of the first phase
+  double max_first_share = 0.8;
+  double confidence = 0.95;                             // probability that the second phase finishes in time
+  net::Duration slack = std::chrono::milliseconds(20);  // for sending the answer
+  net::Duration half_life = std::chrono::seconds(30);
+  double min_samples = 30;  // second-phase parts, decayed
 };
 
-// How a first phase stands.
+// Progress of a first phase.
 struct FirstPhase {
   net::Time started{};
-  net::Time deadline{};  // the client's
+  net::Time deadline{};  // of the client
   int parts = 0;         // sent
-  int in = 0;
-  double weight = 0;        // of the first phase's parts that are in
-  double least = 0;         // weight below which there is no answer
-  double wanted = 1;        // weight that makes it whole
-  int second_parts = 0;     // as many as the second phase will have, as far as can be told
-  net::Duration typical{};  // what a part of the first phase takes as a rule; 0 = not known
+  int received = 0;
+  double weight = 0;                  // of the parts received
+  double min_weight = 0;              // minimum weight for an answer
+  double complete_weight = 1;         // weight of a complete answer
+  int second_phase_parts = 0;         // expected number of parts of the second phase
+  net::Duration typical_part_time{};  // typical duration of a first-phase part; 0 = unknown
 };
 
+// What to do with a first phase.
 enum class Step {
   wait,    // until `until`
-  go_on,   // to the second phase, with what is in
-  refuse,  // what is left suffices for no second phase: refused at once
-  fail     // time is up for the first phase and its floor is not in
+  go_on,   // start the second phase with the parts received
+  refuse,  // too little time is left for a second phase
+  fail     // the first phase is over without its minimum weight
 };
 
+// Result of Budget::advise.
 struct Advice {
   Step step = Step::wait;
-  net::Time until{};  // wait: when to ask again if nothing comes in; never later than the cut
-  net::Time cut{};    // when the second phase needs what is left
+  net::Time until{};  // wait: when to ask again if no part arrives; at most `cut`
+  net::Time cut{};    // latest start of the second phase
 };
 
 class Budget {
  public:
   explicit Budget(const BudgetRules& rules);
 
-  // A part of a second phase took so long, or was given up after so long (`done` false: it took longer
-  // still).
-  void learn(net::Time now, net::Duration took, bool done);
+  // Records the duration of a second-phase part; `done` is false if it was abandoned after that time.
+  void record(net::Time now, net::Duration took, bool done);
 
-  // What a second phase of so many parts needs, the slack included; as the share has it where too little was
-  // learnt.
+  // Time that a second phase of `parts` parts needs, including the slack, within a query of `whole` time.
   net::Duration needed(net::Time now, int parts, net::Duration whole) const;
 
-  // Asked at the start, whenever a part of the first phase comes in, and at `until`.
+  // To be called at the start, whenever a part of the first phase arrives, and at Advice::until.
   Advice advise(net::Time now, const FirstPhase& first) const;
 
-  double samples(net::Time now) const { return weight_ * faded(now); }
+  double samples(net::Time now) const { return weight_ * decay_factor(now); }
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   using Histogram = boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<double>>;
 
-  double faded(net::Time now) const;
+  double decay_factor(net::Time now) const;
   net::Duration quantile(double q) const;
 
   BudgetRules rules_;
   Histogram times_;
-  double weight_ = 0;     // of all that is in it
-  net::Time faded_at_{};  // when it was last brought down
+  double weight_ = 0;       // total weight in the histogram
+  net::Time decayed_at_{};  // time of the last decay
 };
 
 }  // namespace pearspar::phases
--- a/src/phases/candidates.cpp
+++ b/src/phases/candidates.cpp
@@ -18,8 +18,8 @@
   return a.score != b.score ? a.score > b.score : a.id < b.id;
 }
 
-Found read_candidates(int shard, std::string_view value, const CandidateLimits& limits) {
-  Found found;
+PartCandidates read_candidates(int shard, std::string_view value, const CandidateLimits& limits) {
+  PartCandidates found;
   found.shard = shard;
   json::Value root;
   try {
@@ -38,7 +38,7 @@
     const json::Value* score = each.find("score");
     const json::Value* cost = each.find("cost_us");
     auto text = id ? id->text() : std::nullopt;
-    // Absent or of another kind: no number, which no comparison below lets pass.
+    // An absent or mistyped score or cost becomes NaN and is rejected below.
     double number = score ? score->number().value_or(not_a_number) : not_a_number;
     double work = cost ? cost->number().value_or(not_a_number) : 0;
     bool usable = text && !text->empty() && text->size() <= limits.id && std::isfinite(number) &&
--- a/src/phases/candidates.h
+++ b/src/phases/candidates.h
@@ -1,8 +1,7 @@
-// What a first phase finds: the ranked candidates in the values of its parts. The form is ours and published
-// in docs/two-phase.md:
+// Reads the ranked candidates in the part values of a first phase:
 //   {"candidates":[{"id":"m-1984-17","score":3.25,"cost_us":900}, ...]}
-// `cost_us` may be absent. A value that is no such object is a part without candidates, and said to be
-// unreadable; a candidate that cannot be used is left out and counted.
+// `cost_us` is optional. A malformed value yields an unreadable part without candidates; invalid candidates
+// are skipped and counted.
 #pragma once
 
 #include <cstddef>
@@ -13,28 +12,31 @@
 
 namespace pearspar::phases {
 
+// A document found by a first phase.
 struct Candidate {
   std::string id;
   double score = 0;
-  double cost_us = 0;  // 0 = not told
+  double cost_us = 0;  // 0 = unknown
 };
 
-struct Found {
+// The candidates of one first-phase part.
+struct PartCandidates {
   int shard = 0;
-  std::vector<Candidate> candidates;  // ranked, an id once
+  std::vector<Candidate> candidates;  // ranked, with unique ids
   bool readable = true;
-  std::size_t left_out = 0;  // without an id, with a score that is no number, or of an id that stands already
-  std::size_t beyond = 0;    // over the limit: the worst ones
+  std::size_t left_out = 0;  // invalid candidates and duplicate ids
+  std::size_t beyond = 0;    // the worst ones, over the limit
 };
 
+// Limits on the candidates of one part.
 struct CandidateLimits {
-  std::size_t candidates = 1000;  // kept of one part
+  std::size_t candidates = 1000;  // kept
   std::size_t id = 256;           // bytes
 };
 
-// By score, best first, then by id: the same order whatever the order in which they came.
+// Orders by score, best first, then by id.
 bool ranks_before(const Candidate& a, const Candidate& b);
 
-Found read_candidates(int shard, std::string_view value, const CandidateLimits& limits);
+PartCandidates read_candidates(int shard, std::string_view value, const CandidateLimits& limits);
 
 }  // namespace pearspar::phases
--- a/src/phases/prune.cpp
+++ b/src/phases/prune.cpp
@@ -12,8 +12,8 @@
   int shard = 0;
 };
 
-// Ties over shards: score, then shard, then id.
-bool before(const Ranked& a, const Ranked& b) {
+// Orders by score, then shard, then id.
+bool ranks_before_over_shards(const Ranked& a, const Ranked& b) {
   if (a.candidate->score != b.candidate->score) return a.candidate->score > b.candidate->score;
   if (a.shard != b.shard) return a.shard < b.shard;
   return a.candidate->id < b.candidate->id;
@@ -21,12 +21,12 @@
 
 class Pruning {
  public:
-  Pruning(const PruneRules& rules, const Means& means) : rules_(rules), means_(means) {}
+  Pruning(const PruneRules& rules, const FetchCapacity& capacity) : rules_(rules), capacity_(capacity) {}
 
-  Pruned run(const std::vector<Found>& found) {
-    for (const Found& part : found)
+  FetchPlan run(const std::vector<PartCandidates>& found) {
+    for (const PartCandidates& part : found)
       for (const Candidate& each : part.candidates) all_.push_back({&each, part.shard});
-    std::sort(all_.begin(), all_.end(), before);
+    std::sort(all_.begin(), all_.end(), ranks_before_over_shards);
     drop_duplicates();
     for (const Ranked& each : all_) place(each);
     fill_to_floor();
@@ -35,7 +35,7 @@
   }
 
  private:
-  struct Open {
+  struct OpenPart {
     std::vector<const Candidate*> candidates;
     net::Duration expected{};
     bool for_floor = false;
@@ -43,7 +43,7 @@
 
   void cut(Cause cause) { ++result_.cut[static_cast<int>(cause)]; }
 
-  // One document found in two shards is fetched where it ranks first.
+  // A document found in several shards is fetched where it ranks first.
   void drop_duplicates() {
     std::set<std::string_view> seen;
     std::erase_if(all_, [&](const Ranked& each) {
@@ -54,22 +54,22 @@
   }
 
   bool servable(int shard) const {
-    return !std::binary_search(means_.unservable.begin(), means_.unservable.end(), shard);
+    return !std::binary_search(capacity_.unservable.begin(), capacity_.unservable.end(), shard);
   }
   net::Duration cost_of(const Candidate& each) const {
-    if (each.cost_us <= 0) return means_.untold_cost;
-    return net::Duration(each.cost_us * means_.us_per_cost / 1e6);
+    if (each.cost_us <= 0) return capacity_.default_cost;
+    return net::Duration(each.cost_us * capacity_.us_per_cost / 1e6);
   }
-  // Whether the part can take one more in its time; a part that is new pays for itself first.
-  bool fits(const Open* open, const Candidate& each) const {
-    net::Duration taken = open ? open->expected : means_.part_cost;
-    return taken + cost_of(each) <= means_.time;
+  // Whether the candidate fits into the time of its part; a new part also has a fixed cost.
+  bool fits(const OpenPart* open, const Candidate& each) const {
+    net::Duration taken = open ? open->expected : capacity_.part_cost;
+    return taken + cost_of(each) <= capacity_.time;
   }
   void add(int shard, const Candidate& each, bool for_floor) {
     auto [place, fresh] = open_.try_emplace(shard);
     if (fresh) {
       order_.push_back(shard);
-      place->second.expected = means_.part_cost;
+      place->second.expected = capacity_.part_cost;
       place->second.for_floor = for_floor;
     }
     place->second.candidates.push_back(&each);
@@ -77,35 +77,34 @@
     ++result_.candidates;
   }
 
-  // In the order of rank, so that what has less of anything left always goes to the better one.
+  // Called in rank order, so that scarce capacity goes to the better candidates.
   void place(const Ranked& each) {
     if (!servable(each.shard)) {
       no_replica_.insert(each.shard);
       return cut(Cause::no_replica);
     }
     auto found = open_.find(each.shard);
-    Open* open = found == open_.end() ? nullptr : &found->second;
+    OpenPart* open = found == open_.end() ? nullptr : &found->second;
     if (!fits(open, *each.candidate)) {
       if (!open) no_time_.insert(each.shard);
       return cut(Cause::time);
     }
-    // A share of a best score that is not above 0 would spare nobody the best one included.
+    // A share of a best score of 0 or less would cut even the best candidate.
     double best = all_.front().candidate->score;
     bool low = rules_.score_share > 0 && best > 0 && each.candidate->score < rules_.score_share * best;
-    Cause cause = low                                            ? Cause::score
-                  : result_.candidates >= rules_.most_candidates ? Cause::count
-                                                                 : Cause::parts;
-    bool refused = cause != Cause::parts || (!open && open_.size() >= rules_.most_parts);
+    Cause cause = low                                           ? Cause::score
+                  : result_.candidates >= rules_.max_candidates ? Cause::count
+                                                                : Cause::parts;
+    bool refused = cause != Cause::parts || (!open && open_.size() >= rules_.max_parts);
     if (!refused) return add(each.shard, *each.candidate, false);
     cut(cause);
-    if (!open) spare_.push_back({each, cause});
+    if (!open) cut_parts_.push_back({each, cause});
   }
 
-  // The least number of parts comes before what score and count would spare, but never before time or a
-  // replica.
+  // Adds parts cut for score or count until the minimum number is reached; time and replicas stay binding.
   void fill_to_floor() {
-    for (const auto& [each, cause] : spare_) {
-      if (open_.size() >= rules_.least_parts) return;
+    for (const auto& [each, cause] : cut_parts_) {
+      if (open_.size() >= rules_.min_parts) return;
       if (open_.count(each.shard) != 0) continue;
       --result_.cut[static_cast<int>(cause)];
       add(each.shard, *each.candidate, true);
@@ -115,12 +114,12 @@
 
   void finish() {
     for (int shard : order_) {
-      const Open& open = open_.at(shard);
+      const OpenPart& open = open_.at(shard);
       ChosenPart part{shard, {}, open.expected};
       for (const Candidate* each : open.candidates) part.candidates.push_back(*each);
       result_.parts.push_back(std::move(part));
     }
-    result_.enough = result_.parts.size() >= rules_.least_parts;
+    result_.enough = result_.parts.size() >= rules_.min_parts;
     if (result_.enough) return;
     std::size_t for_time = static_cast<std::size_t>(
         std::count_if(no_time_.begin(), no_time_.end(), [&](int shard) { return open_.count(shard) == 0; }));
@@ -129,31 +128,32 @@
   }
 
   const PruneRules& rules_;
-  const Means& means_;
+  const FetchCapacity& capacity_;
   std::vector<Ranked> all_;
-  std::map<int, Open> open_;
-  std::vector<int> order_;  // of the parts, by their best candidate
-  std::vector<std::pair<Ranked, Cause>> spare_;
+  std::map<int, OpenPart> open_;
+  std::vector<int> order_;  // shards in order of their best candidate
+  std::vector<std::pair<Ranked, Cause>> cut_parts_;
   std::set<int> no_time_;
   std::set<int> no_replica_;
-  Pruned result_;
+  FetchPlan result_;
 };
 
 }  // namespace
 
-const char* word(Cause cause) {
+const char* name_of(Cause cause) {
   constexpr const char* words[] = {"score", "count", "parts", "time", "no_replica", "duplicate"};
   return words[static_cast<int>(cause)];
 }
 
-std::size_t Pruned::cut_in_all() const {
+std::size_t FetchPlan::total_cut() const {
   std::size_t sum = 0;
   for (std::size_t each : cut) sum += each;
   return sum;
 }
 
-Pruned prune(const std::vector<Found>& found, const PruneRules& rules, const Means& means) {
-  return Pruning(rules, means).run(found);
+FetchPlan prune(const std::vector<PartCandidates>& found, const PruneRules& rules,
+                const FetchCapacity& capacity) {
+  return Pruning(rules, capacity).run(found);
 }
 
 }  // namespace pearspar::phases
--- a/src/phases/prune.h
+++ b/src/phases/prune.h
@@ -1,9 +1,8 @@
-// Chooses what a second phase fetches. Free of I/O; the same input gives the same output, whatever order the
-// parts came in.
+// Chooses the candidates that a second phase fetches. Performs no I/O; the result does not depend on the
+// order of the parts.
 //
-// Holds always: what is chosen is the best of what was found and can be had - nothing that was pruned ranks
-// before something chosen, unless its cause (time, no replica, its part's place) stands beside it; every
-// candidate that came in is either chosen or counted under one cause.
+// Invariants: each candidate is either chosen or counted under one cause; a candidate cut for score or count
+// never ranks before a chosen one, except for those kept for the minimum number of parts.
 #pragma once
 
 #include <cstddef>
@@ -15,46 +14,50 @@
 
 namespace pearspar::phases {
 
+// Limits of a second phase.
 struct PruneRules {
-  std::size_t most_candidates = 100;
-  std::size_t most_parts = 16;
-  std::size_t least_parts = 1;  // of the second phase, below which the class has no answer
-  double score_share =
-      0;  // candidates below so much of the best score, where that is above 0, go; 0 = none do
+  std::size_t max_candidates = 100;
+  std::size_t max_parts = 16;
+  std::size_t min_parts = 1;  // with fewer parts there is no answer
+  double score_share = 0;     // cut candidates below this share of a positive best score; 0 = off
 };
 
-// What the second phase can do in the time it has.
-struct Means {
-  net::Duration time{};         // for one part of it, all parts running side by side
-  net::Duration part_cost{};    // what a part takes beside its candidates
-  double us_per_cost = 1;       // how long a microsecond of told cost takes, as learnt
-  net::Duration untold_cost{};  // of a candidate whose cost was not told
-  std::vector<int> unservable;  // shards that no replica serves now, ascending
+// Time and replicas available to the second phase.
+struct FetchCapacity {
+  net::Duration time{};          // for each part; parts run in parallel
+  net::Duration part_cost{};     // fixed cost of a part
+  double us_per_cost = 1;        // microseconds per unit of Candidate::cost_us
+  net::Duration default_cost{};  // of a candidate without a cost
+  std::vector<int> unservable;   // shards without a serving replica, ascending
 };
 
+// Why a candidate was cut.
 enum class Cause { score, count, parts, time, no_replica, duplicate };
-inline constexpr int causes = 6;
-const char* word(Cause cause);
+inline constexpr int cause_count = 6;
+const char* name_of(Cause cause);
 
+// The candidates to fetch from one shard.
 struct ChosenPart {
   int shard = 0;
   std::vector<Candidate> candidates;  // ranked
   net::Duration expected{};
 };
 
-struct Pruned {
-  std::vector<ChosenPart> parts;   // by their best candidate
-  std::size_t candidates = 0;      // chosen
-  std::size_t cut[causes] = {};    // candidates by cause
-  std::size_t kept_for_floor = 0;  // parts that score or count would have pruned, but for the least number
-  bool enough = false;             // as many parts as the class needs
-  // Where they are too few: what more would have needed. Refused for time, there is a time to come back at.
+// Result of prune().
+struct FetchPlan {
+  std::vector<ChosenPart> parts;      // ordered by their best candidate
+  std::size_t candidates = 0;         // chosen
+  std::size_t cut[cause_count] = {};  // candidates by cause
+  std::size_t kept_for_floor = 0;     // parts kept only to reach the minimum number
+  bool enough = false;                // at least the minimum number of parts
+  // If not enough: whether time or replicas were missing.
   bool for_time = false;
   bool for_replicas = false;
 
-  std::size_t cut_in_all() const;
+  std::size_t total_cut() const;
 };
 
-Pruned prune(const std::vector<Found>& found, const PruneRules& rules, const Means& means);
+FetchPlan prune(const std::vector<PartCandidates>& found, const PruneRules& rules,
+                const FetchCapacity& means);
 
 }  // namespace pearspar::phases
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -1,4 +1,4 @@
-// Candidates, pruning and budgets, free of I/O.
+// Tests of candidates, pruning and time budgets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 using namespace std::chrono_literals;
 
-TEST(Candidates, WhatCannotBeUsedIsLeftOutAndCounted) {
-  Found found = read_candidates(
+TEST(Candidates, InvalidCandidatesAreSkippedAndCounted) {
+  PartCandidates found = read_candidates(
       3,
       R"({"candidates":[{"id":"a","score":1},{"id":"b","score":2,"cost_us":700},{"id":"a","score":9},)"
       R"({"score":1},)"
@@ -33,106 +33,107 @@
   EXPECT_TRUE(read_candidates(0, R"({"candidates":[]})", {}).readable);
 }
 
-TEST(Candidates, AHundredThousandAreCutToTheBest) {
+TEST(Candidates, LongListIsCutToTheBest) {
   std::string text = R"({"candidates":[)";
   for (int i = 0; i < 100'000; ++i)
     text += (i == 0 ? "" : ",") + std::string(R"({"id":"m)") + std::to_string(i) + R"(","score":)" +
             std::to_string(i * 7919 % 100'003) + "}";
-  Found found = read_candidates(0, text + "]}", {50, 256});
+  PartCandidates found = read_candidates(0, text + "]}", {50, 256});
   ASSERT_EQ(found.candidates.size(), 50u);
   EXPECT_EQ(found.beyond, 99'950u);
   EXPECT_TRUE(std::is_sorted(found.candidates.begin(), found.candidates.end(), ranks_before));
   EXPECT_GE(found.candidates.back().score, 99'900);
 }
 
-Found part(int shard, std::vector<Candidate> candidates) {
+PartCandidates part(int shard, std::vector<Candidate> candidates) {
   std::sort(candidates.begin(), candidates.end(), ranks_before);
-  Found found;
+  PartCandidates found;
   found.shard = shard;
   found.candidates = std::move(candidates);
   return found;
 }
 
-Means plenty() {
-  Means means;
-  means.time = 1s;
-  means.part_cost = 10ms;
-  means.untold_cost = 1ms;
-  return means;
+FetchCapacity ample_capacity() {
+  FetchCapacity capacity;
+  capacity.time = 1s;
+  capacity.part_cost = 10ms;
+  capacity.default_cost = 1ms;
+  return capacity;
 }
 
-TEST(Prune, TiesGoByScoreThenShardThenId) {
+TEST(Prune, TiesAreOrderedByShardThenId) {
   PruneRules rules;
-  rules.most_candidates = 3;
-  auto found = std::vector<Found>{part(2, {{"a", 5, 0}, {"z", 5, 0}}), part(1, {{"y", 5, 0}, {"x", 5, 0}})};
-  Pruned pruned = prune(found, rules, plenty());
-  ASSERT_EQ(pruned.parts.size(), 2u);
-  EXPECT_EQ(pruned.parts[0].shard, 1);
-  EXPECT_EQ(pruned.parts[0].candidates[0].id, "x");
-  EXPECT_EQ(pruned.parts[0].candidates[1].id, "y");
-  EXPECT_EQ(pruned.parts[1].candidates[0].id, "a");
+  rules.max_candidates = 3;
+  auto found =
+      std::vector<PartCandidates>{part(2, {{"a", 5, 0}, {"z", 5, 0}}), part(1, {{"y", 5, 0}, {"x", 5, 0}})};
+  FetchPlan plan = prune(found, rules, ample_capacity());
+  ASSERT_EQ(plan.parts.size(), 2u);
+  EXPECT_EQ(plan.parts[0].shard, 1);
+  EXPECT_EQ(plan.parts[0].candidates[0].id, "x");
+  EXPECT_EQ(plan.parts[0].candidates[1].id, "y");
+  EXPECT_EQ(plan.parts[1].candidates[0].id, "a");
   std::reverse(found.begin(), found.end());
-  Pruned again = prune(found, rules, plenty());
+  FetchPlan again = prune(found, rules, ample_capacity());
   EXPECT_EQ(again.parts[0].candidates[0].id, "x");
   EXPECT_EQ(again.cut[static_cast<int>(Cause::count)], 1u);
 }
 
-TEST(Prune, ADocumentInTwoShardsIsFetchedWhereItRanksFirst) {
-  Pruned pruned = prune({part(1, {{"a", 3, 0}}), part(2, {{"a", 4, 0}, {"b", 1, 0}})}, {}, plenty());
-  ASSERT_EQ(pruned.parts.size(), 1u);
-  EXPECT_EQ(pruned.parts[0].shard, 2);
-  EXPECT_EQ(pruned.cut[static_cast<int>(Cause::duplicate)], 1u);
+TEST(Prune, DuplicateIsFetchedWhereItRanksFirst) {
+  FetchPlan plan = prune({part(1, {{"a", 3, 0}}), part(2, {{"a", 4, 0}, {"b", 1, 0}})}, {}, ample_capacity());
+  ASSERT_EQ(plan.parts.size(), 1u);
+  EXPECT_EQ(plan.parts[0].shard, 2);
+  EXPECT_EQ(plan.cut[static_cast<int>(Cause::duplicate)], 1u);
 }
 
-TEST(Prune, TheFloorKeepsWhatScoreAndCountWouldCutButNeverWhatTimeDoes) {
+TEST(Prune, MinimumPartsOverrideScoreAndCountButNotTime) {
   PruneRules rules;
-  rules.most_candidates = 1;
+  rules.max_candidates = 1;
   rules.score_share = 0.9;
-  rules.least_parts = 2;
-  Pruned kept =
-      prune({part(1, {{"a", 10, 0}}), part(2, {{"b", 1, 0}}), part(3, {{"c", 2, 0}})}, rules, plenty());
+  rules.min_parts = 2;
+  FetchPlan kept = prune({part(1, {{"a", 10, 0}}), part(2, {{"b", 1, 0}}), part(3, {{"c", 2, 0}})}, rules,
+                         ample_capacity());
   EXPECT_TRUE(kept.enough);
   EXPECT_EQ(kept.kept_for_floor, 1u);
   EXPECT_EQ(kept.parts[1].shard, 3);  // the better of the two
-  Pruned slow = prune({part(1, {{"a", 10, 0}}), part(2, {{"b", 1, 5e6}})}, rules, plenty());
+  FetchPlan slow = prune({part(1, {{"a", 10, 0}}), part(2, {{"b", 1, 5e6}})}, rules, ample_capacity());
   EXPECT_FALSE(slow.enough);
   EXPECT_TRUE(slow.for_time);
   EXPECT_FALSE(slow.for_replicas);
-  Means means = plenty();
-  means.unservable = {2};
-  Pruned gone = prune({part(1, {{"a", 10, 0}}), part(2, {{"b", 1, 0}})}, rules, means);
+  FetchCapacity capacity = ample_capacity();
+  capacity.unservable = {2};
+  FetchPlan gone = prune({part(1, {{"a", 10, 0}}), part(2, {{"b", 1, 0}})}, rules, capacity);
   EXPECT_FALSE(gone.enough);
   EXPECT_TRUE(gone.for_replicas);
 }
 
-TEST(Prune, ABestScoreBelowZeroPrunesNobodyByShare) {
+TEST(Prune, NegativeBestScoreDisablesScoreShare) {
   PruneRules rules;
   rules.score_share = 0.5;
-  EXPECT_EQ(prune({part(1, {{"a", -1, 0}, {"b", -9, 0}})}, rules, plenty()).candidates, 2u);
+  EXPECT_EQ(prune({part(1, {{"a", -1, 0}, {"b", -9, 0}})}, rules, ample_capacity()).candidates, 2u);
 }
 
-TEST(Prune, NothingFoundIsNothingChosen) {
-  Pruned pruned = prune({part(1, {})}, {}, plenty());
-  EXPECT_FALSE(pruned.enough);
-  EXPECT_FALSE(pruned.for_time);
-  EXPECT_TRUE(pruned.parts.empty());
+TEST(Prune, NoCandidatesGiveAnEmptyPlan) {
+  FetchPlan plan = prune({part(1, {})}, {}, ample_capacity());
+  EXPECT_FALSE(plan.enough);
+  EXPECT_FALSE(plan.for_time);
+  EXPECT_TRUE(plan.parts.empty());
 }
 
-// Against a reading of the rules one candidate at a time, by chance.
-TEST(Prune, WhatIsChosenIsTheBestThatCanBeHad) {
+// Randomized check against the rules, one candidate at a time.
+TEST(Prune, ChosenCandidatesAreTheBestAvailable) {
   std::mt19937_64 random(5);
   for (int round = 0; round < 3000; ++round) {
     PruneRules rules;
-    rules.most_candidates = 1 + random() % 12;
-    rules.most_parts = 1 + random() % 5;
-    rules.least_parts = 1 + random() % 3;
+    rules.max_candidates = 1 + random() % 12;
+    rules.max_parts = 1 + random() % 5;
+    rules.min_parts = 1 + random() % 3;
     rules.score_share = random() % 2 == 0 ? 0 : 0.4;
-    Means means = plenty();
-    means.time = net::Duration(static_cast<double>(random() % 40) / 1000);
-    std::vector<Found> found;
+    FetchCapacity capacity = ample_capacity();
+    capacity.time = net::Duration(static_cast<double>(random() % 40) / 1000);
+    std::vector<PartCandidates> found;
     std::size_t all = 0;
     for (int shard = 0; shard < 5; ++shard) {
-      if (random() % 5 == 0) means.unservable.push_back(shard);
+      if (random() % 5 == 0) capacity.unservable.push_back(shard);
       std::vector<Candidate> candidates;
       std::set<std::string> ids;
       for (std::uint64_t n = random() % 6; n > 0; --n) {
@@ -145,40 +146,40 @@
       found.push_back(part(shard, candidates));
     }
     std::shuffle(found.begin(), found.end(), random);
-    Pruned pruned = prune(found, rules, means);
-    ASSERT_EQ(pruned.candidates + pruned.cut_in_all(), all);
-    ASSERT_EQ(pruned.enough, pruned.parts.size() >= rules.least_parts);
-    ASSERT_LE(pruned.parts.size(), std::max(rules.most_parts, rules.least_parts));
-    ASSERT_LE(pruned.candidates, rules.most_candidates + pruned.kept_for_floor);
+    FetchPlan plan = prune(found, rules, capacity);
+    ASSERT_EQ(plan.candidates + plan.total_cut(), all);
+    ASSERT_EQ(plan.enough, plan.parts.size() >= rules.min_parts);
+    ASSERT_LE(plan.parts.size(), std::max(rules.max_parts, rules.min_parts));
+    ASSERT_LE(plan.candidates, rules.max_candidates + plan.kept_for_floor);
     std::set<std::string> chosen;
     std::map<int, const ChosenPart*> parts;
     double worst = 1e9;
-    for (const ChosenPart& each : pruned.parts) {
+    for (const ChosenPart& each : plan.parts) {
       parts[each.shard] = &each;
-      net::Duration cost = means.part_cost;
-      ASSERT_FALSE(std::binary_search(means.unservable.begin(), means.unservable.end(), each.shard));
+      net::Duration cost = capacity.part_cost;
+      ASSERT_FALSE(std::binary_search(capacity.unservable.begin(), capacity.unservable.end(), each.shard));
       for (const Candidate& candidate : each.candidates) {
         ASSERT_TRUE(chosen.insert(candidate.id).second);
-        cost +=
-            candidate.cost_us > 0 ? net::Duration(candidate.cost_us / 1e6) : net::Duration(means.untold_cost);
+        cost += candidate.cost_us > 0 ? net::Duration(candidate.cost_us / 1e6)
+                                      : net::Duration(capacity.default_cost);
         worst = std::min(worst, candidate.score);
       }
-      ASSERT_LE(cost, means.time);
+      ASSERT_LE(cost, capacity.time);
     }
-    // Nothing that ranks before all that was chosen was left, if it could have been had: its shard serves,
-    // its part is open with time to spare, or there is room for one more part.
-    if (pruned.kept_for_floor > 0) continue;
-    for (const Found& each : found) {
-      if (std::binary_search(means.unservable.begin(), means.unservable.end(), each.shard)) continue;
+    // No candidate that ranks before a chosen one was cut although its shard is served and its part, or a new
+    // part, had room for it.
+    if (plan.kept_for_floor > 0) continue;
+    for (const PartCandidates& each : found) {
+      if (std::binary_search(capacity.unservable.begin(), capacity.unservable.end(), each.shard)) continue;
       for (const Candidate& candidate : each.candidates) {
         if (chosen.count(candidate.id) != 0 || candidate.score <= worst) continue;
-        net::Duration cost =
-            candidate.cost_us > 0 ? net::Duration(candidate.cost_us / 1e6) : net::Duration(means.untold_cost);
+        net::Duration cost = candidate.cost_us > 0 ? net::Duration(candidate.cost_us / 1e6)
+                                                   : net::Duration(capacity.default_cost);
         auto open = parts.find(each.shard);
         bool room = open != parts.end()
-                        ? open->second->expected + cost <= means.time
-                        : parts.size() < rules.most_parts && means.part_cost + cost <= means.time;
-        bool elsewhere = std::any_of(found.begin(), found.end(), [&](const Found& other) {
+                        ? open->second->expected + cost <= capacity.time
+                        : parts.size() < rules.max_parts && capacity.part_cost + cost <= capacity.time;
+        bool elsewhere = std::any_of(found.begin(), found.end(), [&](const PartCandidates& other) {
           return other.shard != each.shard &&
                  std::any_of(other.candidates.begin(), other.candidates.end(), [&](const Candidate& c) {
                    return c.id == candidate.id && (c.score > candidate.score ||
@@ -198,59 +199,59 @@
   first.started = started;
   first.deadline = started + 1s;
   first.parts = parts;
-  first.in = in;
+  first.received = in;
   first.weight = weight;
-  first.least = 0.4;
-  first.second_parts = 4;
+  first.min_weight = 0.4;
+  first.second_phase_parts = 4;
   return first;
 }
 
-TEST(Budget, TheShareCountsUntilEnoughWasLearnt) {
+TEST(Budget, InitialShareAppliesUntilEnoughSamples) {
   Budget budget({});
   net::Time now{100s};
   EXPECT_EQ(budget.needed(now, 4, 1s), net::Duration(0.5));
-  for (int i = 0; i < 100; ++i) budget.learn(now, 100ms, true);
+  for (int i = 0; i < 100; ++i) budget.record(now, 100ms, true);
   net::Duration needed = budget.needed(now, 1, 1s);
-  EXPECT_GT(needed, net::Duration(200ms - 1ms));  // the least for a second phase: 1 - most_first
+  EXPECT_GT(needed, net::Duration(200ms - 1ms));  // minimum for a second phase: 1 - max_first_share
   EXPECT_LT(needed, net::Duration(250ms));
 }
 
-// With n parts the last one counts: more parts need a higher quantile of one.
+// A phase ends with its last part, so more parts need a higher quantile.
 TEST(Budget, MorePartsNeedMoreTime) {
   Budget budget({});
   std::mt19937_64 random(3);
   std::exponential_distribution<double> draw(10);
   net::Time now{100s};
-  for (int i = 0; i < 5000; ++i) budget.learn(now, net::Duration(0.2 + draw(random)), true);
+  for (int i = 0; i < 5000; ++i) budget.record(now, net::Duration(0.2 + draw(random)), true);
   net::Duration whole = 10s;
   BudgetRules rules;
-  rules.most_first = 0.999;
+  rules.max_first_share = 0.999;
   Budget wide(rules);
-  for (int i = 0; i < 5000; ++i) wide.learn(now, net::Duration(0.2 + draw(random)), true);
+  for (int i = 0; i < 5000; ++i) wide.record(now, net::Duration(0.2 + draw(random)), true);
   net::Duration one = wide.needed(now, 1, whole), sixteen = wide.needed(now, 16, whole);
   EXPECT_GT(sixteen, one + 150ms);
-  // The share of phases of sixteen that are done in it is what was asked for.
+  // The share of phases of sixteen parts that finish in time matches `confidence`.
   int done = 0;
   for (int i = 0; i < 2000; ++i) {
     double last = 0;
     for (int part = 0; part < 16; ++part) last = std::max(last, 0.2 + draw(random));
     if (last <= (sixteen - rules.slack).count()) ++done;
   }
-  EXPECT_NEAR(done / 2000.0, rules.sure, 0.03);
+  EXPECT_NEAR(done / 2000.0, rules.confidence, 0.03);
 }
 
-TEST(Budget, WhatWasLearntLongAgoFades) {
+TEST(Budget, OldSamplesDecay) {
   Budget budget({});
   net::Time now{100s};
-  for (int i = 0; i < 200; ++i) budget.learn(now, 600ms, true);
+  for (int i = 0; i < 200; ++i) budget.record(now, 600ms, true);
   net::Duration slow = budget.needed(now, 1, 1s);
-  for (int i = 0; i < 200; ++i) budget.learn(now += 1s, 50ms, true);
+  for (int i = 0; i < 200; ++i) budget.record(now += 1s, 50ms, true);
   EXPECT_LT(budget.needed(now, 1, 1s), slow);
   EXPECT_LT(budget.samples(now + 600s), 1);
   EXPECT_EQ(budget.needed(now + 600s, 1, 1s), net::Duration(0.5));
 }
 
-TEST(Budget, AllInGoesOnAndAFloorThatIsNotInFailsAtTheCut) {
+TEST(Budget, CompletePhaseProceedsAndMissingMinimumFailsAtTheCut) {
   Budget budget({});
   net::Time start{100s};
   EXPECT_EQ(budget.advise(start, first_of(start, 4, 0, 0)).step, Step::wait);
@@ -262,8 +263,8 @@
   EXPECT_EQ(budget.advise(start + 100ms, first_of(start, 4, 4, 0.2)).step, Step::fail);
 }
 
-// A turn of the loop that comes late finds less than any second phase could use.
-TEST(Budget, TooLateForASecondPhaseIsRefusedAtOnce) {
+// A delayed event loop leaves too little time for a second phase.
+TEST(Budget, TooLittleTimeForSecondPhaseIsRefused) {
   Budget budget({});
   net::Time start{100s};
   EXPECT_EQ(budget.advise(start + 850ms, first_of(start, 4, 2, 0.9)).step, Step::refuse);
@@ -271,16 +272,16 @@
   EXPECT_EQ(budget.advise(start + 990ms, first_of(start, 4, 4, 1)).step, Step::refuse);
 }
 
-TEST(Budget, WaitingEndsWhereItNoLongerPays) {
+TEST(Budget, WaitingEndsAfterTwiceTheTypicalDuration) {
   Budget budget({});
   net::Time start{100s};
   FirstPhase first = first_of(start, 4, 3, 0.8);
-  first.typical = 60ms;
+  first.typical_part_time = 60ms;
   Advice advice = budget.advise(start + 70ms, first);
   EXPECT_EQ(advice.step, Step::wait);
   EXPECT_EQ(advice.until, start + 120ms);
   EXPECT_EQ(budget.advise(start + 120ms, first).step, Step::go_on);
-  first.weight = 0.3;  // the floor is not in
+  first.weight = 0.3;  // below the minimum weight
   EXPECT_EQ(budget.advise(start + 120ms, first).step, Step::wait);
 }
 
