--- a/src/altavia/door.cpp
+++ b/src/altavia/door.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr clients::Patience patience{3s, 10s};
+constexpr clients::RequestTimeouts patience{3s, 10s};
 // As many lines as fit: operators bound a head by its bytes.
 constexpr std::size_t lines_in(std::size_t bytes) { return bytes / 4; }
 constexpr http::MessageLimits first_limits{16 * 1024, 256 * 1024,
@@ -21,7 +21,7 @@
 
 bool one_of(std::string_view name, std::initializer_list<std::string_view> names) {
   return std::any_of(names.begin(), names.end(),
-                     [&](std::string_view each) { return http::same_word(each, name); });
+                     [&](std::string_view each) { return http::equals_ignoring_case(each, name); });
 }
 
 // What concerns one connection only, or is said anew.
@@ -34,7 +34,7 @@
 std::vector<std::string_view> of_connection(const http::Message& message) {
   std::vector<std::string_view> names;
   for (const auto& [key, list] : message.headers) {
-    if (!http::same_word(key, "Connection")) continue;
+    if (!http::equals_ignoring_case(key, "Connection")) continue;
     constexpr std::string_view between = ", \t";
     for (std::size_t at = list.find_first_not_of(between); at != list.npos;) {
       std::size_t end = std::min(list.find_first_of(between, at), list.size());
@@ -49,7 +49,7 @@
 bool goes_on(std::string_view name, const std::vector<std::string_view>& here) {
   if (one_of(name, {"Host", "Request-Id"})) return true;
   return !stays_here(name) && std::none_of(here.begin(), here.end(), [&](std::string_view each) {
-    return http::same_word(each, name);
+    return http::equals_ignoring_case(each, name);
   });
 }
 
@@ -64,7 +64,7 @@
   constexpr std::string_view scheme = "http://";
   std::string_view target = message.target;
   std::size_t slash = target.find('/', scheme.size());
-  if (http::same_word(target.substr(0, scheme.size()), scheme) && slash != target.npos)
+  if (http::equals_ignoring_case(target.substr(0, scheme.size()), scheme) && slash != target.npos)
     return {target.substr(scheme.size(), slash - scheme.size()), target.substr(slash), true};
   return {message.header("Host").value_or(std::string_view()), target};
 }
@@ -74,7 +74,7 @@
   std::string_view id;
   int lines = 0;
   for (const auto& [name, value] : message.headers)
-    if (http::same_word(name, "Request-Id")) id = value, ++lines;
+    if (http::equals_ignoring_case(name, "Request-Id")) id = value, ++lines;
   return lines == 1 ? id : std::string_view();
 }
 
@@ -90,7 +90,7 @@
       gateway_(wire, std::move(options.follower), nodes_, options.allowance) {}
 
 void Door::start(const net::Address& address) {
-  front_.leave_heads_bare();
+  front_.omit_body_for_head();
   front_.listen(address);
   gateway_.start(loop_.now());
 }
@@ -121,7 +121,7 @@
   arrival.head = fmt::format("{} {} HTTP/1.1\r\n", message.method, target.path);
   if (target.absolute) arrival.head += fmt::format("Host: {}\r\n", target.host);
   for (const auto& [name, value] : message.headers) {
-    if (!goes_on(name, here) || (target.absolute && http::same_word(name, "Host"))) continue;
+    if (!goes_on(name, here) || (target.absolute && http::equals_ignoring_case(name, "Host"))) continue;
     arrival.head.append(name).append(": ").append(value).append("\r\n");
   }
   if (message.body.empty() && (message.header("Content-Length") || message.header("Transfer-Encoding")))
@@ -159,7 +159,7 @@
   if (gateway_.routed_revision() == routed_) return false;
   routed_ = gateway_.routed_revision();
   const catalog::Limits& limits = gateway_.follower().view().configuration()->limits;
-  front_.set_bounds({dispatch::from_ms(limits.header_wait_ms), patience.answer},
+  front_.set_limits({dispatch::from_ms(limits.header_wait_ms), patience.answer},
                     {limits.header_bytes, limits.body_bytes, lines_in(limits.header_bytes)});
   return true;
 }
--- a/src/altavia/door.h
+++ b/src/altavia/door.h
@@ -5,20 +5,20 @@
 #include <cstdint>
 #include <unordered_map>
 
-#include "clients/front.h"
+#include "clients/http_server.h"
 #include "edge_gateway/edge_gateway.h"
 #include "net/loop.h"
 #include "upstream/node_links.h"
 
 namespace pearspar::altavia {
 
-class Door : private clients::FrontUser {
+class Door : private clients::RequestHandler {
  public:
   struct Options {
     subscription::FollowerOptions follower;
     dispatch::RetryBudgetRules allowance;
     std::size_t most_clients = 0;
-    clients::Front::Warn warn;
+    clients::HttpServer::Warn warn;
   };
   Door(net::Loop& loop, transport::Transport& wire, Options options);
 
@@ -39,8 +39,8 @@
     nodes_.set_memory_bound(nodes);
   }
 
-  clients::Front& front() { return front_; }
-  const clients::Front& front() const { return front_; }
+  clients::HttpServer& front() { return front_; }
+  const clients::HttpServer& front() const { return front_; }
   const upstream::NodeLinks& nodes() const { return nodes_; }
   edge_gateway::EdgeGateway& gateway() { return gateway_; }
   const edge_gateway::EdgeGateway& gateway() const { return gateway_; }
@@ -51,7 +51,7 @@
   void answer(net::SlotId connection, dispatch::ClientResponse answer);
 
   net::Loop& loop_;
-  clients::Front front_;
+  clients::HttpServer front_;
   upstream::NodeLinks nodes_;
   edge_gateway::EdgeGateway gateway_;
   catalog::Revision routed_ = 0;                                     // revision whose limits hold
--- a/src/altavia/edge.cpp
+++ b/src/altavia/edge.cpp
@@ -48,7 +48,7 @@
                           settings.memory_bytes(edge_shares.servers));
   links_.set_memory_bound(settings.memory_bytes(edge_shares.links));
   door_.start(net::Address::of(settings.front_door));
-  check_.leave_heads_bare();
+  check_.omit_body_for_head();
   if (!settings.ready_check.empty()) check_.listen(net::Address::of(settings.ready_check));
   each_second();
 }
@@ -109,7 +109,7 @@
   net::Time now = loop_.now();
   door_.after_turn();
   take_configuration();
-  if (stopping_) wind_down();
+  if (stopping_) start_draining();
   net::Time due = door_.gateway().due(now);
   if (stopping_) due = std::min(due, now + net::Duration(0.05));
   due_ = loop_.at(std::max(due, now), [] {});
@@ -126,11 +126,11 @@
   net::Duration grace(settings_.grace_s);
   stop_at_ = loop_.now() + std::min(leave_after, grace * leave_share);
   end_at_ = loop_.now() + grace - std::min(leave_before, grace * most_left_of_grace);
-  door_.front().wind_down();
+  door_.front().start_draining();
   log(Level::info, "edge_stops", {{"open", door_.gateway().dispatcher().open_requests()}});
 }
 
-void Edge::wind_down() {
+void Edge::start_draining() {
   if (loop_.now() < stop_at_) return;
   door_.front().stop_listening();
   door_.front().close_idle();
@@ -149,7 +149,7 @@
   const dispatch::DispatcherCounters& dispatcher = door_.gateway().dispatcher().counters();
   const pramperet::PurseCounters& purse = door_.gateway().purse().counters();
   const upstream::LinkCounters& links = door_.nodes().counters();
-  const clients::FrontCounters& front = door_.front().counters();
+  const clients::HttpServerCounters& front = door_.front().counters();
   auto n = [](auto value) { return static_cast<double>(value); };
   return {
       {"altavia_requests_total", "requests of clients", n(dispatcher.requests)},
--- a/src/altavia/edge.h
+++ b/src/altavia/edge.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "altavia/door.h"
-#include "clients/front.h"
+#include "clients/http_server.h"
 #include "coldai/settings.h"
 #include "metrics/metrics.h"
 #include "net/loop.h"
@@ -14,7 +14,7 @@
 
 namespace pearspar::altavia {
 
-class Edge : private transport::TransportHandler, private clients::FrontUser {
+class Edge : private transport::TransportHandler, private clients::RequestHandler {
  public:
   // Throws std::system_error where an address cannot be had.
   Edge(net::Loop& loop, const coldai::Settings& settings, std::uint64_t life);
@@ -45,12 +45,12 @@
 
   void take_configuration();
   void each_second();
-  void wind_down();
+  void start_draining();
   std::vector<metrics::Sample> samples() const;
 
   net::Loop& loop_;
   coldai::Settings settings_;
-  clients::Front check_;
+  clients::HttpServer check_;
   transport::TcpTransport links_;
   Door door_;
   net::Timer second_;
--- a/src/altavia/main.cpp
+++ b/src/altavia/main.cpp
@@ -94,7 +94,7 @@
       if (stop_ && !(edge_ || member_)) return 0;
       if (stop_ && edge_) edge_->stop();
       if (stop_ && member_) member_->stop();
-      loop.turn();
+      loop.run_once();
       if (edge_) edge_->after_turn();
       if (member_) member_->after_turn();
       restore_reserve();
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "clients/front.h"
+#include "clients/http_server.h"
 #include "coldai/settings.h"
 #include "control_plane/member.h"
 #include "metrics/metrics.h"
@@ -15,7 +15,7 @@
 
 namespace pearspar::altavia {
 
-class Member : private clients::FrontUser, private transport::TransportHandler {
+class Member : private clients::RequestHandler, private transport::TransportHandler {
  public:
   // Throws std::system_error where an address cannot be had.
   Member(net::Loop& loop, const coldai::Settings& settings, std::uint64_t seed);
@@ -49,7 +49,7 @@
 
   net::Loop& loop_;
   coldai::Settings settings_;
-  clients::Front front_;
+  clients::HttpServer front_;
   transport::TcpTransport links_;
   storage::LmdbStore store_;
   control_plane::Member member_;
--- a/src/biella/cluster_edges.cpp
+++ b/src/biella/cluster_edges.cpp
@@ -40,7 +40,7 @@
         process.life.run([] {});
       });
     };
-    net::StandIn in(process.service->host);
+    net::ScopedKernelOverride in(process.service->host);
     process.service->door->start(net::Address::of(edge.door));
     process.sweep();
   } else {
@@ -65,7 +65,7 @@
     return *alone;
   }
   service = std::make_unique<Service>(cluster.streams_);
-  net::StandIn in(service->host);
+  net::ScopedKernelOverride in(service->host);
   service->loop = std::make_unique<net::Loop>();
   service->door = std::make_unique<altavia::Door>(
       *service->loop, port, altavia::Door::Options{follower, rules, most_clients, [](std::string_view) {}});
@@ -74,7 +74,7 @@
 
 Cluster::Edge::Process::~Process() {
   if (!service) return;
-  net::StandIn in(service->host);
+  net::ScopedKernelOverride in(service->host);
   service->second.reset();
   service->door.reset();
   service->loop.reset();
@@ -90,8 +90,8 @@
 void Cluster::Edge::Process::turn() {
   Time now = cluster.world_.now();
   if (service) {
-    net::StandIn in(service->host);
-    service->loop->turn(Duration(0));
+    net::ScopedKernelOverride in(service->host);
+    service->loop->run_once(Duration(0));
     service->door->after_turn();
     service->door->take_configuration();
     return;
--- a/src/biella/streams.cpp
+++ b/src/biella/streams.cpp
@@ -248,7 +248,9 @@
 
 int Host::connect_error(int fd) { return at(fd).end->state() == End::State::up ? 0 : ECONNREFUSED; }
 
-void Host::bound_silence(int fd, int ms) { at(fd).end->bound_silence(std::chrono::milliseconds(ms)); }
+void Host::set_silence_timeout(int fd, int ms) {
+  at(fd).end->set_silence_timeout(std::chrono::milliseconds(ms));
+}
 
 net::IoResult Host::read(int fd, char* into, std::size_t most, std::size_t& got) {
   End& end = *at(fd).end;
--- a/src/biella/streams.h
+++ b/src/biella/streams.h
@@ -41,7 +41,7 @@
   void close();
   // From now on nothing gets through in either direction, and nobody is told.
   void hush();
-  void bound_silence(Duration most) { silence_ = most; }
+  void set_silence_timeout(Duration most) { silence_ = most; }
 
   // Something has come, there is room again, or the state has changed.
   std::function<void()> on_change = [] {};
@@ -127,7 +127,7 @@
   net::AcceptResult accept(int listener, int& accepted) override;
   int connect(const net::Address& address, int& error) override;
   int connect_error(int fd) override;
-  void bound_silence(int fd, int ms) override;
+  void set_silence_timeout(int fd, int ms) override;
   net::IoResult read(int fd, char* into, std::size_t most, std::size_t& got) override;
   net::IoResult write(int fd, std::string_view bytes, std::size_t& written) override;
   void end_sending(int fd) override;
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -144,11 +144,11 @@
   log_.info("reload: the list of nodes comes from {}", members_.where());
 }
 
-void Broker::wind_down() {
+void Broker::start_draining() {
   if (winding_down_) return;
   winding_down_ = true;
   log_.info("ending: {} queries open", engine_.open());
-  front_.wind_down();
+  front_.start_draining();
   if (registration_) registration_->withdraw();
   if (seeds_) seeds_->withdraw();
   if (fleet_) {
@@ -238,7 +238,7 @@
   } else {
     log_.info("fleet: told to leave by request");
     front_.answer(connection, {200, "{\"leaving\":true}", "application/json", {}, 0});
-    wind_down();
+    start_draining();
   }
   return true;
 }
@@ -313,7 +313,7 @@
       counters.clients_left, counters.out_of_time, counters.turned_away, bad_queries_, counters.sends);
   for (std::size_t i = 0; i < std::size(outcome_names); ++i)
     out += fmt::format("{}\"{}\":{}", i == 0 ? "" : ",", outcome_names[i], counters.attempts[i]);
-  const clients::FrontCounters& front = front_.counters();
+  const clients::HttpServerCounters& front = front_.counters();
   const nodelink::LinkCounters& links = links_.counters();
   const membership::SourceCounters lists = members_.counters();
   out += fmt::format(
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "clients/front.h"
+#include "clients/http_server.h"
 #include "clients/query.h"
 #include "config/config.h"
 #include "engine/engine.h"
@@ -26,7 +26,7 @@
 
 namespace pearspar::broker {
 
-class Broker : clients::FrontUser,
+class Broker : clients::RequestHandler,
                nodelink::LinkUser,
                membership::MembersUser,
                engine::Clients,
@@ -49,7 +49,7 @@
   bool shed() { return front_.shed(); }
 
   // A planned end: queries are taken for a while yet, and what was taken is answered.
-  void wind_down();
+  void start_draining();
   bool done() const { return done_; }
 
   net::Address address() const { return front_.address(); }
@@ -92,7 +92,7 @@
   log::Logger& log_;
   config::Config config_;
   options::Options options_;  // of the start
-  clients::Front front_;
+  clients::HttpServer front_;
   nodelink::Links links_;
   membership::Switch members_;
   engine::Engine engine_;
--- a/src/carestiato/call.cpp
+++ b/src/carestiato/call.cpp
@@ -43,7 +43,7 @@
   bool up = false, done = false;
   net::Time end = loop_.read_clock() + within;
   auto progress = [&](http::Progress now) {
-    if (now == http::Progress::failed) why = stream.failed_why();
+    if (now == http::Progress::failed) why = stream.failure_reason();
     done = done || now != http::Progress::more;
   };
   net::Watch watch;
@@ -60,7 +60,7 @@
       std::size_t now = 0;
       net::write_from(fd, std::string_view(out).substr(written), now);
       written += now;
-      if (written == out.size()) watch.want(POLLIN);
+      if (written == out.size()) watch.set_events(POLLIN);
     }
     auto got = net::read_into(fd, in, 65536);
     if (got == net::IoResult::some) {
@@ -72,7 +72,7 @@
       progress(stream.ended());
     }
   });
-  while (!done && loop_.read_clock() < end) loop_.turn(end - loop_.read_clock());
+  while (!done && loop_.read_clock() < end) loop_.run_once(end - loop_.read_clock());
   if (!done) return fail("no answer in time");
   if (!why.empty()) return fail(why);
   reply.status = stream.status();
@@ -104,7 +104,7 @@
     next_ = (next_ + 1) % members_.size();
     if ((tries + 1) % members_.size() != 0) continue;
     net::Time go_on = loop_.read_clock() + std::min(pause, end - loop_.read_clock());
-    while (loop_.read_clock() < go_on) loop_.turn(go_on - loop_.read_clock());
+    while (loop_.read_clock() < go_on) loop_.run_once(go_on - loop_.read_clock());
     pause = std::min(pause * 2, net::Duration(1s));
   }
   return last.status == 0 && said.status != 0 ? said : last;
--- a/src/carestiato/commands.cpp
+++ b/src/carestiato/commands.cpp
@@ -345,7 +345,7 @@
       complain(reply);
     }
     net::Time go_on = loop_.read_clock() + net::Duration(options_.every_s);
-    while (loop_.read_clock() < go_on) loop_.turn(go_on - loop_.read_clock());
+    while (loop_.read_clock() < go_on) loop_.run_once(go_on - loop_.read_clock());
   }
   return good;
 }
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -112,7 +112,7 @@
                  else
                    fault = why;
                });
-    while (!ended) loop_.turn();
+    while (!ended) loop_.run_once();
     if (!got) throw Unreached(broker + ": " + fault);
     if (got->status == 404) throw Unreached(broker + ": takes part in no fleet");
     if (got->status != 200) throw Unreached(fmt::format("{}: status {}: {}", broker, got->status, got->body));
@@ -208,7 +208,7 @@
     bool due = false;
     net::Timer pause =
         asker.loop().at(asker.loop().now() + net::Duration(arguments.every_s), [&] { due = true; });
-    while (!due && !ended) asker.loop().turn();
+    while (!due && !ended) asker.loop().run_once();
   }
   return lost ? status_unreached : 0;
 }
@@ -275,7 +275,7 @@
     }
     bool due = false;
     net::Timer pause = asker.loop().at(asker.loop().now() + net::Duration(0.1), [&] { due = true; });
-    while (!due) asker.loop().turn();
+    while (!due) asker.loop().run_once();
   }
 }
 
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -95,7 +95,7 @@
                    else
                      faults += (faults.empty() ? "" : "; ") + address.text() + ": " + why;
                  });
-      while (!ended) loop_.turn();
+      while (!ended) loop_.run_once();
       if (!got) continue;
       if (got->status < 500) return *got;
       faults += (faults.empty() ? "" : "; ") + address.text() + ": status " + std::to_string(got->status);
@@ -264,7 +264,7 @@
   double limit = once ? arguments.timeout_s : arguments.for_s;
   net::Timer over;
   if (limit > 0) over = loop.at(start + net::Duration(limit), [&] { ended = true; });
-  while (!ended && !(once && printer.told)) loop.turn();
+  while (!ended && !(once && printer.told)) loop.run_once();
   for (const auto& [key, why] : source.roster().bad())
     std::fprintf(stderr, "pearspar: the record under %s cannot be read: %s\n", key.c_str(), why.c_str());
   if (!printer.told) throw Unreached("the registry did not answer in time");
--- a/src/clients/front.cpp
+++ b/src/clients/http_server.cpp
@@ -1,4 +1,4 @@
-#include "clients/front.h"
+#include "clients/http_server.h"
 
 #include <fmt/format.h>
 
@@ -28,14 +28,14 @@
 
 }  // namespace
 
-void Front::listen(const net::Address& address) {
+void HttpServer::listen(const net::Address& address) {
   listener_ = net::listen_on(address);
   listener_watch_ = loop_.watch(listener_.get(), POLLIN, [this](short) { accept_waiting(accepts_at_once); });
 }
 
 // What the kernel has accepted counts as taken, so nothing is left waiting there for long: room is made for
 // it.
-void Front::accept_waiting(int most) {
+void HttpServer::accept_waiting(int most) {
   for (int i = 0; listener_ && i < most; ++i) {
     net::Fd fd;
     // Nobody makes way before somebody is there to take the place.
@@ -52,9 +52,9 @@
         if (close_one_idle()) continue;
         // Its readiness would spin the loop while nothing can be done about it.
         warn_("no descriptor for a client");
-        listener_watch_.want(0);
+        listener_watch_.set_events(0);
         accept_again_ = loop_.at(loop_.now() + accept_pause, [this] {
-          listener_watch_.want(POLLIN);
+          listener_watch_.set_events(POLLIN);
           accept_waiting(accepts_at_once);
         });
         return;
@@ -68,37 +68,37 @@
     connection.last_used = loop_.now();
     connection.watch =
         loop_.watch(connection.fd.get(), POLLIN, [this, id](short events) { on_ready(id, events); });
-    guard(id, patience_.request);
+    guard(id, timeouts_.request);
     // Its first request is often there already.
     if (read(id) && connections_.find(id)->state == State::reading) advance(id);
   }
 }
 
-void Front::stop_listening() {
+void HttpServer::stop_listening() {
   accept_waiting(std::numeric_limits<int>::max());
   listener_watch_.reset();
   accept_again_.reset();
   listener_.reset();
 }
 
-bool Front::idle(const Connection& connection) const {
+bool HttpServer::idle(const Connection& connection) const {
   return connection.state == State::reading && !connection.half_closed &&
          !connection.reader.begun(connection.in);
 }
 
-void Front::close_idle() {
+void HttpServer::close_idle() {
   connections_.each([&](net::SlotId id, Connection& connection) {
     if (idle(connection)) close(id);
   });
 }
 
-void Front::close_idle_since(net::Time before) {
+void HttpServer::close_idle_since(net::Time before) {
   connections_.each([&](net::SlotId id, Connection& connection) {
     if (connection.last_used < before && idle(connection)) close(id);
   });
 }
 
-std::size_t Front::busy() {
+std::size_t HttpServer::busy() {
   std::size_t count = 0;
   connections_.each([&](net::SlotId, Connection& connection) {
     if (connection.state != State::reading || connection.half_closed) ++count;
@@ -106,11 +106,11 @@
   return count;
 }
 
-bool Front::close_one_idle() {
+bool HttpServer::close_one_idle() {
   net::SlotId oldest;
   // One that has just connected is about to ask: closing it would fail its first request, which the client
   // does not send again. Found on a day on which others that keep their connection for good filled the table.
-  net::Time fresh = loop_.now() - patience_.request / 4;
+  net::Time fresh = loop_.now() - timeouts_.request / 4;
   std::pair<int, net::Time> least{3, net::Time::max()};
   connections_.each([&](net::SlotId id, Connection& connection) {
     int group = connection.asked ? 1 : connection.last_used < fresh ? 0 : 2;
@@ -123,7 +123,7 @@
   return true;
 }
 
-void Front::on_ready(net::SlotId id, short events) {
+void HttpServer::on_ready(net::SlotId id, short events) {
   const allocation::Activity activity("a client's connection");
   Connection* connection = connections_.find(id);
   if (!connection) return;
@@ -142,7 +142,7 @@
 }
 
 // False where the connection is gone afterwards.
-bool Front::read(net::SlotId id) {
+bool HttpServer::read(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   for (int i = 0; i < reads_at_once; ++i) {
     if (connection.in.size() >= most_ahead && connection.state != State::reading) break;
@@ -177,11 +177,11 @@
 }
 
 // Hands on the request at the front of the buffer, if it is whole.
-void Front::advance(net::SlotId id) {
+void HttpServer::advance(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   switch (connection.reader.advance(connection.in)) {
     case http::Progress::more:
-      if (connection.reader.owes_continue()) {
+      if (connection.reader.take_continue_request()) {
         constexpr std::string_view word = "HTTP/1.1 100 Continue\r\n\r\n";
         std::size_t written = 0;
         net::write_from(connection.fd, word, written);
@@ -190,15 +190,15 @@
       }
       if (connection.reader.begun(connection.in)) {
         connection.asked = true;
-        if (!connection.timer.pending()) guard(id, patience_.request);
+        if (!connection.timer.pending()) guard(id, timeouts_.request);
       }
       return want(connection);
     case http::Progress::failed: {
       ++counters_.bad_requests;
-      std::string body = error_body(connection.reader.failed_why());
+      std::string body = error_body(connection.reader.failure_reason());
       connection.timer.reset();
       // Where the next request begins is not known any more.
-      queue(connection, {connection.reader.failed_status(), std::move(body), "application/json", {}, 0},
+      queue(connection, {connection.reader.failure_status(), std::move(body), "application/json", {}, 0},
             true);
       return write(id);
     }
@@ -214,7 +214,7 @@
   connection.request_bytes = connection.in.size();
   account(connection);
   if (!make_room()) return refuse_for_memory(id);
-  user_.request_arrived(id, connection.reader.message());
+  handler_.request_arrived(id, connection.reader.message());
   // Its user has taken what it needs: a long body is not held twice until the answer is here.
   Connection* waits = connections_.find(id);
   if (!waits || waits->state != State::waiting) return;
@@ -226,16 +226,16 @@
 }
 
 // Takes the request out of the buffer.
-void Front::consume(Connection& connection) {
+void HttpServer::consume(Connection& connection) {
   if (std::exchange(connection.consumed, true)) return;
   connection.keep_alive = connection.reader.message().keep_alive;
-  connection.asks_head = connection.reader.asks_head();
+  connection.is_head_request = connection.reader.is_head_request();
   connection.reader.next(connection.in);
   const std::uint64_t used = connection.received - connection.in.size();
   std::erase_if(connection.marks, [&](const auto& mark) { return mark.until <= used; });
 }
 
-void Front::mark(Connection& connection, std::size_t bytes) {
+void HttpServer::mark(Connection& connection, std::size_t bytes) {
   connection.received += bytes;
   if (connection.marks.size() < most_marks)
     connection.marks.push_back({connection.received, connection.unread_since.value_or(loop_.now())});
@@ -243,18 +243,19 @@
     connection.marks.back().until = connection.received;
 }
 
-net::Time Front::request_began(net::SlotId id) {
+net::Time HttpServer::request_began(net::SlotId id) {
   const Connection* connection = connections_.find(id);
   return connection && !connection->marks.empty() ? connection->marks.front().at : loop_.now();
 }
 
-void Front::queue(Connection& connection, const Answer& answer, bool close_after) {
+void HttpServer::queue(Connection& connection, const Answer& answer, bool close_after) {
   connection.state = State::writing;
   connection.close_after = close_after;
   connection.written = 0;
   connection.last_used = loop_.now();
-  const bool asks_head = connection.consumed ? connection.asks_head : connection.reader.asks_head();
-  bool bare = answer.bare || (bare_heads_ && asks_head);
+  const bool is_head_request =
+      connection.consumed ? connection.is_head_request : connection.reader.is_head_request();
+  bool bare = answer.bare || (omit_body_for_head_ && is_head_request);
   std::string& out = connection.out;
   out = fmt::format("HTTP/1.1 {} {}\r\n", answer.status, http::reason(answer.status));
   if (!answer.type.empty()) out += fmt::format("Content-Type: {}\r\n", answer.type);
@@ -269,16 +270,16 @@
   account(connection);
 }
 
-void Front::answer(net::SlotId id, const Answer& answer) {
+void HttpServer::answer(net::SlotId id, const Answer& answer) {
   Connection* connection = connections_.find(id);
   if (!connection || connection->state != State::waiting) return;
   ++counters_.answers;
   consume(*connection);
-  queue(*connection, answer, winding_down_ || !connection->keep_alive);
+  queue(*connection, answer, draining_ || !connection->keep_alive);
   write(id);
 }
 
-void Front::write(net::SlotId id) {
+void HttpServer::write(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   while (connection.written < connection.out.size()) {
     std::size_t written = 0;
@@ -290,11 +291,11 @@
     connection.last_used = loop_.now();
   }
   if (connection.written == connection.out.size()) return sent(id);
-  if (!connection.timer.pending()) guard(id, patience_.answer);
+  if (!connection.timer.pending()) guard(id, timeouts_.answer);
   want(connection);
 }
 
-void Front::sent(net::SlotId id) {
+void HttpServer::sent(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   connection.last_used = loop_.now();
   std::string().swap(connection.out);
@@ -311,7 +312,7 @@
     connection.in.release();
     account(connection);
     guard(id, linger_time);
-    connection.watch.want(POLLIN);
+    connection.watch.set_events(POLLIN);
     return;
   }
   // Bytes that came ahead of their turn are read in the next turn, so that one client cannot hold the loop.
@@ -325,20 +326,20 @@
   want(connection);
 }
 
-void Front::want(Connection& connection) {
+void HttpServer::want(Connection& connection) {
   const bool reads = connection.in.size() < most_ahead || connection.state == State::reading;
   if (!reads && !connection.unread_since) connection.unread_since = loop_.now();
   short events = static_cast<short>(reads ? POLLIN : POLLRDHUP);
   if (connection.state == State::writing) events = static_cast<short>(events | POLLOUT);
-  connection.watch.want(events);
+  connection.watch.set_events(events);
 }
 
-void Front::guard(net::SlotId id, net::Duration span) {
+void HttpServer::guard(net::SlotId id, net::Duration span) {
   Connection& connection = *connections_.find(id);
   connection.timer = loop_.at(loop_.now() + span, [this, id] { give_up_waiting(id); });
 }
 
-void Front::give_up_waiting(net::SlotId id) {
+void HttpServer::give_up_waiting(net::SlotId id) {
   Connection* slow = connections_.find(id);
   if (!slow) return;
   slow->timer.reset();
@@ -353,7 +354,7 @@
   write(id);
 }
 
-void Front::close(net::SlotId id) {
+void HttpServer::close(net::SlotId id) {
   Connection* connection = connections_.find(id);
   if (!connection) return;
   bool waiting = connection->state == State::waiting;
@@ -361,7 +362,7 @@
   connections_.release(id);
   invariants::check(invariants::Promise::bytes_are_accounted, connections_.size() > 0 || held_bytes_ == 0,
                     "front");
-  if (waiting) user_.client_left(id);
+  if (waiting) handler_.client_left(id);
 }
 
 }  // namespace pearspar::clients
--- a/src/clients/front.h
+++ b/src/clients/http_server.h
@@ -18,7 +18,7 @@
 
 namespace pearspar::clients {
 
-struct FrontCounters {
+struct HttpServerCounters {
   std::uint64_t accepted = 0;
   std::uint64_t requests = 0;
   std::uint64_t bad_requests = 0;
@@ -41,32 +41,32 @@
   bool bare = false;                           // no body, and no length but what `headers` names
 };
 
-class FrontUser {
+class RequestHandler {
  public:
-  virtual ~FrontUser() = default;
-  // A whole request; its slices hold during the call. It is answered by Front::answer(), now or later.
+  virtual ~RequestHandler() = default;
+  // A whole request; its slices hold during the call. It is answered by HttpServer::answer(), now or later.
   virtual void request_arrived(net::SlotId connection, const http::Message& message) = 0;
   // The client of a request that is not answered yet has gone.
   virtual void client_left(net::SlotId connection) = 0;
 };
 
-struct Patience {
+struct RequestTimeouts {
   // For a first request from connecting, for the rest of a later one once it has begun. Whoever sends without
   // end or says nothing is to learn in a few seconds that this leads nowhere.
   net::Duration request = std::chrono::seconds(2);
   net::Duration answer = std::chrono::seconds(10);  // to be taken by its client
 };
 
-class Front {
+class HttpServer {
  public:
   using Warn = std::function<void(std::string_view what)>;
-  Front(net::Loop& loop, Warn warn, std::size_t most_connections, FrontUser& user, Patience patience = {},
-        http::MessageLimits limits = {})
+  HttpServer(net::Loop& loop, Warn warn, std::size_t most_connections, RequestHandler& user,
+             RequestTimeouts timeouts = {}, http::MessageLimits limits = {})
       : loop_(loop),
         warn_(std::move(warn)),
         most_(most_connections),
-        user_(user),
-        patience_(patience),
+        handler_(user),
+        timeouts_(timeouts),
         limits_(limits) {}
 
   // Bytes held for all connections together, at the most. Beyond them room is made: first by refusing the
@@ -84,12 +84,12 @@
   net::Time request_began(net::SlotId connection);
 
   // Answers to HEAD name their body's length and leave it out.
-  void leave_heads_bare() { bare_heads_ = true; }
+  void omit_body_for_head() { omit_body_for_head_ = true; }
   // From here on each answer ends its connection.
-  void wind_down() { winding_down_ = true; }
+  void start_draining() { draining_ = true; }
   // For connections that come from here on, and for requests that begin from here on.
-  void set_bounds(Patience patience, http::MessageLimits limits) {
-    patience_ = patience;
+  void set_limits(RequestTimeouts timeouts, http::MessageLimits limits) {
+    timeouts_ = timeouts;
     limits_ = limits;
   }
   // Closes connections that have carried nothing for so long.
@@ -104,7 +104,7 @@
   // Those that wait for an answer or have not taken all of theirs.
   std::size_t busy();
   std::size_t connections() const { return connections_.size(); }
-  const FrontCounters& counters() const { return counters_; }
+  const HttpServerCounters& counters() const { return counters_; }
 
  private:
   enum class State { reading, waiting, writing };
@@ -123,7 +123,7 @@
     bool half_closed = false;  // we have ended our side and drain theirs
     bool consumed = false;     // the request that waits has left the buffer; what its answer needs is below
     bool keep_alive = true;
-    bool asks_head = false;
+    bool is_head_request = false;
     std::size_t request_bytes = 0;  // of the request that waits
     // Which bytes came when, for those that are not used up: up to `until` of all, at `at`.
     struct Mark {
@@ -163,18 +163,18 @@
   net::Loop& loop_;
   Warn warn_;
   std::size_t most_;
-  FrontUser& user_;
-  Patience patience_;
+  RequestHandler& handler_;
+  RequestTimeouts timeouts_;
   http::MessageLimits limits_;
   net::Fd listener_;
   net::Watch listener_watch_;
   net::Timer accept_again_;
-  bool winding_down_ = false;
-  bool bare_heads_ = false;
+  bool draining_ = false;
+  bool omit_body_for_head_ = false;
   net::SlotTable<Connection> connections_;
   std::size_t memory_bound_ = std::numeric_limits<std::size_t>::max();
   std::size_t held_bytes_ = 0;
-  FrontCounters counters_;
+  HttpServerCounters counters_;
 };
 
 }  // namespace pearspar::clients
--- a/src/clients/front_memory.cpp
+++ b/src/clients/http_server_memory.cpp
@@ -2,7 +2,7 @@
 // has bounds of its own; that they hold for many at once is looked after here.
 #include <utility>
 
-#include "clients/front.h"
+#include "clients/http_server.h"
 #include "clients/query.h"
 
 namespace pearspar::clients {
@@ -18,19 +18,19 @@
 
 }  // namespace
 
-std::size_t Front::bytes_of(const Connection& connection) const {
+std::size_t HttpServer::bytes_of(const Connection& connection) const {
   std::size_t bytes = connection.in.capacity() + connection.out.capacity();
   if (connection.state == State::waiting) bytes += copies_of_waiting * connection.request_bytes;
   return bytes;
 }
 
-void Front::account(Connection& connection) {
+void HttpServer::account(Connection& connection) {
   const std::size_t before = std::exchange(connection.held, bytes_of(connection));
   held_bytes_ += connection.held - before;
 }
 
 // The connection that holds the most of those that count.
-net::SlotId Front::largest(const std::function<bool(const Connection&)>& counts) {
+net::SlotId HttpServer::largest(const std::function<bool(const Connection&)>& counts) {
   net::SlotId found;
   std::size_t most = 0;
   connections_.each([&](net::SlotId id, Connection& connection) {
@@ -42,13 +42,13 @@
 }
 
 // False where the bound is passed and nothing can be given up for it.
-bool Front::make_room() {
+bool HttpServer::make_room() {
   while (held_bytes_ > memory_bound_)
     if (!shed()) return false;
   return true;
 }
 
-bool Front::shed() {
+bool HttpServer::shed() {
   const net::SlotId coming = largest([](const Connection& connection) {
     return connection.state == State::reading && !connection.half_closed &&
            connection.reader.begun(connection.in);
@@ -67,7 +67,7 @@
 }
 
 // What has come of it is given back at once; the client is told when to come again.
-void Front::refuse_for_memory(net::SlotId id) {
+void HttpServer::refuse_for_memory(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   ++counters_.refused_for_memory;
   connection.timer.reset();
--- a/src/clients/query.h
+++ b/src/clients/query.h
@@ -32,7 +32,7 @@
 };
 
 // What a client is to be told of a request that is no query; `field` and `why` in one line.
-struct Fault {
+struct RequestError {
   int status = 400;
   std::string why;
 };
@@ -45,7 +45,7 @@
 };
 
 // Fills `query`, whose views are slices of the message; a fault where the request is none.
-std::optional<Fault> read_query(const http::Message& message, const QueryLimits& limits, Query& query);
+std::optional<RequestError> read_query(const http::Message& message, const QueryLimits& limits, Query& query);
 
 using engine::PartValue;
 std::string error_body(std::string_view why);
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -80,7 +80,7 @@
     if (result == net::IoResult::none) break;
     out_.erase(0, written);
   }
-  watch_.want(static_cast<short>(POLLIN | (out_.empty() ? 0 : POLLOUT)));
+  watch_.set_events(static_cast<short>(POLLIN | (out_.empty() ? 0 : POLLOUT)));
 }
 
 void Client::read() {
@@ -93,7 +93,7 @@
     case http::Progress::more:
       return;
     case http::Progress::failed:
-      return fail(reader_.failed_why());
+      return fail(reader_.failure_reason());
     case http::Progress::done:
       return take_reply();
   }
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -33,7 +33,7 @@
 // One item of a comma-separated list, without regard to case.
 bool lists(std::string_view list, std::string_view word) {
   while (!list.empty())
-    if (same_word(trimmed(take_until(list, ',')), word)) return true;
+    if (equals_ignoring_case(trimmed(take_until(list, ',')), word)) return true;
   return false;
 }
 
@@ -45,21 +45,21 @@
 
 }  // namespace
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
 std::optional<std::string_view> Message::header(std::string_view name) const {
   for (const auto& [key, value] : headers)
-    if (same_word(key, name)) return value;
+    if (equals_ignoring_case(key, name)) return value;
   return std::nullopt;
 }
 
 Progress MessageReader::fail(int status, std::string why) {
   stage_ = Stage::failed;
-  failed_status_ = status;
-  failed_why_ = std::move(why);
+  failure_status_ = status;
+  failure_reason_ = std::move(why);
   return Progress::failed;
 }
 
@@ -68,7 +68,7 @@
   return false;
 }
 
-bool MessageReader::owes_continue() { return std::exchange(continue_owed_, false); }
+bool MessageReader::take_continue_request() { return std::exchange(continue_owed_, false); }
 
 Progress MessageReader::advance(net::Buffer& buffer) {
   switch (stage_) {
@@ -97,10 +97,10 @@
 
 void MessageReader::next(net::Buffer& buffer) {
   buffer.consume(chunked_ ? at_ : head_size_ + body_size_);
-  const bool no_body = no_body_, takes_unframed = takes_unframed_;
+  const bool no_body = no_body_, takes_unframed = unframed_allowed_;
   *this = MessageReader(kind_, limits_);
   no_body_ = no_body;
-  takes_unframed_ = takes_unframed;
+  unframed_allowed_ = takes_unframed;
 }
 
 Progress MessageReader::read_head(net::Buffer& buffer) {
@@ -144,7 +144,7 @@
     message_.method = take_until(line, ' ');
     message_.target = take_until(line, ' ');
     version = line;
-    asks_head_ = message_.method == "HEAD";
+    is_head_request_ = message_.method == "HEAD";
     if (!is_token(message_.method) || message_.target.empty() || !clean_value(message_.target) ||
         message_.target.find('\t') != message_.target.npos)
       return refuse(400, "the request line cannot be read");
@@ -179,7 +179,7 @@
   chunked_ = false;
   body_size_ = 0;
   for (const auto& [name, value] : message_.headers) {
-    if (same_word(name, "Content-Length")) {
+    if (equals_ignoring_case(name, "Content-Length")) {
       std::size_t size = 0;
       auto [stop, error] = std::from_chars(value.data(), value.data() + value.size(), size);
       if (value.empty() || error != std::errc() || stop != value.data() + value.size())
@@ -187,16 +187,17 @@
       if (has_length && size != body_size_) return refuse(400, "Content-Length stands twice");
       has_length = true;
       body_size_ = size;
-    } else if (same_word(name, "Transfer-Encoding")) {
-      if (chunked_ || !same_word(value, "chunked")) return refuse(501, "Transfer-Encoding is not chunked");
+    } else if (equals_ignoring_case(name, "Transfer-Encoding")) {
+      if (chunked_ || !equals_ignoring_case(value, "chunked"))
+        return refuse(501, "Transfer-Encoding is not chunked");
       chunked_ = true;
-    } else if (same_word(name, "Host") && kind_ == MessageKind::request) {
+    } else if (equals_ignoring_case(name, "Host") && kind_ == MessageKind::request) {
       if (std::exchange(has_host, true)) return refuse(400, "Host stands twice");
-    } else if (same_word(name, "Connection")) {
+    } else if (equals_ignoring_case(name, "Connection")) {
       closes = closes || lists(value, "close");
       keeps = keeps || lists(value, "keep-alive");
-    } else if (same_word(name, "Expect")) {
-      if (!same_word(value, "100-continue")) return refuse(417, "Expect is not 100-continue");
+    } else if (equals_ignoring_case(name, "Expect")) {
+      if (!equals_ignoring_case(value, "100-continue")) return refuse(417, "Expect is not 100-continue");
       message_.wants_continue = true;
     }
   }
@@ -218,7 +219,7 @@
   if (kind_ == MessageKind::reply && bodiless && (chunked_ || body_size_ > 0))
     return refuse(400, "a reply that has no body names a length");
   unframed_ = kind_ == MessageKind::reply && !chunked_ && !has_length && !bodiless && !to_head;
-  if (unframed_ && !takes_unframed_) return refuse(400, "a reply without a length");
+  if (unframed_ && !unframed_allowed_) return refuse(400, "a reply without a length");
   if (unframed_) message_.keep_alive = false;
   return true;
 }
@@ -230,7 +231,7 @@
   std::size_t end = head_size_ + body_size_;
   if (progress == Progress::failed || at_ == end) return progress;
   framing_ += at_ - end;
-  buffer.cut(end, at_ - end);
+  buffer.erase(end, at_ - end);
   at_ = end;
   if (framing_ > std::max(max_framing, 8 * limits_.body)) return fail(413, "too much framing");
   return progress == Progress::done ? finish(buffer) : progress;
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -30,7 +30,7 @@
 enum class MessageKind { request, reply };
 enum class Progress { more, done, failed };
 
-bool same_word(std::string_view a, std::string_view b);  // without regard to case
+bool equals_ignoring_case(std::string_view a, std::string_view b);  // without regard to case
 
 struct Message {
   std::string_view method;  // of a request
@@ -59,21 +59,21 @@
   void expect_no_body(bool yes) { no_body_ = yes; }
 
   // A reply may have no length and end with its connection; else such a one is refused.
-  void take_unframed() { takes_unframed_ = true; }
+  void allow_unframed_body() { unframed_allowed_ = true; }
   // Its connection has ended in good order: `done` where that is the message's end.
   Progress ended(net::Buffer& buffer);
 
   const Message& message() const { return message_; }
   bool begun(const net::Buffer& buffer) const { return stage_ != Stage::head || buffer.size() > 0; }
   // The head is in, the body is not, and the client waits for a word before it sends it.
-  bool owes_continue();
+  bool take_continue_request();
 
   // Of a request whose first line is in, also after `failed`.
-  bool asks_head() const { return asks_head_; }
+  bool is_head_request() const { return is_head_request_; }
 
   // After `failed`: what a client is to be told.
-  int failed_status() const { return failed_status_; }
-  const std::string& failed_why() const { return failed_why_; }
+  int failure_status() const { return failure_status_; }
+  const std::string& failure_reason() const { return failure_reason_; }
 
  private:
   enum class Stage { head, body, unframed, chunk_size, chunk, chunk_end, trailer, done, failed };
@@ -101,13 +101,13 @@
   bool chunked_ = false;
   bool continue_owed_ = false;
   bool no_body_ = false;
-  bool takes_unframed_ = false;
+  bool unframed_allowed_ = false;
   bool unframed_ = false;
-  bool asks_head_ = false;
+  bool is_head_request_ = false;
   int minor_version_ = 1;
   Message message_;
-  int failed_status_ = 0;
-  std::string failed_why_;
+  int failure_status_ = 0;
+  std::string failure_reason_;
 };
 
 std::string_view reason(int status);
--- a/src/http/stream.cpp
+++ b/src/http/stream.cpp
@@ -23,13 +23,13 @@
 
 std::string_view ReplyStream::header(std::string_view name) const {
   for (const auto& [key, value] : headers_)
-    if (same_word(key, name)) return value;
+    if (equals_ignoring_case(key, name)) return value;
   return {};
 }
 
 Progress ReplyStream::fail(std::string why) {
   stage_ = Stage::failed;
-  failed_why_ = std::move(why);
+  failure_reason_ = std::move(why);
   return Progress::failed;
 }
 
@@ -55,11 +55,12 @@
   if (status < 200) return Progress::more;  // an interim reply: the real one follows
   status_ = static_cast<int>(status);
   if (std::string_view connection = header("Connection"); !connection.empty())
-    keep_alive_ = same_word(connection, "keep-alive") || (keep_alive_ && !same_word(connection, "close"));
+    keep_alive_ = equals_ignoring_case(connection, "keep-alive") ||
+                  (keep_alive_ && !equals_ignoring_case(connection, "close"));
   std::string_view coding = header("Transfer-Encoding");
   std::string_view length = header("Content-Length");
   if (!coding.empty()) {
-    if (!same_word(coding, "chunked") || !length.empty()) return fail("a framing we do not read");
+    if (!equals_ignoring_case(coding, "chunked") || !length.empty()) return fail("a framing we do not read");
     stage_ = Stage::chunk_size;
   } else if (!length.empty()) {
     if (!read_number(length, left_, 10)) return fail("a length that is none");
@@ -67,7 +68,7 @@
   } else if (status == 204 || status == 304) {
     stage_ = Stage::done;
   } else {
-    stage_ = Stage::until_end;
+    stage_ = Stage::until_close;
     keep_alive_ = false;
   }
   return Progress::more;
@@ -92,7 +93,7 @@
   return Progress::more;
 }
 
-Progress ReplyStream::advance(net::Buffer& buffer, const Take& take) {
+Progress ReplyStream::advance(net::Buffer& buffer, const BodySink& take) {
   while (stage_ != Stage::done && stage_ != Stage::failed) {
     std::string_view have = buffer.view();
     if (have.empty()) return Progress::more;
@@ -102,11 +103,11 @@
       if (end > max_head) return fail("a head that is too large");
       if (read_head(have.substr(0, end + 2)) == Progress::failed) return Progress::failed;
       buffer.consume(end + 4);
-    } else if (stage_ == Stage::counted || stage_ == Stage::chunk || stage_ == Stage::until_end) {
-      std::size_t size = stage_ == Stage::until_end ? have.size() : std::min(left_, have.size());
+    } else if (stage_ == Stage::counted || stage_ == Stage::chunk || stage_ == Stage::until_close) {
+      std::size_t size = stage_ == Stage::until_close ? have.size() : std::min(left_, have.size());
       if (!take(have.substr(0, size))) return fail("the body cannot be used");
       buffer.consume(size);
-      if (stage_ == Stage::until_end) continue;
+      if (stage_ == Stage::until_close) continue;
       left_ -= size;
       if (left_ == 0) stage_ = stage_ == Stage::counted ? Stage::done : Stage::chunk_end;
     } else {
@@ -120,7 +121,7 @@
 }
 
 Progress ReplyStream::ended() {
-  if (stage_ == Stage::done || stage_ == Stage::until_end) {
+  if (stage_ == Stage::done || stage_ == Stage::until_close) {
     stage_ = Stage::done;
     return Progress::done;
   }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -77,13 +77,13 @@
     else if (signal == SIGHUP)
       reload(broker, log, config_path, options_path);
     else
-      broker.wind_down();
+      broker.start_draining();
   });
   pearspar::allocation::set_report(STDERR_FILENO, config.name.c_str(), nullptr);
   pearspar::allocation::fill_reserve();
   broker.start();
   while (!broker.done()) {
-    loop.turn();
+    loop.run_once();
     broker.end_turn();
     if (!pearspar::allocation::reserve_is_whole()) restore_reserve(broker, log);
   }
--- a/src/measure/capacity_edges.cpp
+++ b/src/measure/capacity_edges.cpp
@@ -196,7 +196,7 @@
   std::vector<std::unique_ptr<HollowEdge>> edges;
   for (int i = part.first; i < part.first + part.count; ++i)
     edges.push_back(std::make_unique<HollowEdge>(loop, part.boards[i], i, part.full, seeds));
-  while (true) loop.turn();
+  while (true) loop.run_once();
 }
 
 }  // namespace pearspar::measure
--- a/src/measure/capacity_servers.cpp
+++ b/src/measure/capacity_servers.cpp
@@ -50,7 +50,7 @@
         "{}\r\n\r\n{}",
         server_id(number_), target_, body.size(), body);
     written_ = 0;
-    if (fd_) return watch_.want(POLLIN | POLLOUT);
+    if (fd_) return watch_.set_events(POLLIN | POLLOUT);
     auto address = net::Address::parse(target_);
     int error = 0;
     if (address) fd_ = net::start_connect(*address, error);
@@ -67,7 +67,7 @@
         return failed();
       written_ += now;
       board().bytes_out += now;
-      if (written_ == out_.size()) watch_.want(POLLIN);
+      if (written_ == out_.size()) watch_.set_events(POLLIN);
     }
     if ((events & (POLLIN | POLLHUP | POLLERR)) == 0) return;
     std::size_t before = in_.size();
@@ -156,7 +156,7 @@
   std::vector<std::unique_ptr<HollowServer>> servers;
   for (int i = part.first; i < part.first + part.count; ++i)
     servers.push_back(std::make_unique<HollowServer>(loop, part, i, members, phase(random)));
-  while (true) loop.turn();
+  while (true) loop.run_once();
 }
 
 }  // namespace pearspar::measure
--- a/src/measure/capacity_turns.cpp
+++ b/src/measure/capacity_turns.cpp
@@ -41,7 +41,7 @@
   for (int round = 0; round < 9; ++round) {
     int turns = std::max(20, 200000 / (idle + 100));
     double from = thread_s();
-    for (int i = 0; i < turns; ++i) loop.turn();
+    for (int i = 0; i < turns; ++i) loop.run_once();
     costs.push_back((thread_s() - from) * 1e6 / turns);
   }
   std::sort(costs.begin(), costs.end());
--- a/src/measure/registry_measure.cpp
+++ b/src/measure/registry_measure.cpp
@@ -47,7 +47,7 @@
       standins::RegistryWorld world(loop, wire, members, seed);
       ready.set_value(world.addresses());
       while (!ended_) {
-        loop.turn(1ms);
+        loop.run_once(1ms);
         std::vector<std::function<void(standins::RegistryWorld&)>> work;
         {
           std::lock_guard lock(mutex_);
@@ -125,7 +125,7 @@
     double end = steady_s() + limit_s;
     while (!enough()) {
       if (steady_s() > end) return false;
-      loop.turn(std::min<net::Duration>(20ms, net::Duration(end - steady_s())));
+      loop.run_once(std::min<net::Duration>(20ms, net::Duration(end - steady_s())));
     }
     return true;
   }
--- a/src/measure/view_cost.cpp
+++ b/src/measure/view_cost.cpp
@@ -56,7 +56,7 @@
     if (net::write_from(fd_, request, written) != net::IoResult::some || written != request.size())
       throw std::runtime_error("a query could not be written");
     while (!done_) {
-      loop_.turn(1s);
+      loop_.run_once(1s);
       if (loop_.read_clock() - from > net::Duration(5)) throw std::runtime_error("no answer");
     }
     return (loop_.read_clock() - from).count();
@@ -116,7 +116,7 @@
   const net::Time by = loop.read_clock() + 10s;
   const bool in_fleet = options.find("fleet") != std::string::npos;
   while ((broker.serves.port == 0 || (in_fleet && broker.speaks.port == 0)) && loop.read_clock() < by)
-    loop.turn(50ms);
+    loop.run_once(50ms);
   if (broker.serves.port == 0) throw std::runtime_error(name + " did not start");
 }
 
@@ -158,7 +158,7 @@
       start(loop, fleet[i], program, folder, fmt::format("on{}", i), config, list + part + " }\n");
     }
     const net::Time settled = loop.read_clock() + 5s;
-    while (loop.read_clock() < settled) loop.turn(50ms);
+    while (loop.read_clock() < settled) loop.run_once(50ms);
     Client to_off(loop, off.serves, 'a'), to_on(loop, fleet[0].serves, 'b');
     std::vector<double> p50s, p99s, all_off, all_on;
     for (int round = 0; round < rounds; ++round) {
--- a/src/net/buffer.h
+++ b/src/net/buffer.h
@@ -37,7 +37,7 @@
   }
 
   // Takes bytes out of the middle.
-  void cut(std::size_t at, std::size_t size) {
+  void erase(std::size_t at, std::size_t size) {
     auto from = bytes_.begin() + static_cast<std::ptrdiff_t>(start_ + at);
     std::copy(from + static_cast<std::ptrdiff_t>(size), bytes_.begin() + static_cast<std::ptrdiff_t>(end_),
               from);
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -16,7 +16,7 @@
                      Duration(std::chrono::steady_clock::now().time_since_epoch())) {}
 
   Time now() const {
-    if (stand_in) return stand_in->now();
+    if (kernel_override) return kernel_override->now();
     return Time(Duration(std::chrono::steady_clock::now().time_since_epoch()) + unix_offset_);
   }
 
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -31,21 +31,21 @@
   // -1 with `error` set where it failed at once.
   virtual int connect(const Address& address, int& error) = 0;
   virtual int connect_error(int fd) = 0;
-  virtual void bound_silence(int fd, int ms) = 0;
+  virtual void set_silence_timeout(int fd, int ms) = 0;
   virtual IoResult read(int fd, char* into, std::size_t most, std::size_t& got) = 0;
   virtual IoResult write(int fd, std::string_view bytes, std::size_t& written) = 0;
   virtual void end_sending(int fd) = 0;
   virtual void close(int fd) = 0;
 };
 
-inline constinit thread_local Kernel* stand_in = nullptr;
+inline constinit thread_local Kernel* kernel_override = nullptr;
 
 // Lets `kernel` stand in on this thread for as long as it lives.
-class StandIn {
+class ScopedKernelOverride {
  public:
-  explicit StandIn(Kernel& kernel) : before_(std::exchange(stand_in, &kernel)) {}
-  StandIn(const StandIn&) = delete;
-  ~StandIn() { stand_in = before_; }
+  explicit ScopedKernelOverride(Kernel& kernel) : before_(std::exchange(kernel_override, &kernel)) {}
+  ScopedKernelOverride(const ScopedKernelOverride&) = delete;
+  ~ScopedKernelOverride() { kernel_override = before_; }
 
  private:
   Kernel* before_;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,7 +5,7 @@
 
 namespace pearspar::net {
 
-void Watch::want(short events) {
+void Watch::set_events(short events) {
   if (!loop_) return;
   if (auto* watched = loop_->watched_.find(id_)) watched->events = events;
 }
@@ -38,15 +38,15 @@
   return static_cast<int>(std::ceil(std::clamp(wait.count(), 0.0, 3600.0) * 1000));
 }
 
-void Loop::turn(Duration longest) {
+void Loop::run_once(Duration longest) {
   poll_set_.clear();
   poll_ids_.clear();
   watched_.each([&](SlotId id, Watched& watched) {
     poll_set_.push_back({watched.fd, watched.events, 0});
     poll_ids_.push_back(id);
   });
-  int ready = stand_in ? stand_in->poll(poll_set_.data(), poll_set_.size())
-                       : ::poll(poll_set_.data(), poll_set_.size(), wait_ms(longest));
+  int ready = kernel_override ? kernel_override->poll(poll_set_.data(), poll_set_.size())
+                              : ::poll(poll_set_.data(), poll_set_.size(), wait_ms(longest));
   now_ = clock_.now();
   for (std::size_t i = 0; ready > 0 && i < poll_set_.size(); ++i) {
     if (poll_set_[i].revents == 0) continue;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -29,7 +29,7 @@
   }
   ~Watch() { reset(); }
 
-  void want(short events);  // POLLIN, POLLOUT, POLLRDHUP
+  void set_events(short events);  // POLLIN, POLLOUT, POLLRDHUP
   void reset();
 
  private:
@@ -82,7 +82,7 @@
   Time next_due() const { return deadlines_.empty() ? Time::max() : deadlines_.begin()->first.first; }
 
   // Waits for the next thing to happen, `longest` at most, and lets it be handled.
-  void turn(Duration longest = std::chrono::hours(1));
+  void run_once(Duration longest = std::chrono::hours(1));
 
  private:
   friend class Watch;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -36,7 +36,7 @@
 void Fd::reset() {
   if (fd_ < 0) return;
   int fd = std::exchange(fd_, -1);
-  stand_in ? stand_in->close(fd) : static_cast<void>(::close(fd));
+  kernel_override ? kernel_override->close(fd) : static_cast<void>(::close(fd));
 }
 
 std::optional<Address> Address::parse(std::string_view text) {
@@ -69,7 +69,7 @@
 }
 
 Fd listen_on(const Address& address) {
-  if (stand_in) return Fd(stand_in->listen(address));
+  if (kernel_override) return Fd(kernel_override->listen(address));
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   auto fail = [&](const char* what) {
     throw std::system_error(errno, std::generic_category(), std::string(what) + " " + address.text());
@@ -85,7 +85,7 @@
 }
 
 Address local_address(const Fd& fd) {
-  if (stand_in) return stand_in->local_address(fd.get());
+  if (kernel_override) return kernel_override->local_address(fd.get());
   sockaddr_in system{};
   socklen_t size = sizeof system;
   if (::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&system), &size) != 0) return {};
@@ -94,14 +94,14 @@
 
 bool readable(const Fd& fd) {
   pollfd waiting{fd.get(), POLLIN, 0};
-  return (stand_in ? stand_in->poll(&waiting, 1) : ::poll(&waiting, 1, 0)) == 1 &&
+  return (kernel_override ? kernel_override->poll(&waiting, 1) : ::poll(&waiting, 1, 0)) == 1 &&
          (waiting.revents & POLLIN) != 0;
 }
 
 AcceptResult accept_one(const Fd& listener, Fd& accepted) {
-  if (stand_in) {
+  if (kernel_override) {
     int made = -1;
-    AcceptResult result = stand_in->accept(listener.get(), made);
+    AcceptResult result = kernel_override->accept(listener.get(), made);
     if (result == AcceptResult::accepted) accepted = Fd(made);
     return result;
   }
@@ -119,7 +119,7 @@
 
 Fd start_connect(const Address& address, int& error) {
   error = 0;
-  if (stand_in) return Fd(stand_in->connect(address, error));
+  if (kernel_override) return Fd(kernel_override->connect(address, error));
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) {
     error = errno;
@@ -135,8 +135,8 @@
   return fd;
 }
 
-void bound_silence(const Fd& fd, int ms) {
-  if (stand_in) return stand_in->bound_silence(fd.get(), ms);
+void set_silence_timeout(const Fd& fd, int ms) {
+  if (kernel_override) return kernel_override->set_silence_timeout(fd.get(), ms);
   auto set = [&](int level, int name, int value) {
     ::setsockopt(fd.get(), level, name, &value, sizeof value);
   };
@@ -148,7 +148,7 @@
 }
 
 int connect_error(const Fd& fd) {
-  if (stand_in) return stand_in->connect_error(fd.get());
+  if (kernel_override) return kernel_override->connect_error(fd.get());
   int error = 0;
   socklen_t size = sizeof error;
   if (::getsockopt(fd.get(), SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
@@ -157,9 +157,9 @@
 
 IoResult read_into(const Fd& fd, Buffer& buffer, std::size_t most) {
   char* at = buffer.grow(most);
-  if (stand_in) {
+  if (kernel_override) {
     std::size_t size = 0;
-    IoResult result = stand_in->read(fd.get(), at, most, size);
+    IoResult result = kernel_override->read(fd.get(), at, most, size);
     buffer.commit(size);
     return result;
   }
@@ -173,14 +173,14 @@
 }
 
 void end_sending(const Fd& fd) {
-  stand_in ? stand_in->end_sending(fd.get()) : static_cast<void>(::shutdown(fd.get(), SHUT_WR));
+  kernel_override ? kernel_override->end_sending(fd.get()) : static_cast<void>(::shutdown(fd.get(), SHUT_WR));
 }
 
 IoResult discard(const Fd& fd) {
   constexpr std::size_t most = std::size_t{1} << 20;
-  if (stand_in) {
+  if (kernel_override) {
     std::size_t size = 0;
-    return stand_in->read(fd.get(), nullptr, most, size);
+    return kernel_override->read(fd.get(), nullptr, most, size);
   }
   // For TCP, MSG_TRUNC drops the bytes in the kernel instead of copying them.
   ssize_t got = ::recv(fd.get(), nullptr, most, MSG_TRUNC);
@@ -191,7 +191,7 @@
 
 IoResult write_from(const Fd& fd, std::string_view bytes, std::size_t& written) {
   written = 0;
-  if (stand_in) return stand_in->write(fd.get(), bytes, written);
+  if (kernel_override) return kernel_override->write(fd.get(), bytes, written);
   // MSG_NOSIGNAL: a peer that has gone away is an outcome, not a SIGPIPE.
   ssize_t put = ::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
   if (put >= 0) {
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -58,7 +58,7 @@
 // Ends the connection when what was sent is not acknowledged for so long, and when it rested for so long (a
 // second at least) and two probes a second apart are not answered. Behind a cut nobody says anything; and
 // where the other end gave up during a cut, its word of that is lost, and nothing tells this one but a probe.
-void bound_silence(const Fd& fd, int ms);
+void set_silence_timeout(const Fd& fd, int ms);
 // After the socket has become writable: 0, or why it did not come up.
 int connect_error(const Fd& fd);
 
--- a/src/nodelink/links.cpp
+++ b/src/nodelink/links.cpp
@@ -244,7 +244,7 @@
 }
 
 void Links::want(Connection& connection) {
-  connection.watch.want(static_cast<short>(POLLIN | (connection.out.empty() ? 0 : POLLOUT)));
+  connection.watch.set_events(static_cast<short>(POLLIN | (connection.out.empty() ? 0 : POLLOUT)));
 }
 
 // ---- giving up ----
--- a/src/registry/link.cpp
+++ b/src/registry/link.cpp
@@ -25,7 +25,7 @@
   head_told_ = heard_ = false;
   written_ = 0;
   if (!same) return connect();
-  watch_.want(POLLIN | POLLOUT);
+  watch_.set_events(POLLIN | POLLOUT);
 }
 
 void Link::connect() {
@@ -71,7 +71,7 @@
     if (result == net::IoResult::none) break;
     written_ += put;
   }
-  watch_.want(static_cast<short>(POLLIN | (written_ < request_.size() ? POLLOUT : 0)));
+  watch_.set_events(static_cast<short>(POLLIN | (written_ < request_.size() ? POLLOUT : 0)));
   return true;
 }
 
@@ -119,7 +119,7 @@
     if (progress == http::Progress::failed) {
       // The reader's own reason, where it was the reader that would not go on.
       if (!reader_->why().empty()) return fail(reader_->fault(), reader_->why());
-      return fail(end ? Fault::ended : Fault::malformed, reply_.failed_why());
+      return fail(end ? Fault::ended : Fault::malformed, reply_.failure_reason());
     }
     if (progress == http::Progress::more) continue;
     // A reply without a body has told its head to nobody yet.
@@ -131,7 +131,7 @@
     } else {
       reader_.reset();
       used_ = true;
-      watch_.want(POLLIN);
+      watch_.set_events(POLLIN);
     }
     return Came::whole;
   }
--- a/src/standins/hall.cpp
+++ b/src/standins/hall.cpp
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "carestiato/call.h"
-#include "clients/front.h"
+#include "clients/http_server.h"
 #include "net/signals.h"
 
 namespace {
@@ -46,7 +46,7 @@
 std::string random_id(std::mt19937_64& random) { return fmt::format("{:016x}", random()); }
 
 // Serves records to whoever names it; turns away what it has no slot for.
-class Node : public clients::FrontUser {
+class Node : public clients::RequestHandler {
  public:
   Node(net::Loop& loop, const Options& options)
       : loop_(loop),
@@ -103,7 +103,8 @@
   std::string id_;
   int busy_ = 0;
   net::Time asked_until_ = net::Time::max();
-  clients::Front front_{loop_, [](std::string_view) {}, 1000, *this, {net::Duration(3600), net::Duration(5)}};
+  clients::HttpServer front_{
+      loop_, [](std::string_view) {}, 1000, *this, {net::Duration(3600), net::Duration(5)}};
 };
 
 // Beats from a thread of its own: a call may wait a second.
@@ -147,7 +148,7 @@
   std::string address = node.address();
   std::thread beats([&] { beat(options, node, address, leaving, known, gone); });
   while (!gone) {
-    loop.turn(net::Duration(0.05));
+    loop.run_once(net::Duration(0.05));
     if (known.exchange(false)) node.leave_known();
   }
   beats.join();
--- a/src/standins/main.cpp
+++ b/src/standins/main.cpp
@@ -26,7 +26,7 @@
   net::Watch watch = signals.watch(loop, [&](int) { ended = true; });
   net::Timer over;
   if (for_s > 0) over = loop.at(loop.now() + net::Duration(for_s), [&] { ended = true; });
-  while (!ended) loop.turn();
+  while (!ended) loop.run_once();
 }
 
 net::Address loopback(int port) { return {0x7f000001, static_cast<std::uint16_t>(port)}; }
@@ -93,7 +93,7 @@
           if (net::write_from(fd, std::string_view(request).substr(sent), written) == net::IoResult::failed)
             ended = true;
           sent += written;
-          watch.want(static_cast<short>(POLLIN | (sent < request.size() ? POLLOUT : 0)));
+          watch.set_events(static_cast<short>(POLLIN | (sent < request.size() ? POLLOUT : 0)));
           return;
         }
         net::IoResult result = net::read_into(fd, in, 16 * 1024);
@@ -104,7 +104,7 @@
         ended = true;
       });
     net::Timer over = loop.at(loop.now() + std::chrono::seconds(5), [&] { ended = true; });
-    while (!ended) loop.turn();
+    while (!ended) loop.run_once();
     all_served = all_served && said != "no answer";
     std::printf("%s\n", said.c_str());
   }
--- a/src/standins/node.cpp
+++ b/src/standins/node.cpp
@@ -131,7 +131,7 @@
     if (result == net::IoResult::none) break;
     connection->out.erase(0, written);
   }
-  connection->watch.want(static_cast<short>(POLLIN | (connection->out.empty() ? 0 : POLLOUT)));
+  connection->watch.set_events(static_cast<short>(POLLIN | (connection->out.empty() ? 0 : POLLOUT)));
 }
 
 void NodeStandin::drop(net::SlotId id) {
--- a/src/standins/server.cpp
+++ b/src/standins/server.cpp
@@ -106,7 +106,7 @@
     if (trickle_ > 0) break;
   }
   bool more = !connection->out.empty() && trickle_ == 0;
-  connection->watch.want(static_cast<short>(POLLIN | (more ? POLLOUT : 0)));
+  connection->watch.set_events(static_cast<short>(POLLIN | (more ? POLLOUT : 0)));
 }
 
 void Server::trickle(std::size_t bytes_per_ms) {
--- a/src/transport/tcp_transport.cpp
+++ b/src/transport/tcp_transport.cpp
@@ -36,7 +36,7 @@
     if (result != net::AcceptResult::accepted) return;
     if (accepted_ >= inbound_limits_.max_links) continue;
     ++accepted_;
-    net::bound_silence(fd, peer_silence_ms);
+    net::set_silence_timeout(fd, peer_silence_ms);
     net::SlotId id = links_.add();
     Link& link = *links_.find(id);
     link.fd = std::move(fd);
@@ -48,8 +48,9 @@
 // A listener that stays readable would keep the loop busy while no descriptor is free.
 void TcpTransport::pause_accepting() {
   ++accept_failures_;
-  listener_watch_.want(0);
-  resume_accepting_ = loop_.at(loop_.now() + accept_retry_delay, [this] { listener_watch_.want(POLLIN); });
+  listener_watch_.set_events(0);
+  resume_accepting_ =
+      loop_.at(loop_.now() + accept_retry_delay, [this] { listener_watch_.set_events(POLLIN); });
 }
 
 void TcpTransport::dial(const std::string& address) {
@@ -64,7 +65,7 @@
   int error = 0;
   net::Fd fd = parsed ? net::start_connect(*parsed, error) : net::Fd();
   if (!fd) return fail();
-  net::bound_silence(fd, peer_silence_ms);
+  net::set_silence_timeout(fd, peer_silence_ms);
   net::SlotId id = links_.add();
   Link& link = *links_.find(id);
   link.fd = std::move(fd);
@@ -132,7 +133,7 @@
   if (held_bytes_ > memory_bound_ && !memory_timer_.pending())
     memory_timer_ = loop_.at(loop_.now(), [this] { enforce_memory_bound(); });
   // Written at the end of the loop's turn, together with other frames that are queued until then.
-  if (link.up) link.watch.want(POLLIN | POLLOUT);
+  if (link.up) link.watch.set_events(POLLIN | POLLOUT);
 }
 
 void TcpTransport::on_ready(net::SlotId id, short events) {
@@ -144,7 +145,7 @@
     link->up = true;
     link->timer.reset();
     targets_[link->address].redial_delay = {};
-    link->watch.want(POLLIN);
+    link->watch.set_events(POLLIN);
     handler_.link_up(link_id(id), link->address);
     link = links_.find(id);
     if (link && link->out.size() > link->written) write(id);
@@ -202,9 +203,9 @@
     link.out.clear();
     if (link.out.capacity() > read_chunk_bytes) std::string().swap(link.out);
     link.written = 0;
-    link.watch.want(POLLIN);
+    link.watch.set_events(POLLIN);
   } else {
-    link.watch.want(POLLIN | POLLOUT);
+    link.watch.set_events(POLLIN | POLLOUT);
   }
   update_held_bytes(link);
 }
--- a/src/trial/process.cpp
+++ b/src/trial/process.cpp
@@ -59,7 +59,7 @@
   if (pid_ <= 0) return;
   constexpr int narrow = 4096, wide = 1 << 20;
   ::fcntl(out_.get(), F_SETPIPE_SZ, stalls ? narrow : wide);
-  watch_.want(stalls ? 0 : POLLIN);
+  watch_.set_events(stalls ? 0 : POLLIN);
 }
 
 void Process::readable() {
--- a/src/trial/runner.cpp
+++ b/src/trial/runner.cpp
@@ -186,7 +186,7 @@
 void Runner::pause(net::Duration time) {
   bool over = false;
   net::Timer timer = loop_.at(loop_.read_clock() + time, [&] { over = true; });
-  while (!over) loop_.turn();
+  while (!over) loop_.run_once();
 }
 
 void Runner::wait_until_agreed(double at_most_s) {
@@ -357,7 +357,7 @@
   for (std::uint32_t i = 0; i < schedule_.brokers(); ++i) start(static_cast<int>(i), false);
   // All processes have to be there before the calm is called.
   const net::Time patience = loop_.read_clock() + 30s;
-  while (judge_.live() < schedule_.brokers() && loop_.read_clock() < patience) loop_.turn(50ms);
+  while (judge_.live() < schedule_.brokers() && loop_.read_clock() < patience) loop_.run_once(50ms);
   if (judge_.live() < schedule_.brokers())
     throw std::runtime_error(
         fmt::format("of {} processes only {} started", schedule_.brokers(), judge_.live()));
@@ -380,7 +380,7 @@
           return false;
         }();
       };
-      while (waits() && loop_.read_clock() < until) loop_.turn(20ms);
+      while (waits() && loop_.read_clock() < until) loop_.run_once(20ms);
     }
     apply(step);
     if (step.deed() == plan::CALM) base = loop_.read_clock();
@@ -404,7 +404,7 @@
       if (broker.process && broker.process->running()) return true;
     return false;
   };
-  while (left() && loop_.read_clock() < by) loop_.turn(50ms);
+  while (left() && loop_.read_clock() < by) loop_.run_once(50ms);
   if (left()) fault(fmt::format("{:.3f} s: processes do not end after SIGTERM", now()));
   result.report.faults.insert(result.report.faults.end(), faults_.begin(), faults_.end());
   result.relay = relay_.counters();
--- a/src/trial/stream_relay.cpp
+++ b/src/trial/stream_relay.cpp
@@ -103,7 +103,7 @@
 void StreamRelay::arrange(Id id) {
   Pair& pair = pairs_.at(id);
   if (!pair.up) {
-    pair.ends[0].watch.want(0);
+    pair.ends[0].watch.set_events(0);
     return;
   }
   for (int end = 0; end < 2; ++end) {
@@ -121,7 +121,7 @@
     if (here.over && cut_from(pair, end))
       here.watch.reset();
     else
-      here.watch.want(events);
+      here.watch.set_events(events);
   }
 }
 
--- a/src/upstream/node_links.cpp
+++ b/src/upstream/node_links.cpp
@@ -32,7 +32,7 @@
     at += 2;
     std::string_view line = head.substr(at, head.find("\r\n", at) - at);
     std::size_t colon = line.find(": ");
-    if (colon != line.npos && http::same_word(line.substr(0, colon), id_header))
+    if (colon != line.npos && http::equals_ignoring_case(line.substr(0, colon), id_header))
       return std::string(line.substr(colon + 2));
   }
   return {};
@@ -78,7 +78,7 @@
   int error = 0;
   net::Fd fd = net::start_connect(*address, error);
   if (!fd) return false;
-  net::bound_silence(fd, silence_ms);
+  net::set_silence_timeout(fd, silence_ms);
   ++counters_.opened;
   net::SlotId id = connections_.add();
   Connection& connection = *connections_.find(id);
@@ -164,7 +164,7 @@
     if (result == net::IoResult::failed) {
       // Not from within start(): the end is told in the loop's next turn.
       connection.timer = loop_.at(loop_.now(), [this, id] { unwritten(id); });
-      return connection.watch.want(0);
+      return connection.watch.set_events(0);
     }
     if (result == net::IoResult::none) break;
     connection.written += written;
@@ -172,7 +172,7 @@
   connection.all_written = connection.written == connection.out.size();
   bool rest = !connection.all_written;
   if (!rest) std::string().swap(connection.out);
-  connection.watch.want(static_cast<short>(rest ? POLLIN | POLLOUT : POLLIN));
+  connection.watch.set_events(static_cast<short>(rest ? POLLIN | POLLOUT : POLLIN));
 }
 
 // The node takes no more of it; what it has said before may be a whole answer.
@@ -240,7 +240,7 @@
   const http::Message& message = connection.reader.message();
   bool echoed = false, ours = true;
   for (const auto& [name, value] : message.headers)
-    if (http::same_word(name, id_header)) {
+    if (http::equals_ignoring_case(name, id_header)) {
       echoed = true;
       ours = ours && value == connection.id;
     }
@@ -287,7 +287,7 @@
   std::string().swap(connection.out);
   connection.written = 0;
   connection.used = true;
-  connection.watch.want(POLLIN);
+  connection.watch.set_events(POLLIN);
   pools_[connection.address].idle.push_back(id);
 }
 
--- a/src/upstream/node_links.h
+++ b/src/upstream/node_links.h
@@ -50,7 +50,7 @@
   // An answer may have no length, and end with its connection.
   static http::MessageReader answer_reader() {
     http::MessageReader reader(http::MessageKind::reply, {16 * 1024, std::size_t{4} << 20, 4096});
-    reader.take_unframed();
+    reader.allow_unframed_body();
     return reader;
   }
   struct Connection {
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -407,7 +407,7 @@
   };
   ASSERT_TRUE(client.write(query("q", R"({"range":0,"portion":1})", "700")));
   while (script->all<AttemptEnded>().empty() && script->all<ClientDisconnected>().empty()) {
-    loop.turn();
+    loop.run_once();
     broker->end_turn();
   }
   EXPECT_EQ(script->all<AttemptEnded>().size(), 1u);
@@ -441,7 +441,7 @@
   EXPECT_EQ(script->all<AttemptEnded>()[0].outcome, Outcome::not_sent);
   ASSERT_TRUE(until([&] { return nodes[0].peers.size() == 1; }));  // the connection comes up, unused
   for (int i = 0; i < 20; ++i) {
-    loop.turn(net::Duration(0.001));
+    loop.run_once(net::Duration(0.001));
     poll();
   }
   EXPECT_NE(broker->counters_json().find("\"frames\":0"), std::string::npos);
@@ -571,7 +571,7 @@
   script->next = {};
   ASSERT_TRUE(client.write(query("q", two_parts(), "10000")));
   ASSERT_TRUE(until([&] { return open != 0; }));
-  broker->wind_down();
+  broker->start_draining();
   Peer late;
   ASSERT_TRUE(connect(late));
   EXPECT_EQ(ask(late, "GET /health/ready HTTP/1.1\r\n\r\n").substr(0, 3), "503");
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -99,7 +99,7 @@
   }
   for (char c : bytes + "0\r\n\r\n") {
     ASSERT_TRUE(agent.peers.back()->write(std::string_view(&c, 1)));
-    loop.turn(net::Duration(0));
+    loop.run_once(net::Duration(0));
   }
   ASSERT_TRUE(tells(1));
 }
@@ -179,7 +179,7 @@
   client.start();
   ASSERT_TRUE(until([&] { return failed >= 3; }));
   int before = failed;
-  for (int i = 0; i < 100; ++i) loop.turn(net::Duration(0));
+  for (int i = 0; i < 100; ++i) loop.run_once(net::Duration(0));
   EXPECT_LE(failed, before + 1);
   peers::Listener again(address);
   ASSERT_TRUE(peers::turn_until(
@@ -198,7 +198,7 @@
       peer.drop(peer.seen().size());
       reply(list_text(41, false, ""));
     }
-    loop.turn(net::Duration(0));
+    loop.run_once(net::Duration(0));
   }
   EXPECT_LT(asked, 100);
   reply(list_text(42, false, one));  // to the call that is out, or unasked: either way it is asked again
@@ -209,7 +209,7 @@
   start_with_list();
   client.stop();
   ASSERT_TRUE(until([&] { return agent.peers.back()->ended(); }));
-  for (int i = 0; i < 20; ++i) loop.turn(net::Duration(0.001));
+  for (int i = 0; i < 20; ++i) loop.run_once(net::Duration(0.001));
   agent.poll();
   EXPECT_EQ(agent.peers.size(), 1u);
   client.fetch();
@@ -295,7 +295,7 @@
   ASSERT_TRUE(until([&] { return second.asked(); }));
   // A while in which a client that tries again would have done so.
   for (int i = 0; i < 100; ++i) {
-    loop.turn(net::Duration(0.002));
+    loop.run_once(net::Duration(0.002));
     first.poll();
   }
   EXPECT_EQ(first.peers.size(), connections);
--- a/tests/front_test.cpp
+++ b/tests/http_server_test.cpp
@@ -1,4 +1,4 @@
-#include "clients/front.h"
+#include "clients/http_server.h"
 
 #include <gtest/gtest.h>
 
@@ -9,11 +9,12 @@
 namespace pearspar::clients {
 namespace {
 
-class FrontTest : public ::testing::Test, protected FrontUser {
+class HttpServerTest : public ::testing::Test, protected RequestHandler {
  protected:
-  explicit FrontTest(std::size_t most = 100, Patience patience = {net::Duration(60), net::Duration(60)})
+  explicit HttpServerTest(std::size_t most = 100,
+                          RequestTimeouts timeouts = {net::Duration(60), net::Duration(60)})
       : front(
-            loop, [](std::string_view) {}, most, *this, patience) {
+            loop, [](std::string_view) {}, most, *this, timeouts) {
     front.listen({0x7f000001, 0});
   }
 
@@ -50,14 +51,14 @@
     std::string target, body;
   };
   net::Loop loop;
-  Front front;
+  HttpServer front;
   std::vector<Arrived> arrived;
   std::vector<net::SlotId> left;
   std::vector<peers::Peer*> watched;
   bool answer_at_once = false;
 };
 
-TEST_F(FrontTest, AConnectionCarriesOneRequestAfterTheOther) {
+TEST_F(HttpServerTest, AConnectionCarriesOneRequestAfterTheOther) {
   answer_at_once = true;
   peers::Peer one = client();
   for (int i = 0; i < 3; ++i) {
@@ -70,24 +71,24 @@
   EXPECT_EQ(arrived[2].body, "hi");
 }
 
-TEST_F(FrontTest, ARequestMaySplitAnywhere) {
+TEST_F(HttpServerTest, ARequestMaySplitAnywhere) {
   answer_at_once = true;
   peers::Peer one = client();
   ASSERT_TRUE(until([&] { return front.connections() == 1; }));
   for (char c : std::string("POST /q HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n")) {
     ASSERT_TRUE(one.write(std::string_view(&c, 1)));
-    loop.turn(net::Duration(0));
+    loop.run_once(net::Duration(0));
   }
   ASSERT_TRUE(sees(one, "ok /q"));
   EXPECT_EQ(arrived.at(0).body, "hi");
 }
 
-TEST_F(FrontTest, BytesAheadOfTheirTurnWaitForIt) {
+TEST_F(HttpServerTest, BytesAheadOfTheirTurnWaitForIt) {
   peers::Peer one = client();
   ASSERT_TRUE(until([&] { return front.connections() == 1; }));
   ASSERT_TRUE(one.write("GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\nGET /3 HT"));
   ASSERT_TRUE(until([&] { return arrived.size() == 1; }));
-  for (int i = 0; i < 5; ++i) loop.turn(net::Duration(0));
+  for (int i = 0; i < 5; ++i) loop.run_once(net::Duration(0));
   EXPECT_EQ(arrived.size(), 1u);
   front.answer(arrived[0].connection, {200, "first", "text/plain", {}, 0});
   ASSERT_TRUE(until([&] { return arrived.size() == 2; }));
@@ -100,14 +101,14 @@
 }
 
 // A client may send without end ahead of its turn: only so much is read, and the rest has to wait there.
-TEST_F(FrontTest, WhatIsHeldAheadIsBounded) {
+TEST_F(HttpServerTest, WhatIsHeldAheadIsBounded) {
   peers::Peer one = client();
   ASSERT_TRUE(until([&] { return front.connections() == 1; }));
   ASSERT_TRUE(one.write("GET /1 HTTP/1.1\r\n\r\n"));
   ASSERT_TRUE(until([&] { return arrived.size() == 1; }));
   std::string more(64 * 1024, 'x');
   int held = 0;
-  for (; held < 2000 && one.write(more); ++held) loop.turn(net::Duration(0));
+  for (; held < 2000 && one.write(more); ++held) loop.run_once(net::Duration(0));
   EXPECT_LT(held, 2000);  // 128 MB: far more than all buffers between the two take
   front.answer(arrived[0].connection, {200, "first", "text/plain", {}, 0});
   ASSERT_TRUE(sees(one, "first"));
@@ -116,7 +117,7 @@
 }
 
 // Bytes ahead fill what is held, and its end lies behind them.
-TEST_F(FrontTest, AClientThatSendsTooMuchAheadAndGoesIsTold) {
+TEST_F(HttpServerTest, AClientThatSendsTooMuchAheadAndGoesIsTold) {
   {
     peers::Peer one = client();
     ASSERT_TRUE(until([&] { return front.connections() == 1; }));
@@ -128,22 +129,22 @@
   EXPECT_EQ(front.connections(), 0u);
 }
 
-TEST_F(FrontTest, AnAnswerToHeadHasNoBodyWhereThatIsAskedFor) {
+TEST_F(HttpServerTest, AnAnswerToHeadHasNoBodyWhereThatIsAskedFor) {
   answer_at_once = true;
   peers::Peer one = client();
   ASSERT_TRUE(until([&] { return front.connections() == 1; }));
   ASSERT_TRUE(one.write("HEAD /1 HTTP/1.1\r\n\r\n"));
   ASSERT_TRUE(sees(one, "ok /1"));
   one.drop(one.seen().size());
-  front.leave_heads_bare();
+  front.omit_body_for_head();
   ASSERT_TRUE(one.write("HEAD /2 HTTP/1.1\r\n\r\nGET /3 HTTP/1.1\r\n\r\n"));
   ASSERT_TRUE(sees(one, "ok /3"));
   EXPECT_EQ(one.seen().find("ok /2"), std::string_view::npos);
   EXPECT_NE(one.seen().find("Content-Length: 5\r\n\r\nHTTP/1.1 200 OK\r\n"), std::string_view::npos);
 }
 
-TEST_F(FrontTest, WhatTheOperatorsLimitsBearIsTaken) {
-  front.set_bounds({net::Duration(60), net::Duration(60)}, {16 * 1024, 200 * 1024, 4096});
+TEST_F(HttpServerTest, WhatTheOperatorsLimitsBearIsTaken) {
+  front.set_limits({net::Duration(60), net::Duration(60)}, {16 * 1024, 200 * 1024, 4096});
   peers::Peer one = client();
   ASSERT_TRUE(until([&] { return front.connections() == 1; }));
   std::string text = "POST /q HTTP/1.1\r\nTransfer-Encoding: chunked\r\n";
@@ -153,21 +154,21 @@
   text += "0\r\n\r\n";
   for (std::size_t at = 0; at < text.size(); at += 16 * 1024) {
     ASSERT_TRUE(one.write(std::string_view(text).substr(at, 16 * 1024)));
-    for (int i = 0; i < 3; ++i) loop.turn(net::Duration(0));
+    for (int i = 0; i < 3; ++i) loop.run_once(net::Duration(0));
   }
   ASSERT_TRUE(until([&] { return arrived.size() == 1; }));
   EXPECT_EQ(arrived[0].body.size(), 200u * 1024);
 }
 
 // A client that ends its side is one that has gone.
-TEST_F(FrontTest, ARequestThatCameWithItsClientsEndIsNotHandedOn) {
+TEST_F(HttpServerTest, ARequestThatCameWithItsClientsEndIsNotHandedOn) {
   client().write("GET /1 HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(until([&] { return front.counters().accepted == 1; }));
   ASSERT_TRUE(until([&] { return front.connections() == 0; }));
   EXPECT_TRUE(arrived.empty());
 }
 
-TEST_F(FrontTest, AClientThatGoesIsTold) {
+TEST_F(HttpServerTest, AClientThatGoesIsTold) {
   peers::Peer one = client(), two = client();
   ASSERT_TRUE(until([&] { return front.connections() == 2; }));
   ASSERT_TRUE(one.write("GET /1 HTTP/1.1\r\n\r\n"));
@@ -183,7 +184,7 @@
   EXPECT_EQ(front.counters().answers, 0u);
 }
 
-TEST_F(FrontTest, ALostFramingEndsTheConnectionAfterItsAnswer) {
+TEST_F(HttpServerTest, ALostFramingEndsTheConnectionAfterItsAnswer) {
   for (auto [bytes, status] : std::vector<std::pair<std::string, std::string>>{
            {"nonsense\r\n\r\n", "400"},
            {"POST / HTTP/1.1\r\n\r\n", "411"},
@@ -202,7 +203,7 @@
   EXPECT_TRUE(left.empty());
 }
 
-TEST_F(FrontTest, ALargeAnswerIsWrittenAsItIsTaken) {
+TEST_F(HttpServerTest, ALargeAnswerIsWrittenAsItIsTaken) {
   peers::Peer one = client();
   ASSERT_TRUE(until([&] { return front.connections() == 1; }));
   ASSERT_TRUE(one.write("GET /1 HTTP/1.1\r\n\r\n"));
@@ -220,12 +221,12 @@
 
 // A planned end: every answer ends its connection, idle ones are closed on the word, half a request holds
 // nothing up.
-TEST_F(FrontTest, WindingDownEndsEachConnectionWithItsAnswer) {
+TEST_F(HttpServerTest, WindingDownEndsEachConnectionWithItsAnswer) {
   peers::Peer busy = client(), idle = client();
   ASSERT_TRUE(until([&] { return front.connections() == 2; }));
   ASSERT_TRUE(busy.write("GET /1 HTTP/1.1\r\n\r\n"));
   ASSERT_TRUE(until([&] { return arrived.size() == 1; }));
-  front.wind_down();
+  front.start_draining();
   peers::Peer late = client();  // taken by the kernel, so taken by us
   ASSERT_TRUE(late.write("GET /2 HTTP/1.1\r\n\r\n"));
   front.stop_listening();
@@ -242,14 +243,14 @@
   ASSERT_TRUE(until([&] { return front.busy() == 0; }));
 }
 
-class ImpatientFrontTest : public FrontTest {
+class ShortTimeoutHttpServerTest : public HttpServerTest {
  protected:
-  ImpatientFrontTest() : FrontTest(100, {net::Duration(0.05), net::Duration(0.05)}) {}
+  ShortTimeoutHttpServerTest() : HttpServerTest(100, {net::Duration(0.05), net::Duration(0.05)}) {}
 };
 
 // Half a request, or an answer that is not taken, holds its slot for a bounded time; an idle connection, or
 // one whose answer is still awaited, is not held to it.
-TEST_F(ImpatientFrontTest, ASlowClientHoldsItsSlotForABoundedTime) {
+TEST_F(ShortTimeoutHttpServerTest, ASlowClientHoldsItsSlotForABoundedTime) {
   answer_at_once = true;
   peers::Peer idle = client();
   ASSERT_TRUE(until([&] { return idle.write("GET /0 HTTP/1.1\r\n\r\n"); }));
@@ -273,7 +274,7 @@
 }
 
 // Connections by the hundred that say nothing are given back soon.
-TEST_F(ImpatientFrontTest, AConnectionThatNeverAsksIsClosed) {
+TEST_F(ShortTimeoutHttpServerTest, AConnectionThatNeverAsksIsClosed) {
   peers::Peer silent = client();
   ASSERT_TRUE(ends(silent));
   EXPECT_TRUE(silent.seen().empty());
@@ -281,13 +282,13 @@
   EXPECT_EQ(front.counters().timed_out, 0u);
 }
 
-class SmallFrontTest : public FrontTest {
+class SmallHttpServerTest : public HttpServerTest {
  protected:
-  SmallFrontTest() : FrontTest(2) {}
+  SmallHttpServerTest() : HttpServerTest(2) {}
 };
 
 // A client that has just connected is about to ask: who was served makes way for it, not the other way round.
-TEST_F(SmallFrontTest, WhoHasJustComeMakesWayLast) {
+TEST_F(SmallHttpServerTest, WhoHasJustComeMakesWayLast) {
   answer_at_once = true;
   peers::Peer served = client();
   ASSERT_TRUE(until([&] { return served.write("GET /1 HTTP/1.1\r\n\r\n"); }));
@@ -300,13 +301,13 @@
   ASSERT_TRUE(sees(fresh, "ok /2"));
 }
 
-class SmallBriskFrontTest : public FrontTest {
+class SmallShortTimeoutHttpServerTest : public HttpServerTest {
  protected:
-  SmallBriskFrontTest() : FrontTest(2, {net::Duration(4), net::Duration(60)}) {}
+  SmallShortTimeoutHttpServerTest() : HttpServerTest(2, {net::Duration(4), net::Duration(60)}) {}
 };
 
 // Who has said nothing for long makes way before who was served.
-TEST_F(SmallBriskFrontTest, WhoNeverAskedMakesWayBeforeWhoWasServed) {
+TEST_F(SmallShortTimeoutHttpServerTest, WhoNeverAskedMakesWayBeforeWhoWasServed) {
   answer_at_once = true;
   peers::Peer served = client();
   ASSERT_TRUE(until([&] { return served.write("GET /1 HTTP/1.1\r\n\r\n"); }));
@@ -323,7 +324,7 @@
 }
 
 // Idle connections make way for new ones, the one idle longest first; busy ones never do.
-TEST_F(SmallFrontTest, IdleConnectionsMakeWay) {
+TEST_F(SmallHttpServerTest, IdleConnectionsMakeWay) {
   peers::Peer busy = client();
   ASSERT_TRUE(until([&] { return front.connections() == 1; }));
   ASSERT_TRUE(busy.write("GET /1 HTTP/1.1\r\n\r\n"));
@@ -339,7 +340,7 @@
   peers::Peer third = client();
   ASSERT_TRUE(third.write("GET /3 HTTP/1.1\r\n\r\n"));
   ASSERT_TRUE(until([&] { return front.counters().accept_failures > 0; }));
-  for (int i = 0; i < 100; ++i) loop.turn(net::Duration(0));
+  for (int i = 0; i < 100; ++i) loop.run_once(net::Duration(0));
   EXPECT_LT(front.counters().accept_failures, 50u);  // a loop that spins meets one in each turn
   EXPECT_EQ(arrived.size(), 2u);
   front.answer(arrived[0].connection, {200, "done", "text/plain", {}, 0});
@@ -347,7 +348,7 @@
 }
 
 // Each is far inside its own bounds; together they are not. Those that are small are served meanwhile.
-TEST_F(FrontTest, BytesOfAllConnectionsAreBoundedTogether) {
+TEST_F(HttpServerTest, BytesOfAllConnectionsAreBoundedTogether) {
   constexpr std::size_t bound = 200 * 1024;
   front.set_memory_bound(bound);
   answer_at_once = true;
@@ -357,7 +358,7 @@
     ASSERT_TRUE(until([&] { return front.counters().accepted == slow.size(); }));
     slow.back().write("POST /slow HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n" +
                       std::string(50000, 'x'));
-    for (int turns = 0; turns < 5; ++turns) loop.turn(net::Duration(0.005));
+    for (int turns = 0; turns < 5; ++turns) loop.run_once(net::Duration(0.005));
     EXPECT_LE(front.held_bytes(),
               bound + 130 * 1024);  // what one step of reading may add before room is made
   }
@@ -380,14 +381,14 @@
 }
 
 // A long body that has been handed on is not held beside its user's copy while the answer is awaited.
-TEST_F(FrontTest, ARequestThatWaitsHasLeftTheBuffer) {
+TEST_F(HttpServerTest, ARequestThatWaitsHasLeftTheBuffer) {
   auto asks = client();
   ASSERT_TRUE(until([&] { return front.counters().accepted == 1; }));
   asks.write("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n" + std::string(60000, 'x'));
   ASSERT_TRUE(until([&] { return arrived.size() == 1; }));
   EXPECT_EQ(60000u, arrived[0].body.size());
   asks.write("GET /b HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-  for (int turns = 0; turns < 5; ++turns) loop.turn(net::Duration(0.005));
+  for (int turns = 0; turns < 5; ++turns) loop.run_once(net::Duration(0.005));
   EXPECT_EQ(1u, arrived.size());
   EXPECT_LE(front.held_bytes(), 2 * 61000 + 20 * 1024u);  // its user's copies, and one step of reading
   front.answer(arrived[0].connection, {200, "first", "text/plain", {}, 0});
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -20,7 +20,7 @@
     buffer.append(std::string_view(bytes).substr(at, step));
     read.progress = reader.advance(buffer);
   }
-  if (read.progress == Progress::failed) read.status = reader.failed_status();
+  if (read.progress == Progress::failed) read.status = reader.failure_status();
   if (read.progress == Progress::done) {
     read.body = reader.message().body;
     read.target = reader.message().target;
@@ -148,8 +148,8 @@
   net::Buffer buffer;
   buffer.append("POST / HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
   EXPECT_EQ(reader.advance(buffer), Progress::more);
-  EXPECT_TRUE(reader.owes_continue());
-  EXPECT_FALSE(reader.owes_continue());
+  EXPECT_TRUE(reader.take_continue_request());
+  EXPECT_FALSE(reader.take_continue_request());
   buffer.append("hi");
   EXPECT_EQ(reader.advance(buffer), Progress::done);
 }
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -91,7 +91,7 @@
   std::string bytes = node_frame('q', "q.2 good 5 -\nvalue two") + node_frame('q', "q.1 bad 0 qps=3\n");
   for (char c : bytes) {
     ASSERT_TRUE(at(0).write(std::string_view(&c, 1)));
-    loop.turn(net::Duration(0));
+    loop.run_once(net::Duration(0));
   }
   ASSERT_TRUE(ends_after(2));
   EXPECT_EQ(ended[0].part, 2u);
@@ -167,7 +167,7 @@
   ASSERT_TRUE(gets(0, "mq.1"));
   send(2, "q.2");
   ASSERT_TRUE(gets(0, "mq.2"));
-  loop.turn(net::Duration(0.002));
+  loop.run_once(net::Duration(0.002));
   ASSERT_TRUE(at(0).write(node_frame('q', "q.2 good 0 -\n")));
   ASSERT_TRUE(ends_after(1));
   links.give_up(1, 0);
@@ -219,7 +219,7 @@
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   ASSERT_TRUE(at(0).write(std::string("\0\0\1\0q", 5)));
-  for (int i = 0; i < 20; ++i) loop.turn(net::Duration(0.001));
+  for (int i = 0; i < 20; ++i) loop.run_once(net::Duration(0.001));
   send(2, "q.2");
   ASSERT_TRUE(gets(1, "mq.2"));
 }
@@ -317,7 +317,7 @@
         if (node.peers.empty()) node.poll();
       },
       [&] { return !node.peers.empty(); }));
-  for (int i = 0; i < 10; ++i) loop.turn(net::Duration(0.001));
+  for (int i = 0; i < 10; ++i) loop.run_once(net::Duration(0.001));
   EXPECT_TRUE(ended.empty());
   at(0).reset();
   ASSERT_TRUE(ends_after(1));
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -87,8 +87,8 @@
     }
     if (progress == http::Progress::failed) {
       ++refused;
-      EXPECT_GE(reader.failed_status(), 400);
-      EXPECT_FALSE(reader.failed_why().empty());
+      EXPECT_GE(reader.failure_status(), 400);
+      EXPECT_FALSE(reader.failure_reason().empty());
     }
     if (progress != http::Progress::done) continue;
     ++whole;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -88,9 +88,9 @@
     timer = loop.at(loop.now(), again);
   };
   timer = loop.at(loop.now(), again);
-  loop.turn(Duration(0));
+  loop.run_once(Duration(0));
   EXPECT_EQ(calls, 1);
-  loop.turn(Duration(0));
+  loop.run_once(Duration(0));
   EXPECT_EQ(calls, 2);
 }
 
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -104,7 +104,7 @@
   auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!enough()) {
     if (std::chrono::steady_clock::now() > end) return false;
-    loop.turn(std::chrono::milliseconds(2));
+    loop.run_once(std::chrono::milliseconds(2));
     each();
   }
   return true;
--- a/tests/processes/memory_measure.cpp
+++ b/tests/processes/memory_measure.cpp
@@ -208,7 +208,7 @@
     const net::Time end = loop_.read_clock() + within;
     while (loop_.read_clock() < end) {
       if (holds()) return true;
-      loop_.turn(net::Duration(0.01));
+      loop_.run_once(net::Duration(0.01));
     }
     return false;
   }
--- a/tests/processes/processes_run.cpp
+++ b/tests/processes/processes_run.cpp
@@ -86,11 +86,11 @@
     if (options_.chatty) std::printf("%s\n", result_.story.back().c_str());
   }
   void turn_until(double at) {
-    while (scene_.judge.now() < at) loop_.turn(net::Duration(std::max(0.0, at - scene_.judge.now())));
+    while (scene_.judge.now() < at) loop_.run_once(net::Duration(std::max(0.0, at - scene_.judge.now())));
   }
   bool turn_while(const std::function<bool()>& what, double at_most_s) {
     const double until = scene_.judge.now() + at_most_s;
-    while (what() && scene_.judge.now() < until) loop_.turn(net::Duration(look_every_s));
+    while (what() && scene_.judge.now() < until) loop_.run_once(net::Duration(look_every_s));
     return !what();
   }
   // Calls `then` as soon as `what` holds, or with false when the time is over. Keeps the run from ending.
--- a/tests/processes/slow_senders.cpp
+++ b/tests/processes/slow_senders.cpp
@@ -144,7 +144,7 @@
   }
   void turn(double seconds) {
     const net::Time until = loop_.read_clock() + net::Duration(seconds);
-    while (loop_.read_clock() < until) loop_.turn(net::Duration(0.02));
+    while (loop_.read_clock() < until) loop_.run_once(net::Duration(0.02));
   }
 
   bool press(const char* name, const trial::Process& process, const Pressure& pressure,
@@ -153,14 +153,14 @@
     for (int i = 0; i < pressure.connections; ++i) {
       senders.emplace_back(net::Address::of(pressure.address),
                            pressure.beginning(i) + std::string(pressure.sent_bytes, 'x'));
-      if (i % 20 == 0) loop_.turn(net::Duration(0.001));
+      if (i % 20 == 0) loop_.run_once(net::Duration(0.001));
     }
     bool others = true;
     const net::Time began = loop_.read_clock();
     net::Time asks = began + 500ms;
     while (loop_.read_clock() < began + 2500ms) {
       for (Sender& sender : senders) sender.go_on();
-      loop_.turn(net::Duration(0.005));
+      loop_.run_once(net::Duration(0.005));
       if (loop_.read_clock() < asks) continue;
       asks = loop_.read_clock() + 500ms;
       others = served() && others;
--- a/tests/processes/traffic_clients.cpp
+++ b/tests/processes/traffic_clients.cpp
@@ -173,7 +173,7 @@
     while (true) {
       const http::Progress progress = reader.advance(in_);
       if (progress == http::Progress::failed) {
-        history_.fault("MIXED", attempt.edge + " sends what is no answer: " + reader.failed_why());
+        history_.fault("MIXED", attempt.edge + " sends what is no answer: " + reader.failure_reason());
         return broken_off(attempt);
       }
       if (progress == http::Progress::done) break;
--- a/tests/processes/traffic_servers.cpp
+++ b/tests/processes/traffic_servers.cpp
@@ -113,7 +113,7 @@
     loop_ = &loop;
     net::Listener listener(loop, net::Address::of(address()),
                            [this](net::Fd fd) { accepted(std::move(fd)); });
-    while (!over_) loop.turn(net::Duration(0.02));
+    while (!over_) loop.run_once(net::Duration(0.02));
     std::vector<net::SlotId> all;
     connections_.each([&](net::SlotId slot, Connection&) { all.push_back(slot); });
     for (net::SlotId slot : all) close(slot);
@@ -154,7 +154,8 @@
     Connection& connection = *connections_.find(slot);
     const http::Progress progress = connection.reader.advance(connection.in);
     if (progress == http::Progress::failed) {
-      history_.fault("UNASKED", "an index server got what is no request: " + connection.reader.failed_why());
+      history_.fault("UNASKED",
+                     "an index server got what is no request: " + connection.reader.failure_reason());
       return close(slot);
     }
     if (progress == http::Progress::done) arrived(slot, connection.reader.message());
@@ -255,14 +256,14 @@
     const net::IoResult result = net::write_from(connection.fd, connection.out, written);
     if (result == net::IoResult::failed) return close(slot);
     connection.out.erase(0, written);
-    if (!connection.out.empty()) return connection.watch.want(POLLIN | POLLOUT);
+    if (!connection.out.empty()) return connection.watch.set_events(POLLIN | POLLOUT);
     if (connection.resets) {
       // What was written is to arrive before the reset takes the connection.
       connection.timer = loop_->at(loop_->now() + 30ms, [this, slot] { close(slot); });
       return;
     }
     if (connection.ends) return close(slot);
-    connection.watch.want(POLLIN);
+    connection.watch.set_events(POLLIN);
     if (connection.in.size() > 0) advance(slot);
   }
 
--- a/tests/query_test.cpp
+++ b/tests/query_test.cpp
@@ -20,7 +20,7 @@
     net::Buffer buffer;
     buffer.append("POST " + target + " HTTP/1.1\r\n" + head +
                   "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-    if (reader.advance(buffer) != http::Progress::done) return reader.failed_status();
+    if (reader.advance(buffer) != http::Progress::done) return reader.failure_status();
     query = Query{};
     auto fault = read_query(reader.message(), {16, 20, true}, query);
     why = fault ? fault->why : "";
--- a/tests/registry_harness.h
+++ b/tests/registry_harness.h
@@ -76,7 +76,7 @@
   }
   void pass(net::Duration time) {
     net::Time end = loop.read_clock() + time;
-    while (loop.read_clock() < end) loop.turn(std::chrono::milliseconds(2));
+    while (loop.read_clock() < end) loop.run_once(std::chrono::milliseconds(2));
   }
   std::map<std::string, int> in_registry() const {
     std::map<std::string, int> found;
--- a/tests/registry_source_test.cpp
+++ b/tests/registry_source_test.cpp
@@ -481,17 +481,17 @@
   };
   auto both = [&] {
     return peers::turn_until(
-        ours, [&] { theirs.turn(net::Duration{}); }, equal);
+        ours, [&] { theirs.run_once(net::Duration{}); }, equal);
   };
   for (int i = 0; i < 50; ++i)
     world.store().put(options.prefix + "n" + std::to_string(i), record_of("n" + std::to_string(i), 0));
   ASSERT_TRUE(both());
   ASSERT_TRUE(peers::turn_until(
-      ours, [&] { theirs.turn(net::Duration{}); }, [&] { return source.follower().live(); }));
+      ours, [&] { theirs.run_once(net::Duration{}); }, [&] { return source.follower().live(); }));
   for (int i = 0; i < 8000; ++i) {
     std::string id = "n" + std::to_string(i % 50);
     world.store().put(options.prefix + id, record_of(id, 1 + i));
-    if (i % 50 == 0) theirs.turn(net::Duration{});
+    if (i % 50 == 0) theirs.run_once(net::Duration{});
   }
   ASSERT_FALSE(equal());
   ASSERT_TRUE(both());
--- a/tests/system/links_test.cpp
+++ b/tests/system/links_test.cpp
@@ -10,7 +10,7 @@
 #include <map>
 #include <memory>
 
-#include "clients/front.h"
+#include "clients/http_server.h"
 #include "net/kernel.h"
 #include "net/listener.h"
 #include "standins/reserved_port.h"
@@ -85,7 +85,7 @@
   }
   int connect(const net::Address&, int&) override { return 7; }
   int connect_error(int) override { return 0; }
-  void bound_silence(int, int) override {}
+  void set_silence_timeout(int, int) override {}
   net::IoResult read(int, char* into, std::size_t most, std::size_t& got) override {
     got = answer.copy(into, most);
     answer.erase(0, got);
@@ -152,7 +152,7 @@
   template <typename Done>
   void until(Done done) {
     net::Time end = loop.now() + net::Duration(5);
-    while (!done() && loop.now() < end) loop.turn(net::Duration(0.05));
+    while (!done() && loop.now() < end) loop.run_once(net::Duration(0.05));
     CPPUNIT_ASSERT(done());
   }
   bool start(const std::string& address, int most = 4, double end_s = 3, const std::string& method = "GET") {
@@ -172,7 +172,7 @@
 
  public:
   void setUp() override {
-    loop.turn(net::Duration(0));  // updates its clock
+    loop.run_once(net::Duration(0));  // updates its clock
     ended.clear();
     next = 0;
     links = std::make_unique<upstream::NodeLinks>(
@@ -357,7 +357,7 @@
 
   void unsentRequestIsReportedAsNotRun() {
     BreakingKernel kernel;
-    net::StandIn in(kernel);
+    net::ScopedKernelOverride in(kernel);
     net::Loop test_loop;
     std::vector<dispatch::CallOutcome> outcomes;
     upstream::NodeLinks breaking(test_loop, [&](dispatch::CallId, const dispatch::CallResult& end) {
@@ -371,7 +371,7 @@
       CPPUNIT_ASSERT(breaking.start({++next, 1}, node, 4, {"GET /x HTTP/1.1\r\nRequest-Id: id\r\n", "n", ""},
                                     kernel.at + net::Duration(3)));
       outcomes.clear();
-      for (int i = 0; i < 5 && outcomes.empty(); ++i) test_loop.turn(net::Duration(0));
+      for (int i = 0; i < 5 && outcomes.empty(); ++i) test_loop.run_once(net::Duration(0));
       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, outcomes.size());
       return outcomes[0];
     };
@@ -383,21 +383,21 @@
 
   // The rest of a partly written "100 Continue" would precede the response.
   void partialContinueResponseClosesTheConnection() {
-    struct NoHandler : clients::FrontUser {
+    struct NoHandler : clients::RequestHandler {
       void request_arrived(net::SlotId, const http::Message&) override {}
       void client_left(net::SlotId) override {}
     } no_handler;
     for (std::size_t writable_bytes : {10, 100}) {
       BreakingKernel kernel;
-      net::StandIn in(kernel);
+      net::ScopedKernelOverride in(kernel);
       kernel.connection_waits = kernel.stays_open = true;
       kernel.writable_bytes = writable_bytes;
       kernel.answer = "POST /x HTTP/1.1\r\nContent-Length: 5\r\nExpect: 100-continue\r\n\r\n";
       net::Loop test_loop;
-      clients::Front front(
+      clients::HttpServer front(
           test_loop, [](std::string_view) {}, 8, no_handler);
       front.listen({1, 1});
-      for (int i = 0; i < 3; ++i) test_loop.turn(net::Duration(0));
+      for (int i = 0; i < 3; ++i) test_loop.run_once(net::Duration(0));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, front.counters().accepted);
       CPPUNIT_ASSERT_EQUAL(std::size_t{writable_bytes == 10 ? 0u : 1u}, front.connections());
     }
@@ -547,14 +547,14 @@
         return net::AcceptResult::no_descriptors;
       }
     } kernel;
-    net::StandIn stands_in(kernel);
+    net::ScopedKernelOverride stands_in(kernel);
     net::Loop test_loop;
     transport::TcpTransport links(test_loop, *this);
     links.listen({0x7f000001, 0});
-    for (int i = 0; i < 100; ++i) test_loop.turn(net::Duration(0));
+    for (int i = 0; i < 100; ++i) test_loop.run_once(net::Duration(0));
     CPPUNIT_ASSERT_EQUAL(1, kernel.accept_calls);
     kernel.at += net::Duration(0.05);
-    for (int i = 0; i < 100; ++i) test_loop.turn(net::Duration(0));
+    for (int i = 0; i < 100; ++i) test_loop.run_once(net::Duration(0));
     CPPUNIT_ASSERT_EQUAL(2, kernel.accept_calls);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, links.accept_failures());
   }
@@ -585,7 +585,7 @@
   // The process was suspended while the connection was being established.
   void requestExpiredWhileConnectingIsNotSent() {
     BreakingKernel kernel;
-    net::StandIn stands_in(kernel);
+    net::ScopedKernelOverride stands_in(kernel);
     net::Loop test_loop;
     std::vector<dispatch::CallOutcome> outcomes;
     upstream::NodeLinks late(test_loop, [&](dispatch::CallId, const dispatch::CallResult& end) {
@@ -599,7 +599,7 @@
     CPPUNIT_ASSERT(late.start({++next, 1}, node, 4, {"GET /x HTTP/1.1\r\nRequest-Id: id\r\n", "n", ""},
                               kernel.at + net::Duration(3)));
     kernel.at += net::Duration(10);
-    for (int i = 0; i < 5 && outcomes.empty(); ++i) test_loop.turn(net::Duration(0));
+    for (int i = 0; i < 5 && outcomes.empty(); ++i) test_loop.run_once(net::Duration(0));
     CPPUNIT_ASSERT((outcomes == std::vector{dispatch::CallOutcome::no_connection}));
     CPPUNIT_ASSERT_EQUAL(room, kernel.writable_bytes);
   }
--- a/tests/system/promises_test.cpp
+++ b/tests/system/promises_test.cpp
@@ -173,7 +173,7 @@
   bool until(net::Duration within, const std::function<bool()>& holds) {
     const net::Time end = loop.read_clock() + within;
     while (!holds() && loop.read_clock() < end) {
-      loop.turn(net::Duration(0.01));
+      loop.run_once(net::Duration(0.01));
       door->after_turn();
     }
     return holds();
--- a/tests/system/reader_fuzz_test.cpp
+++ b/tests/system/reader_fuzz_test.cpp
@@ -76,8 +76,8 @@
         piece();
         break;
       case Progress::failed:
-        outcome.status = reader.failed_status();
-        outcome.why = reader.failed_why();
+        outcome.status = reader.failure_status();
+        outcome.why = reader.failure_reason();
         return outcome;
       case Progress::done: {
         outcome.seen.push_back(copied(kind, reader.message()));
