--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -22,7 +22,7 @@
   return text;
 }
 
-// Cuts the text up to `mark` off its front; the rest where there is none.
+// Removes and returns the text before `mark`, and removes `mark`; all of the text if there is no `mark`.
 std::string_view take_until(std::string_view& text, char mark) {
   std::size_t found = text.find(mark);
   std::string_view front = text.substr(0, found);
@@ -30,7 +30,7 @@
   return front;
 }
 
-// One item of a comma-separated list, without regard to case.
+// Whether a comma-separated list contains `word`, in any case.
 bool lists(std::string_view list, std::string_view word) {
   while (!list.empty())
     if (equals_ignoring_case(trimmed(take_until(list, ',')), word)) return true;
@@ -97,15 +97,14 @@
 
 void MessageReader::next(net::Buffer& buffer) {
   buffer.consume(chunked_ ? at_ : head_size_ + body_size_);
-  const bool no_body = no_body_, takes_unframed = unframed_allowed_;
+  const bool no_body = no_body_, unframed_allowed = unframed_allowed_;
   *this = MessageReader(kind_, limits_);
   no_body_ = no_body;
-  unframed_allowed_ = takes_unframed;
+  unframed_allowed_ = unframed_allowed;
 }
 
 Progress MessageReader::read_head(net::Buffer& buffer) {
-  // An empty line before a message is passed over, as the standard asks of a robust reader.
-  // No head begins with one, so it does not matter how its two bytes came.
+  // Skips empty lines before a message (RFC 9112, 2.2), also if their two bytes came separately.
   while (buffer.view().substr(0, 2) == "\r\n") {
     buffer.consume(2);
     scanned_ = 0;
@@ -172,8 +171,8 @@
   return true;
 }
 
-// How long the body is and whether the connection goes on. What two readers could take in two ways is
-// refused.
+// Determines the length of the body and whether the connection persists. Ambiguous framing is rejected, since
+// another reader of the same bytes may see a different end (request smuggling).
 bool MessageReader::settle_framing() {
   bool has_length = false, has_host = false, closes = false, keeps = false;
   chunked_ = false;
@@ -202,13 +201,13 @@
     }
   }
   if (chunked_ && has_length) return refuse(400, "both Content-Length and Transfer-Encoding");
-  // Chunks are not known to whoever speaks 1.0: something between us may have read another end.
+  // HTTP/1.0 does not know chunks: an intermediary may have seen a different end, so the connection closes.
   message_.keep_alive = !closes && (minor_version_ == 1 || (keeps && !chunked_));
   if (has_length) message_.length = body_size_;
   bool bodiless = message_.status < 200 || message_.status == 204 || message_.status == 304;
   bool to_head = kind_ == MessageKind::reply && no_body_ && !bodiless;
   if (to_head) {
-    // Named, and not sent (RFC 9112, 6.3).
+    // The length is declared, but no body is sent (RFC 9112, 6.3).
     chunked_ = false;
     body_size_ = 0;
   }
@@ -224,8 +223,8 @@
   return true;
 }
 
-// What was only framing is taken out of the buffer as it is read: a body that drips in by single bytes must
-// not hold many times its size.
+// Removes the framing from the buffer as it is read, so that a body of tiny chunks does not occupy many times
+// its size.
 Progress MessageReader::read_chunks(net::Buffer& buffer) {
   Progress progress = read_chunk_lines(buffer);
   std::size_t end = head_size_ + body_size_;
@@ -250,12 +249,12 @@
       if (chunk_left_ > 0) return Progress::more;
       stage_ = Stage::chunk_end;
     }
-    // What is left to read are lines: a chunk's size, the empty one after it, trailers.
-    constexpr std::size_t longest_line = 1024;
+    // The rest consists of lines: the size of a chunk, the empty line after it, trailers.
+    constexpr std::size_t max_line = 1024;  // bytes
     std::string_view rest(data + at_, size - at_);
-    std::size_t end = rest.substr(0, longest_line).find("\r\n");
+    std::size_t end = rest.substr(0, max_line).find("\r\n");
     if (end == rest.npos)
-      return rest.size() < longest_line ? Progress::more : fail(400, "a chunk's line is too long");
+      return rest.size() < max_line ? Progress::more : fail(400, "a chunk's line is too long");
     std::string_view line = rest.substr(0, end);
     at_ += end + 2;
     if (stage_ == Stage::chunk_end) {
@@ -267,7 +266,7 @@
       if (colon == line.npos || !is_token(line.substr(0, colon)) || !clean_value(line))
         return fail(400, "a trailer cannot be read");
     } else {
-      // Nothing but digits, and what an extension may hold: a lone end of line in it is one to other readers.
+      // Rejects control characters in extensions: other readers may take a lone CR or LF as a line end.
       if (!clean_value(line)) return fail(400, "a chunk's size holds a control character");
       bool extended = line.find(';') != line.npos;
       std::string_view digits = take_until(line, ';');
@@ -282,7 +281,7 @@
   }
 }
 
-// The buffer may have moved since the head was read: its slices are taken again.
+// Parses the head again, since the buffer may have moved since it was first parsed.
 Progress MessageReader::finish(net::Buffer& buffer) {
   bool keep_alive = message_.keep_alive, wants_continue = message_.wants_continue;
   auto length = message_.length;
--- a/src/http/stream.cpp
+++ b/src/http/stream.cpp
@@ -6,7 +6,7 @@
 namespace pearspar::http {
 namespace {
 
-constexpr std::size_t max_line = 1024;  // of a chunk's size or a trailer
+constexpr std::size_t max_line = 1024;  // bytes of a chunk size or trailer line
 
 std::string_view trimmed(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
@@ -40,7 +40,7 @@
   if (start.size() < 12 || (start.substr(0, 9) != "HTTP/1.1 " && start.substr(0, 9) != "HTTP/1.0 ") ||
       !read_number(start.substr(9, 3), status, 10) || status < 100 || status > 599 ||
       (start.size() > 12 && start[12] != ' '))
-    return fail("no reply's first line");
+    return fail("invalid status line");
   keep_alive_ = start[7] == '1';
   headers_.clear();
   for (head.remove_prefix(std::min(head.size(), end + 2)); !head.empty();) {
@@ -49,10 +49,11 @@
     head.remove_prefix(std::min(head.size(), end + 2));
     if (line.empty()) continue;
     std::size_t colon = line.find(':');
-    if (colon == 0 || colon == line.npos || headers_.size() >= max_headers) return fail("a broken header");
+    if (colon == 0 || colon == line.npos || headers_.size() >= max_headers)
+      return fail("invalid or too many headers");
     headers_.emplace_back(line.substr(0, colon), trimmed(line.substr(colon + 1)));
   }
-  if (status < 200) return Progress::more;  // an interim reply: the real one follows
+  if (status < 200) return Progress::more;  // an interim reply; the final one follows
   status_ = static_cast<int>(status);
   if (std::string_view connection = header("Connection"); !connection.empty())
     keep_alive_ = equals_ignoring_case(connection, "keep-alive") ||
@@ -60,10 +61,11 @@
   std::string_view coding = header("Transfer-Encoding");
   std::string_view length = header("Content-Length");
   if (!coding.empty()) {
-    if (!equals_ignoring_case(coding, "chunked") || !length.empty()) return fail("a framing we do not read");
+    if (!equals_ignoring_case(coding, "chunked") || !length.empty())
+      return fail("unsupported Transfer-Encoding");
     stage_ = Stage::chunk_size;
   } else if (!length.empty()) {
-    if (!read_number(length, left_, 10)) return fail("a length that is none");
+    if (!read_number(length, left_, 10)) return fail("invalid Content-Length");
     stage_ = left_ > 0 ? Stage::counted : Stage::done;
   } else if (status == 204 || status == 304) {
     stage_ = Stage::done;
@@ -74,45 +76,44 @@
   return Progress::more;
 }
 
-// A line of the chunked framing.
+// Handles a line of the chunked framing.
 Progress ReplyStream::read_line(std::string_view line) {
   if (stage_ == Stage::trailer) {
     trailer_ += line.size();
-    if (trailer_ > max_head) return fail("trailers without end");
+    if (trailer_ > max_head) return fail("the trailers are too large");
     if (line.empty()) stage_ = Stage::done;
     return Progress::more;
   }
   if (stage_ == Stage::chunk_end) {
-    if (!line.empty()) return fail("a chunk longer than it said");
+    if (!line.empty()) return fail("a chunk is longer than its size");
     stage_ = Stage::chunk_size;
     return Progress::more;
   }
-  if (!read_number(trimmed(line.substr(0, line.find(';'))), left_, 16))
-    return fail("a chunk size that is none");
+  if (!read_number(trimmed(line.substr(0, line.find(';'))), left_, 16)) return fail("invalid chunk size");
   stage_ = left_ > 0 ? Stage::chunk : Stage::trailer;
   return Progress::more;
 }
 
-Progress ReplyStream::advance(net::Buffer& buffer, const BodySink& take) {
+Progress ReplyStream::advance(net::Buffer& buffer, const BodySink& sink) {
   while (stage_ != Stage::done && stage_ != Stage::failed) {
     std::string_view have = buffer.view();
     if (have.empty()) return Progress::more;
     if (stage_ == Stage::head) {
       std::size_t end = have.find("\r\n\r\n");
-      if (end == have.npos) return have.size() > max_head ? fail("a head without end") : Progress::more;
-      if (end > max_head) return fail("a head that is too large");
+      if (end == have.npos) return have.size() > max_head ? fail("the head is too large") : Progress::more;
+      if (end > max_head) return fail("the head is too large");
       if (read_head(have.substr(0, end + 2)) == Progress::failed) return Progress::failed;
       buffer.consume(end + 4);
     } else if (stage_ == Stage::counted || stage_ == Stage::chunk || stage_ == Stage::until_close) {
       std::size_t size = stage_ == Stage::until_close ? have.size() : std::min(left_, have.size());
-      if (!take(have.substr(0, size))) return fail("the body cannot be used");
+      if (!sink(have.substr(0, size))) return fail("the body was rejected");
       buffer.consume(size);
       if (stage_ == Stage::until_close) continue;
       left_ -= size;
       if (left_ == 0) stage_ = stage_ == Stage::counted ? Stage::done : Stage::chunk_end;
     } else {
       std::size_t end = have.find("\r\n");
-      if (end == have.npos) return have.size() > max_line ? fail("a line without end") : Progress::more;
+      if (end == have.npos) return have.size() > max_line ? fail("a chunk line is too long") : Progress::more;
       if (read_line(have.substr(0, end)) == Progress::failed) return Progress::failed;
       buffer.consume(end + 2);
     }
--- a/src/http/stream.h
+++ b/src/http/stream.h
@@ -1,5 +1,5 @@
-// Replies whose bodies are read as they come: a stream that never ends by itself, or one too large to be kept
-// whole. The reader keeps the head and at most one framing line; body bytes go to the caller piece by piece.
+// An incremental parser for HTTP/1.1 replies with endless or large bodies. It keeps the head and at most one
+// line of framing; body bytes are passed on as they are received.
 #pragma once
 
 #include <cstddef>
@@ -13,22 +13,24 @@
 
 namespace pearspar::http {
 
+// Parses consecutive replies of one connection.
 class ReplyStream {
  public:
-  // Takes a piece of the body; false ends the reading (advance() then says `failed`).
+  // Receives a piece of the body. Returning false makes advance() fail.
   using BodySink = std::function<bool(std::string_view piece)>;
 
-  // Uses up what the buffer holds. `done` once the body has ended by its framing.
-  Progress advance(net::Buffer& buffer, const BodySink& take);
-  // The connection has ended: `done` where that is what ends the body (RFC 9112, 6.3), else `failed`.
+  // Consumes the buffer. Returns `done` once the framing says that the body is complete.
+  Progress advance(net::Buffer& buffer, const BodySink& sink);
+  // To be called when the connection has ended: `done` if that ends the body (RFC 9112, 6.3), else `failed`.
   Progress ended();
-  // After `done`: makes ready for the next reply on the connection.
+  // After `done`: prepares for the next reply on the connection.
   void next() { *this = ReplyStream(); }
 
+  // Whether the head has been parsed.
   bool head_in() const { return stage_ != Stage::head && status_ != 0; }
   int status() const { return status_; }
   bool keep_alive() const { return keep_alive_; }
-  // The header's value, empty where there is none. Names without regard to case.
+  // The value of the header with this name, in any case; empty if there is none.
   std::string_view header(std::string_view name) const;
   const std::string& failure_reason() const { return failure_reason_; }
 
@@ -41,8 +43,8 @@
   Stage stage_ = Stage::head;
   int status_ = 0;
   bool keep_alive_ = true;
-  std::size_t left_ = 0;     // bytes of the body, or of the chunk
-  std::size_t trailer_ = 0;  // bytes of trailers
+  std::size_t left_ = 0;     // remaining bytes of the body or the chunk
+  std::size_t trailer_ = 0;  // bytes of trailers so far
   std::vector<std::pair<std::string, std::string>> headers_;
   std::string failure_reason_;
 };
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,5 +1,5 @@
-// Time as the whole broker reads it: steady, and aligned once, at the start, with Unix time, so that moments
-// named by other machines (a node's start) stand on the same scale as the broker's own.
+// The clock of the process: steady, and aligned with Unix time once at start-up, so that timestamps from
+// other machines (such as a node's start time) can be compared with local ones.
 #pragma once
 
 #include <chrono>
@@ -9,6 +9,7 @@
 
 namespace pearspar::net {
 
+// Reads the current time, or the time of the kernel override of this thread.
 class Clock {
  public:
   Clock()
@@ -20,7 +21,7 @@
     return Time(Duration(std::chrono::steady_clock::now().time_since_epoch()) + unix_offset_);
   }
 
-  // The same moment must give the same value each time it is named, so the offset is never measured anew.
+  // Independent of the clock's offset: the same timestamp always gives the same value.
   static Time from_unix_ms(double ms) { return Time(Duration(ms / 1000)); }
 
  private:
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,5 +1,5 @@
-// A listening socket on the loop that hands on each connection as it comes: what servers without limits of
-// their own need (the broker's front has its own).
+// A listening socket that passes each accepted connection to a callback. It has no connection limit; the
+// server for clients (clients/http_server.h) accepts by itself.
 #pragma once
 
 #include <functional>
@@ -9,6 +9,7 @@
 
 namespace pearspar::net {
 
+// Accepts connections while it is open.
 class Listener {
  public:
   using OnConnection = std::function<void(Fd fd)>;
@@ -17,7 +18,7 @@
     open();
   }
 
-  // Throws std::system_error where the address cannot be had. Opened again, it listens where it did.
+  // Throws std::system_error if the address cannot be bound. Opened again, it uses the same address and port.
   void open() {
     if (fd_) return;
     fd_ = listen_on(address_);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -30,15 +30,15 @@
   return Timer(this, key);
 }
 
-// poll(2) counts whole milliseconds. Rounded up: a wait that ends a hair early would find nothing due and
-// spin until it is.
-int Loop::wait_ms(Duration longest) const {
-  Duration wait = longest;
+// poll(2) takes whole milliseconds. Rounded up: a wait that ends too early would find no timer due, and the
+// loop would spin.
+int Loop::wait_ms(Duration max_wait) const {
+  Duration wait = max_wait;
   if (!deadlines_.empty()) wait = std::min(wait, deadlines_.begin()->first.first - clock_.now());
   return static_cast<int>(std::ceil(std::clamp(wait.count(), 0.0, 3600.0) * 1000));
 }
 
-void Loop::run_once(Duration longest) {
+void Loop::run_once(Duration max_wait) {
   poll_set_.clear();
   poll_ids_.clear();
   watched_.each([&](SlotId id, Watched& watched) {
@@ -46,18 +46,18 @@
     poll_ids_.push_back(id);
   });
   int ready = kernel_override ? kernel_override->poll(poll_set_.data(), poll_set_.size())
-                              : ::poll(poll_set_.data(), poll_set_.size(), wait_ms(longest));
+                              : ::poll(poll_set_.data(), poll_set_.size(), wait_ms(max_wait));
   now_ = clock_.now();
   for (std::size_t i = 0; ready > 0 && i < poll_set_.size(); ++i) {
     if (poll_set_[i].revents == 0) continue;
     --ready;
-    // An earlier call of this turn may have closed this one and opened another under its descriptor.
+    // An earlier callback of this iteration may have ended this watch and reused its descriptor number.
     Watched* watched = watched_.find(poll_ids_[i]);
     if (!watched) continue;
     auto on_ready = watched->on_ready;
     (*on_ready)(poll_set_[i].revents);
   }
-  // Those that are set by a call made here wait for the next turn, whatever their time.
+  // Timers set by the callbacks below wait for the next iteration, even if they are due already.
   const std::uint64_t last = next_deadline_;
   while (!deadlines_.empty() && deadlines_.begin()->first.first <= now_ &&
          deadlines_.begin()->first.second <= last) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The one loop: poll(2) over all descriptors, and one ordered set for all deadlines.
+// The event loop: poll(2) over all watched descriptors, and an ordered set of timers. Single-threaded.
 #pragma once
 
 #include <poll.h>
@@ -17,7 +17,7 @@
 
 class Loop;
 
-// Owns a descriptor's place in the poll set. The descriptor must outlive it.
+// A registration of a descriptor with the loop; ends when it is destroyed. The descriptor must outlive it.
 class Watch {
  public:
   Watch() = default;
@@ -29,7 +29,8 @@
   }
   ~Watch() { reset(); }
 
-  void set_events(short events);  // POLLIN, POLLOUT, POLLRDHUP
+  // Sets the events to wait for: POLLIN, POLLOUT, POLLRDHUP.
+  void set_events(short events);
   void reset();
 
  private:
@@ -39,7 +40,7 @@
   SlotId id_;
 };
 
-// Owns one deadline; ends with it.
+// A pending callback; cancelled when this is destroyed.
 class Timer {
  public:
   Timer() = default;
@@ -62,6 +63,7 @@
   Key key_{};
 };
 
+// Waits for descriptors and timers and runs their callbacks.
 class Loop {
  public:
   using OnReady = std::function<void(short events)>;
@@ -70,19 +72,21 @@
   Loop() : now_(clock_.now()) {}
   Loop(const Loop&) = delete;
 
-  // The time of this turn, read after the wait.
+  // The time of this iteration, read after the wait.
   Time now() const { return now_; }
-  // Read afresh, where a turn's own work must not be left out.
+  // Reads the clock again, for callers that have to include the time spent in this iteration.
   Time read_clock() const { return clock_.now(); }
 
+  // Calls `on_ready` with the poll events of `fd` while the returned watch exists.
   [[nodiscard]] Watch watch(int fd, short events, OnReady on_ready);
+  // Calls `on_due` once at `due`, or later, unless the returned timer is destroyed before.
   [[nodiscard]] Timer at(Time due, OnDue on_due);
 
-  // When the next deadline falls due; Time::max() where none is set.
+  // When the next timer is due; Time::max() if there is none.
   Time next_due() const { return deadlines_.empty() ? Time::max() : deadlines_.begin()->first.first; }
 
-  // Waits for the next thing to happen, `longest` at most, and lets it be handled.
-  void run_once(Duration longest = std::chrono::hours(1));
+  // One iteration: waits up to `max_wait` for an event or a timer and runs the callbacks.
+  void run_once(Duration max_wait = std::chrono::hours(1));
 
  private:
   friend class Watch;
@@ -90,9 +94,9 @@
   struct Watched {
     int fd;
     short events;
-    std::shared_ptr<OnReady> on_ready;  // shared, so that a call outlives the end of its own watch
+    std::shared_ptr<OnReady> on_ready;  // shared, so that a callback may end its own watch
   };
-  int wait_ms(Duration longest) const;
+  int wait_ms(Duration max_wait) const;
 
   Clock clock_;
   Time now_;
--- a/src/net/signals.h
+++ b/src/net/signals.h
@@ -1,4 +1,4 @@
-// Signals as descriptor events, so that the loop hears of them like of anything else.
+// Delivers signals as events of the loop (signalfd(2)).
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace pearspar::net {
 
-// Blocks the signals for the process and calls `on_signal` from the loop with each that comes. May stand
-// before the loop does; the watch is the caller's and ends before both. Throws std::system_error.
+// Blocks the given signals and passes each one received to a callback of the loop. Also ignores SIGPIPE. May
+// be created before the loop; the watch has to end before both. Throws std::system_error.
 class Signals {
  public:
   Signals(std::initializer_list<int> signals);
--- a/src/net/slots.h
+++ b/src/net/slots.h
@@ -1,5 +1,5 @@
-// A table of numbered slots. An id names a slot and the generation of what stands in it, so that an id kept
-// too long finds nothing instead of its slot's next tenant.
+// A table of numbered slots. An id names a slot and a generation, so that an id kept after its entry was
+// released finds nothing, even if the slot is in use again.
 #pragma once
 
 #include <compare>
@@ -11,14 +11,16 @@
 
 namespace pearspar::net {
 
+// Identifies an entry of a SlotTable.
 struct SlotId {
   std::uint32_t index = 0;
-  std::uint32_t generation = 0;  // 0 = names nothing
+  std::uint32_t generation = 0;  // 0 = no entry
 
   explicit operator bool() const { return generation != 0; }
   auto operator<=>(const SlotId&) const = default;
 };
 
+// Owns entries of type T, each reached by its id.
 template <typename T>
 class SlotTable {
  public:
@@ -38,7 +40,7 @@
     return {index, slot.generation};
   }
 
-  // Stays where it is until it is released.
+  // The entry, or null. Its address is stable until it is released.
   T* find(SlotId id) {
     if (!id || id.index >= slots_.size()) return nullptr;
     Slot& slot = slots_[id.index];
@@ -56,7 +58,7 @@
 
   std::size_t size() const { return held_; }
 
-  // `visit` may release the one it is shown.
+  // Calls `visit` with each id and entry; `visit` may release that entry.
   template <typename Visit>
   void each(Visit visit) {
     for (std::uint32_t i = 0; i < slots_.size(); ++i)
@@ -68,7 +70,7 @@
     std::uint32_t generation = 1;
     std::optional<T> held;
   };
-  std::deque<Slot> slots_;  // a deque, so that what stands in it never moves
+  std::deque<Slot> slots_;  // a deque, so that entries never move
   std::deque<std::uint32_t> free_;
   std::size_t held_ = 0;
 };
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -25,8 +25,8 @@
   return system;
 }
 
-// Small messages both ways: waiting to fill a segment would cost more than it saves.
-void send_at_once(int fd) {
+// Turns off Nagle's algorithm: messages are small, and latency matters more than full segments.
+void set_no_delay(int fd) {
   int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -75,7 +75,7 @@
     throw std::system_error(errno, std::generic_category(), std::string(what) + " " + address.text());
   };
   if (!fd) fail("socket for");
-  // A restarted broker takes its address back while connections of its last life still linger.
+  // Lets a restarted process bind its address while old connections are in TIME_WAIT.
   int on = 1;
   ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   sockaddr_in system = to_system(address);
@@ -107,14 +107,14 @@
   }
   int fd = ::accept4(listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd >= 0) {
-    send_at_once(fd);
+    set_no_delay(fd);
     accepted = Fd(fd);
     return AcceptResult::accepted;
   }
   if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptResult::none;
   if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
     return AcceptResult::no_descriptors;
-  return AcceptResult::failed;  // this one came to nothing (it was reset, say); the next may not
+  return AcceptResult::failed;  // this connection failed (for example by a reset); the next one may not
 }
 
 Fd start_connect(const Address& address, int& error) {
@@ -125,7 +125,7 @@
     error = errno;
     return fd;
   }
-  send_at_once(fd.get());
+  set_no_delay(fd.get());
   sockaddr_in system = to_system(address);
   if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&system), sizeof system) != 0 && errno != EINPROGRESS &&
       errno != EINTR) {
@@ -155,15 +155,15 @@
   return error;
 }
 
-IoResult read_into(const Fd& fd, Buffer& buffer, std::size_t most) {
-  char* at = buffer.grow(most);
+IoResult read_into(const Fd& fd, Buffer& buffer, std::size_t max_bytes) {
+  char* at = buffer.grow(max_bytes);
   if (kernel_override) {
     std::size_t size = 0;
-    IoResult result = kernel_override->read(fd.get(), at, most, size);
+    IoResult result = kernel_override->read(fd.get(), at, max_bytes, size);
     buffer.commit(size);
     return result;
   }
-  ssize_t got = ::recv(fd.get(), at, most, 0);
+  ssize_t got = ::recv(fd.get(), at, max_bytes, 0);
   if (got > 0) {
     buffer.commit(static_cast<std::size_t>(got));
     return IoResult::some;
@@ -177,13 +177,13 @@
 }
 
 IoResult discard(const Fd& fd) {
-  constexpr std::size_t most = std::size_t{1} << 20;
+  constexpr std::size_t max_bytes = std::size_t{1} << 20;
   if (kernel_override) {
     std::size_t size = 0;
-    return kernel_override->read(fd.get(), nullptr, most, size);
+    return kernel_override->read(fd.get(), nullptr, max_bytes, size);
   }
   // For TCP, MSG_TRUNC drops the bytes in the kernel instead of copying them.
-  ssize_t got = ::recv(fd.get(), nullptr, most, MSG_TRUNC);
+  ssize_t got = ::recv(fd.get(), nullptr, max_bytes, MSG_TRUNC);
   if (got > 0) return IoResult::some;
   if (got == 0) return IoResult::ended;
   return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR ? IoResult::none : IoResult::failed;
@@ -192,7 +192,7 @@
 IoResult write_from(const Fd& fd, std::string_view bytes, std::size_t& written) {
   written = 0;
   if (kernel_override) return kernel_override->write(fd.get(), bytes, written);
-  // MSG_NOSIGNAL: a peer that has gone away is an outcome, not a SIGPIPE.
+  // MSG_NOSIGNAL: a closed peer is reported as an error instead of SIGPIPE.
   ssize_t put = ::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
   if (put >= 0) {
     written = static_cast<std::size_t>(put);
@@ -207,7 +207,7 @@
     throw std::system_error(errno, std::generic_category(), std::string(what) + " " + address.text());
   };
   if (!fd) fail("datagram socket for");
-  int room = 1 << 20;  // the kernel grants what it allows
+  int room = 1 << 20;  // bytes; the kernel may limit it
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
   sockaddr_in system = to_system(address);
   if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&system), sizeof system) != 0) fail("bind datagrams to");
@@ -220,7 +220,7 @@
   ssize_t got = ::recvfrom(fd.get(), into, room, 0, reinterpret_cast<sockaddr*>(&system), &size);
   more = got >= 0;
   if (got < 0) {
-    // A datagram of ours that nobody took comes back as an error; the next may be a good one.
+    // ECONNREFUSED reports that an earlier datagram was not delivered; a datagram may still be waiting.
     more = errno == ECONNREFUSED || errno == EINTR;
     return 0;
   }
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-// Descriptors and the few calls on them that the broker needs: all sockets are IPv4 and non-blocking.
+// Owned descriptors and socket calls. All sockets are IPv4 and non-blocking.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace pearspar::net {
 
-// Owns one descriptor; the one place where it is closed.
+// Owns a descriptor and closes it.
 class Fd {
  public:
   Fd() = default;
@@ -32,52 +32,54 @@
   int fd_ = -1;
 };
 
+// An IPv4 address and a port, in host byte order.
 struct Address {
   std::uint32_t host = 0;
   std::uint16_t port = 0;
 
-  // "127.0.0.1:3000"; nothing where the text is anything else.
+  // Parses text such as "127.0.0.1:3000".
   static std::optional<Address> parse(std::string_view text);
-  // Throws std::system_error where it is none: for those that are to be listened to.
+  // Like parse(), but throws std::system_error for invalid text.
   static Address of(std::string_view text);
   std::string text() const;
   bool operator==(const Address&) const = default;
 };
 
-// Throws std::system_error where the address cannot be had.
+// Throws std::system_error if the address cannot be bound.
 Fd listen_on(const Address& address);
 Address local_address(const Fd& fd);
 
-// Something can be taken: bytes, an end or a reset; of a listener, a connection.
+// Whether a read would not block: there are bytes, an end of stream or an error; for a listener, a
+// connection.
 bool readable(const Fd& fd);
 enum class AcceptResult { accepted, none, no_descriptors, failed };
 AcceptResult accept_one(const Fd& listener, Fd& accepted);
 
-// A connection on its way; empty with `error` set where it failed at once.
+// Starts to connect. Returns an empty Fd and sets `error` if the attempt fails immediately.
 Fd start_connect(const Address& address, int& error);
-// Ends the connection when what was sent is not acknowledged for so long, and when it rested for so long (a
-// second at least) and two probes a second apart are not answered. Behind a cut nobody says anything; and
-// where the other end gave up during a cut, its word of that is lost, and nothing tells this one but a probe.
+// Makes the kernel end a connection whose peer has become unreachable: when sent data stays unacknowledged
+// for `ms`, or when, after `ms` without traffic (at least a second), two keep-alive probes are not answered.
+// Only the probes detect a peer that closed its end during a network partition.
 void set_silence_timeout(const Fd& fd, int ms);
-// After the socket has become writable: 0, or why it did not come up.
+// The result of start_connect(), once the socket is writable: 0, or the error.
 int connect_error(const Fd& fd);
 
 enum class IoResult { some, none, ended, failed };
-// Reads once, `most` bytes at most, behind what the buffer holds.
-IoResult read_into(const Fd& fd, Buffer& buffer, std::size_t most);
-// Our side ends: the peer reads to the end of what was written.
+// Reads once, appending up to `max_bytes` to the buffer.
+IoResult read_into(const Fd& fd, Buffer& buffer, std::size_t max_bytes);
+// Closes the sending side; the peer reads an end of stream after what was written.
 void end_sending(const Fd& fd);
-// Takes what has come and drops it unseen.
+// Reads received bytes and drops them.
 IoResult discard(const Fd& fd);
-// Writes what it can of `bytes`; `written` says how much that was.
+// Writes as much of `bytes` as possible and sets `written` to the number of bytes.
 IoResult write_from(const Fd& fd, std::string_view bytes, std::size_t& written);
 
-// A socket for datagrams, with room for a burst of them. Throws std::system_error where the address cannot be
-// had.
+// A UDP socket with a receive buffer large enough for bursts. Throws std::system_error if the address cannot
+// be bound.
 Fd bind_datagrams(const Address& address);
-// One datagram; `more` is false where none waits. One longer than `room` is cut off there.
+// Receives one datagram, truncated to `room` bytes. `more` is false if none was waiting.
 std::size_t receive_datagram(const Fd& fd, char* into, std::size_t room, Address& from, bool& more);
-// False where the kernel would not take it.
+// Returns false if the kernel did not accept the datagram.
 bool send_datagram(const Fd& fd, const Address& to, std::string_view bytes);
 
 }  // namespace pearspar::net
