--- a/src/clients/http_server.cpp
+++ b/src/clients/http_server.cpp
@@ -16,31 +16,31 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t read_step = 16 * 1024;
-// Bytes held of what a client sends ahead of its turn; more stay in the kernel.
-constexpr std::size_t most_ahead = 64 * 1024;
-// What one peer, or the many that connect at once, may have of one turn of the loop.
-constexpr int reads_at_once = 8;
-constexpr int accepts_at_once = 64;
-constexpr net::Duration linger_time = 1s;     // for a client to see our last words before the end
-constexpr net::Duration accept_pause = 20ms;  // when descriptors have run out
-constexpr std::size_t most_marks = 8;         // further bytes count as of the last one's moment
+constexpr std::size_t read_chunk_bytes = 16 * 1024;
+// Pipelined bytes that are read while a request is pending; more stay in the kernel.
+constexpr std::size_t max_read_ahead_bytes = 64 * 1024;
+// Bound the work for one connection, or for many new ones, in one iteration of the loop.
+constexpr int max_reads_per_event = 8;
+constexpr int max_accepts_per_event = 64;
+constexpr net::Duration close_linger = 1s;          // for the client to read the last answer
+constexpr net::Duration accept_retry_delay = 20ms;  // after running out of descriptors
+constexpr std::size_t max_arrivals = 8;             // later bytes share the time of the last entry
 
 }  // namespace
 
 void HttpServer::listen(const net::Address& address) {
   listener_ = net::listen_on(address);
-  listener_watch_ = loop_.watch(listener_.get(), POLLIN, [this](short) { accept_waiting(accepts_at_once); });
+  listener_watch_ =
+      loop_.watch(listener_.get(), POLLIN, [this](short) { accept_waiting(max_accepts_per_event); });
 }
 
-// What the kernel has accepted counts as taken, so nothing is left waiting there for long: room is made for
-// it.
-void HttpServer::accept_waiting(int most) {
-  for (int i = 0; listener_ && i < most; ++i) {
+// Accepts new connections and closes idle ones to make room for them.
+void HttpServer::accept_waiting(int max_accepts) {
+  for (int i = 0; listener_ && i < max_accepts; ++i) {
     net::Fd fd;
-    // Nobody makes way before somebody is there to take the place.
-    if (connections_.size() >= most_ && !net::readable(listener_)) return;
-    bool full = connections_.size() >= most_ && !close_one_idle();
+    // An idle connection is closed only if a new one is waiting.
+    if (connections_.size() >= max_connections_ && !net::readable(listener_)) return;
+    bool full = connections_.size() >= max_connections_ && !close_one_idle();
     switch (full ? net::AcceptResult::no_descriptors : net::accept_one(listener_, fd)) {
       case net::AcceptResult::none:
         return;
@@ -50,12 +50,12 @@
       case net::AcceptResult::no_descriptors:
         ++counters_.accept_failures;
         if (close_one_idle()) continue;
-        // Its readiness would spin the loop while nothing can be done about it.
+        // The listener stays readable, so the loop would spin if it were still watched.
         warn_("no descriptor for a client");
         listener_watch_.set_events(0);
-        accept_again_ = loop_.at(loop_.now() + accept_pause, [this] {
+        resume_accepting_ = loop_.at(loop_.now() + accept_retry_delay, [this] {
           listener_watch_.set_events(POLLIN);
-          accept_waiting(accepts_at_once);
+          accept_waiting(max_accepts_per_event);
         });
         return;
       case net::AcceptResult::accepted:
@@ -68,8 +68,8 @@
     connection.last_used = loop_.now();
     connection.watch =
         loop_.watch(connection.fd.get(), POLLIN, [this, id](short events) { on_ready(id, events); });
-    guard(id, timeouts_.request);
-    // Its first request is often there already.
+    set_timeout(id, timeouts_.request);
+    // The first request often has arrived already.
     if (read(id) && connections_.find(id)->state == State::reading) advance(id);
   }
 }
@@ -77,7 +77,7 @@
 void HttpServer::stop_listening() {
   accept_waiting(std::numeric_limits<int>::max());
   listener_watch_.reset();
-  accept_again_.reset();
+  resume_accepting_.reset();
   listener_.reset();
 }
 
@@ -108,14 +108,13 @@
 
 bool HttpServer::close_one_idle() {
   net::SlotId oldest;
-  // One that has just connected is about to ask: closing it would fail its first request, which the client
-  // does not send again. Found on a day on which others that keep their connection for good filled the table.
-  net::Time fresh = loop_.now() - timeouts_.request / 4;
-  std::pair<int, net::Time> least{3, net::Time::max()};
+  // A new connection ranks last: its first request is probably on its way, and clients do not retry it.
+  net::Time new_since = loop_.now() - timeouts_.request / 4;
+  std::pair<int, net::Time> lowest_rank{3, net::Time::max()};
   connections_.each([&](net::SlotId id, Connection& connection) {
-    int group = connection.asked ? 1 : connection.last_used < fresh ? 0 : 2;
+    int group = connection.has_requested ? 1 : connection.last_used < new_since ? 0 : 2;
     std::pair<int, net::Time> rank{group, connection.last_used};
-    if (idle(connection) && rank < least) oldest = id, least = rank;
+    if (idle(connection) && rank < lowest_rank) oldest = id, lowest_rank = rank;
   });
   if (!oldest) return false;
   ++counters_.closed_for_room;
@@ -129,75 +128,76 @@
   if (!connection) return;
   if ((events & (POLLIN | POLLRDHUP | POLLHUP | POLLERR)) != 0) {
     if (!read(id)) return;
-    // With as much ahead as is held, nothing is read: its end shows by this alone.
-    bool full = connection->in.size() >= most_ahead && connection->state != State::reading;
+    // With a full buffer nothing is read, so a disconnect shows only in the events.
+    bool full = connection->in.size() >= max_read_ahead_bytes && connection->state != State::reading;
     if (full && (events & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return close(id);
     if (connection->state == State::reading && !connection->half_closed)
       advance(id);
     else
-      want(*connection);
+      update_events(*connection);
   }
   connection = connections_.find(id);
   if (connection && connection->state == State::writing && (events & POLLOUT) != 0) write(id);
 }
 
-// False where the connection is gone afterwards.
+// Returns false if the connection was closed.
 bool HttpServer::read(net::SlotId id) {
   Connection& connection = *connections_.find(id);
-  for (int i = 0; i < reads_at_once; ++i) {
-    if (connection.in.size() >= most_ahead && connection.state != State::reading) break;
-    // What follows our last words is not looked at.
+  for (int i = 0; i < max_reads_per_event; ++i) {
+    if (connection.in.size() >= max_read_ahead_bytes && connection.state != State::reading) break;
+    // Bytes received after the last answer are discarded.
     const std::size_t before_bytes = connection.in.size();
-    net::IoResult result = connection.half_closed ? net::discard(connection.fd)
-                                                  : net::read_into(connection.fd, connection.in, read_step);
+    net::IoResult result = connection.half_closed
+                               ? net::discard(connection.fd)
+                               : net::read_into(connection.fd, connection.in, read_chunk_bytes);
     if (result == net::IoResult::some) {
       connection.last_used = loop_.now();
       if (connection.half_closed) continue;
       const State before = connection.state;
-      mark(connection, connection.in.size() - before_bytes);
-      account(connection);
+      record_arrival(connection, connection.in.size() - before_bytes);
+      update_held_bytes(connection);
       if (!make_room() && before != State::reading) {
-        // Bytes ahead of their turn, and nothing else to be given up.
+        // These are pipelined bytes, and nothing else can be freed.
         ++counters_.closed_for_memory;
         close(id);
       }
       Connection* still = connections_.find(id);
       if (!still) return false;
-      if (still->state != before || still->in.size() >= most_ahead) break;
+      if (still->state != before || still->in.size() >= max_read_ahead_bytes) break;
       continue;
     }
     if (result == net::IoResult::none) {
       connection.unread_since.reset();
       return true;
     }
-    close(id);  // a client that ends its side, or breaks off, waits for no answer
+    close(id);  // a client that closed its side does not wait for an answer
     return false;
   }
   return true;
 }
 
-// Hands on the request at the front of the buffer, if it is whole.
+// Passes the request at the front of the buffer to the handler once it is complete.
 void HttpServer::advance(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   switch (connection.reader.advance(connection.in)) {
     case http::Progress::more:
       if (connection.reader.take_continue_request()) {
-        constexpr std::string_view word = "HTTP/1.1 100 Continue\r\n\r\n";
+        constexpr std::string_view interim = "HTTP/1.1 100 Continue\r\n\r\n";
         std::size_t written = 0;
-        net::write_from(connection.fd, word, written);
-        // Half a word would stand before the answer. A client that has no room for it reads nothing.
-        if (written > 0 && written < word.size()) return close(id);
+        net::write_from(connection.fd, interim, written);
+        // A partial one would corrupt the answer; it happens only if the client does not read.
+        if (written > 0 && written < interim.size()) return close(id);
       }
       if (connection.reader.begun(connection.in)) {
-        connection.asked = true;
-        if (!connection.timer.pending()) guard(id, timeouts_.request);
+        connection.has_requested = true;
+        if (!connection.timer.pending()) set_timeout(id, timeouts_.request);
       }
-      return want(connection);
+      return update_events(connection);
     case http::Progress::failed: {
       ++counters_.bad_requests;
       std::string body = error_body(connection.reader.failure_reason());
       connection.timer.reset();
-      // Where the next request begins is not known any more.
+      // Closes the connection, since the start of the next request is unknown.
       queue(connection, {connection.reader.failure_status(), std::move(body), "application/json", {}, 0},
             true);
       return write(id);
@@ -206,46 +206,46 @@
       break;
   }
   ++counters_.requests;
-  connection.asked = true;
+  connection.has_requested = true;
   connection.timer.reset();
   connection.state = State::waiting;
   connection.last_used = loop_.now();
   connection.consumed = false;
   connection.request_bytes = connection.in.size();
-  account(connection);
+  update_held_bytes(connection);
   if (!make_room()) return refuse_for_memory(id);
   handler_.request_arrived(id, connection.reader.message());
-  // Its user has taken what it needs: a long body is not held twice until the answer is here.
-  Connection* waits = connections_.find(id);
-  if (!waits || waits->state != State::waiting) return;
-  consume(*waits);
-  account(*waits);
-  // Only now: while it stood in the buffer, a long request would have passed for bytes ahead of their turn,
-  // and the next one's time, which counts from its reading, would have begun with this one's answer.
-  want(*waits);
+  // The handler has copied what it needs, so a long body is not held twice until the answer is ready.
+  Connection* pending = connections_.find(id);
+  if (!pending || pending->state != State::waiting) return;
+  consume(*pending);
+  update_held_bytes(*pending);
+  // After consume(): a long request still in the buffer would count as pipelined bytes and pause reading, and
+  // the next request's arrival would be recorded too late.
+  update_events(*pending);
 }
 
-// Takes the request out of the buffer.
+// Removes the pending request from the buffer; keeps what its answer needs.
 void HttpServer::consume(Connection& connection) {
   if (std::exchange(connection.consumed, true)) return;
   connection.keep_alive = connection.reader.message().keep_alive;
   connection.is_head_request = connection.reader.is_head_request();
   connection.reader.next(connection.in);
   const std::uint64_t used = connection.received - connection.in.size();
-  std::erase_if(connection.marks, [&](const auto& mark) { return mark.until <= used; });
+  std::erase_if(connection.arrivals, [&](const auto& arrival) { return arrival.until <= used; });
 }
 
-void HttpServer::mark(Connection& connection, std::size_t bytes) {
+void HttpServer::record_arrival(Connection& connection, std::size_t bytes) {
   connection.received += bytes;
-  if (connection.marks.size() < most_marks)
-    connection.marks.push_back({connection.received, connection.unread_since.value_or(loop_.now())});
+  if (connection.arrivals.size() < max_arrivals)
+    connection.arrivals.push_back({connection.received, connection.unread_since.value_or(loop_.now())});
   else
-    connection.marks.back().until = connection.received;
+    connection.arrivals.back().until = connection.received;
 }
 
 net::Time HttpServer::request_began(net::SlotId id) {
   const Connection* connection = connections_.find(id);
-  return connection && !connection->marks.empty() ? connection->marks.front().at : loop_.now();
+  return connection && !connection->arrivals.empty() ? connection->arrivals.front().at : loop_.now();
 }
 
 void HttpServer::queue(Connection& connection, const Answer& answer, bool close_after) {
@@ -267,7 +267,7 @@
   out += "\r\n";
   if (!bare) out += answer.body;
   connection.consumed = false;
-  account(connection);
+  update_held_bytes(connection);
 }
 
 void HttpServer::answer(net::SlotId id, const Answer& answer) {
@@ -290,32 +290,32 @@
     connection.written += written;
     connection.last_used = loop_.now();
   }
-  if (connection.written == connection.out.size()) return sent(id);
-  if (!connection.timer.pending()) guard(id, timeouts_.answer);
-  want(connection);
+  if (connection.written == connection.out.size()) return finish_write(id);
+  if (!connection.timer.pending()) set_timeout(id, timeouts_.answer);
+  update_events(connection);
 }
 
-void HttpServer::sent(net::SlotId id) {
+void HttpServer::finish_write(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   connection.last_used = loop_.now();
   std::string().swap(connection.out);
   connection.written = 0;
   connection.timer.reset();
   connection.state = State::reading;
-  account(connection);
+  update_held_bytes(connection);
   if (connection.close_after) {
     if (connection.half_closed) return;
-    // Closing with bytes of the client unread would reset the connection and could take the answer with it:
-    // our side ends first, and theirs is read out for a moment.
+    // Closing a socket with unread bytes resets the connection, and the client could lose the answer. So only
+    // the sending side is closed, and received bytes are discarded for a moment.
     connection.half_closed = true;
     net::end_sending(connection.fd);
     connection.in.release();
-    account(connection);
-    guard(id, linger_time);
+    update_held_bytes(connection);
+    set_timeout(id, close_linger);
     connection.watch.set_events(POLLIN);
     return;
   }
-  // Bytes that came ahead of their turn are read in the next turn, so that one client cannot hold the loop.
+  // Pipelined requests are handled in the next iteration, so that one client cannot block the loop.
   if (connection.in.size() > 0)
     connection.timer = loop_.at(loop_.now(), [this, id] {
       Connection* next = connections_.find(id);
@@ -323,34 +323,34 @@
       next->timer.reset();
       advance(id);
     });
-  want(connection);
+  update_events(connection);
 }
 
-void HttpServer::want(Connection& connection) {
-  const bool reads = connection.in.size() < most_ahead || connection.state == State::reading;
+void HttpServer::update_events(Connection& connection) {
+  const bool reads = connection.in.size() < max_read_ahead_bytes || connection.state == State::reading;
   if (!reads && !connection.unread_since) connection.unread_since = loop_.now();
   short events = static_cast<short>(reads ? POLLIN : POLLRDHUP);
   if (connection.state == State::writing) events = static_cast<short>(events | POLLOUT);
   connection.watch.set_events(events);
 }
 
-void HttpServer::guard(net::SlotId id, net::Duration span) {
+void HttpServer::set_timeout(net::SlotId id, net::Duration span) {
   Connection& connection = *connections_.find(id);
-  connection.timer = loop_.at(loop_.now() + span, [this, id] { give_up_waiting(id); });
+  connection.timer = loop_.at(loop_.now() + span, [this, id] { on_timeout(id); });
 }
 
-void HttpServer::give_up_waiting(net::SlotId id) {
-  Connection* slow = connections_.find(id);
-  if (!slow) return;
-  slow->timer.reset();
-  if (slow->half_closed) return close(id);
-  if (idle(*slow)) {
+void HttpServer::on_timeout(net::SlotId id) {
+  Connection* connection = connections_.find(id);
+  if (!connection) return;
+  connection->timer.reset();
+  if (connection->half_closed) return close(id);
+  if (idle(*connection)) {
     ++counters_.closed_unused;
     return close(id);
   }
   ++counters_.timed_out;
-  if (slow->state != State::reading) return close(id);
-  queue(*slow, {408, error_body("the request did not come in time"), "application/json", {}, 0}, true);
+  if (connection->state != State::reading) return close(id);
+  queue(*connection, {408, error_body("the request did not come in time"), "application/json", {}, 0}, true);
   write(id);
 }
 
--- a/src/clients/http_server.h
+++ b/src/clients/http_server.h
@@ -1,5 +1,5 @@
-// The clients' side: the listening socket, the connections that clients keep, and one request at a time on
-// each of them.
+// The HTTP server for clients: a listening socket and persistent connections, with one request at a time on
+// each connection.
 #pragma once
 
 #include <cstdint>
@@ -18,90 +18,97 @@
 
 namespace pearspar::clients {
 
+// Totals since the start.
 struct HttpServerCounters {
   std::uint64_t accepted = 0;
   std::uint64_t requests = 0;
   std::uint64_t bad_requests = 0;
   std::uint64_t answers = 0;
   std::uint64_t closed_for_room = 0;
-  std::uint64_t timed_out = 0;      // half a request, or an answer that was not taken
-  std::uint64_t closed_unused = 0;  // connections that never began a request
+  std::uint64_t timed_out = 0;      // incomplete requests and answers that the client did not read
+  std::uint64_t closed_unused = 0;  // connections without a request
   std::uint64_t accept_failures = 0;
-  std::uint64_t refused_for_memory = 0;  // requests that were still coming, or were whole, answered 503
-  std::uint64_t closed_for_memory = 0;   // answers that were not taken, bytes that came ahead of their turn
+  std::uint64_t refused_for_memory = 0;  // requests, complete or not, that were answered with 503
+  std::uint64_t closed_for_memory = 0;   // connections closed with an unread answer or pipelined bytes
 };
 
+// A response to a client.
 struct Answer {
   int status = 200;
   std::string body;
-  std::string_view type = "application/json";  // empty = none is named
-  std::string_view allow;                      // of a 405
-  double retry_after_s = 0;                    // 0 = none
-  std::string headers = {};                    // further lines, each with its end
-  bool bare = false;                           // no body, and no length but what `headers` names
+  std::string_view type = "application/json";  // empty = no Content-Type
+  std::string_view allow;                      // Allow header of a 405
+  double retry_after_s = 0;                    // 0 = no Retry-After
+  std::string headers = {};                    // further header lines, each with CRLF
+  bool bare = false;                           // no body, and no Content-Length except in `headers`
 };
 
+// Receives the requests of an HttpServer.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  // A whole request; its slices hold during the call. It is answered by HttpServer::answer(), now or later.
+  // A complete request; its slices are valid during the call. HttpServer::answer() answers it, now or later.
   virtual void request_arrived(net::SlotId connection, const http::Message& message) = 0;
-  // The client of a request that is not answered yet has gone.
+  // The client disconnected before its request was answered.
   virtual void client_left(net::SlotId connection) = 0;
 };
 
+// How long a client may take to send a request and to read its answer.
 struct RequestTimeouts {
-  // For a first request from connecting, for the rest of a later one once it has begun. Whoever sends without
-  // end or says nothing is to learn in a few seconds that this leads nowhere.
+  // The first request counts from connecting, later ones from their first byte.
   net::Duration request = std::chrono::seconds(2);
-  net::Duration answer = std::chrono::seconds(10);  // to be taken by its client
+  net::Duration answer = std::chrono::seconds(10);
 };
 
+// Serves HTTP/1.1 clients. Runs on the loop's thread.
+
 class HttpServer {
  public:
   using Warn = std::function<void(std::string_view what)>;
-  HttpServer(net::Loop& loop, Warn warn, std::size_t most_connections, RequestHandler& user,
+  HttpServer(net::Loop& loop, Warn warn, std::size_t max_connections, RequestHandler& handler,
              RequestTimeouts timeouts = {}, http::MessageLimits limits = {})
       : loop_(loop),
         warn_(std::move(warn)),
-        most_(most_connections),
-        handler_(user),
+        max_connections_(max_connections),
+        handler_(handler),
         timeouts_(timeouts),
         limits_(limits) {}
 
-  // Bytes held for all connections together, at the most. Beyond them room is made: first by refusing the
-  // request that is still coming and holds the most, then by closing on whoever does not take its answer.
+  // Bounds the buffers of all connections together. Beyond the bound, the largest incomplete request is
+  // refused; if there is none, the connection with the largest answer that its client does not read is
+  // closed.
   void set_memory_bound(std::size_t bytes) { memory_bound_ = bytes; }
   std::size_t held_bytes() const { return held_bytes_; }
-  // Gives up what one connection holds, as for the bound; false where nothing is left to give up.
+  // Frees the buffers of one connection in the same way. Returns false if there is none to free.
   bool shed();
 
   void listen(const net::Address& address);
   net::Address address() const { return net::local_address(listener_); }
 
+  // Answers the pending request of a connection; does nothing if its client has disconnected.
   void answer(net::SlotId connection, const Answer& answer);
-  // When the first byte of the request that is at work there was read; it may have waited behind another.
+  // When the first byte of the pending request was received. A pipelined request may have waited since then.
   net::Time request_began(net::SlotId connection);
 
-  // Answers to HEAD name their body's length and leave it out.
+  // Answers to HEAD requests have a Content-Length but no body.
   void omit_body_for_head() { omit_body_for_head_ = true; }
-  // From here on each answer ends its connection.
+  // From now on each connection is closed after its next answer.
   void start_draining() { draining_ = true; }
-  // For connections that come from here on, and for requests that begin from here on.
+  // The message limits apply to new connections, the timeouts to requests that begin from now on.
   void set_limits(RequestTimeouts timeouts, http::MessageLimits limits) {
     timeouts_ = timeouts;
     limits_ = limits;
   }
-  // Closes connections that have carried nothing for so long.
+  // Closes idle connections that were last used before the given time.
   void close_idle_since(net::Time before);
-  // Takes what the kernel has accepted, and nothing after it.
+  // Accepts the connections in the kernel's queue, then closes the listening socket.
   void stop_listening();
   void close_idle();
-  // Closes one that is idle: first of those that have long said nothing since they connected, then the one
-  // whose last request is longest ago, then the newest comers; false where none is idle.
+  // Closes one idle connection: preferably one that sent nothing for long after connecting, then the one that
+  // was used least recently, then a new one. Returns false if none is idle.
   bool close_one_idle();
 
-  // Those that wait for an answer or have not taken all of theirs.
+  // Connections whose request is pending or whose answer is not yet delivered.
   std::size_t busy();
   std::size_t connections() const { return connections_.size(); }
   const HttpServerCounters& counters() const { return counters_; }
@@ -112,63 +119,63 @@
     explicit Connection(http::MessageLimits limits) : reader(http::MessageKind::request, limits) {}
     net::Fd fd;
     net::Watch watch;
-    net::Timer timer;    // for a request to be whole, or for an answer to be taken
-    bool asked = false;  // has begun a request once
+    net::Timer timer;            // bounds receiving a request or delivering an answer
+    bool has_requested = false;  // has begun a request
     State state = State::reading;
     net::Buffer in;
     http::MessageReader reader;
     std::string out;
     std::size_t written = 0;
     bool close_after = false;
-    bool half_closed = false;  // we have ended our side and drain theirs
-    bool consumed = false;     // the request that waits has left the buffer; what its answer needs is below
+    bool half_closed = false;  // the sending side is closed; received bytes are discarded
+    bool consumed = false;     // the pending request was removed from `in`; the next fields describe it
     bool keep_alive = true;
     bool is_head_request = false;
-    std::size_t request_bytes = 0;  // of the request that waits
-    // Which bytes came when, for those that are not used up: up to `until` of all, at `at`.
-    struct Mark {
+    std::size_t request_bytes = 0;  // size of the pending request
+    // When the unconsumed bytes were received. `until` counts all bytes of the connection.
+    struct Arrival {
       std::uint64_t until;
       net::Time at;
     };
-    std::vector<Mark> marks;
+    std::vector<Arrival> arrivals;
     std::uint64_t received = 0;
-    // Nothing has been read since then: what is read next may have come at any moment after it.
+    // Reading has been paused since then: the bytes read next may have arrived at any time after it.
     std::optional<net::Time> unread_since;
-    std::size_t held = 0;  // as counted in held_bytes_
+    std::size_t held = 0;  // this connection's share of held_bytes_
     net::Time last_used{};
   };
 
-  void accept_waiting(int most);
+  void accept_waiting(int max_accepts);
   void on_ready(net::SlotId id, short events);
   bool read(net::SlotId id);
   void advance(net::SlotId id);
   void write(net::SlotId id);
-  void sent(net::SlotId id);
-  void want(Connection& connection);
+  void finish_write(net::SlotId id);
+  void update_events(Connection& connection);
   void queue(Connection& connection, const Answer& answer, bool close_after);
-  void guard(net::SlotId id, net::Duration span);
-  void give_up_waiting(net::SlotId id);
+  void set_timeout(net::SlotId id, net::Duration span);
+  void on_timeout(net::SlotId id);
   bool idle(const Connection& connection) const;
   void consume(Connection& connection);
-  void mark(Connection& connection, std::size_t bytes);
-  // Of front_memory.cpp.
-  void account(Connection& connection);
-  std::size_t bytes_of(const Connection& connection) const;
+  void record_arrival(Connection& connection, std::size_t bytes);
+  // Defined in http_server_memory.cpp.
+  void update_held_bytes(Connection& connection);
+  std::size_t memory_of(const Connection& connection) const;
   bool make_room();
-  net::SlotId largest(const std::function<bool(const Connection&)>& counts);
+  net::SlotId largest(const std::function<bool(const Connection&)>& matches);
   void refuse_for_memory(net::SlotId id);
-  // The one place where a connection ends.
+  // Every connection ends here.
   void close(net::SlotId id);
 
   net::Loop& loop_;
   Warn warn_;
-  std::size_t most_;
+  std::size_t max_connections_;
   RequestHandler& handler_;
   RequestTimeouts timeouts_;
   http::MessageLimits limits_;
   net::Fd listener_;
   net::Watch listener_watch_;
-  net::Timer accept_again_;
+  net::Timer resume_accepting_;
   bool draining_ = false;
   bool omit_body_for_head_ = false;
   net::SlotTable<Connection> connections_;
--- a/src/clients/query.cpp
+++ b/src/clients/query.cpp
@@ -7,15 +7,15 @@
 namespace pearspar::clients {
 namespace {
 
-constexpr std::size_t longest_id = 200;
-constexpr std::size_t longest_text = 16 * 1024;
-constexpr int body_depth = 8;
-constexpr double longest_wait_ms = 24 * 3600 * 1000.0;
-constexpr double largest_cost_us = 1e12;
+constexpr std::size_t max_id_bytes = 200;
+constexpr std::size_t max_text_bytes = 16 * 1024;
+constexpr int max_body_depth = 8;
+constexpr double max_time_left_ms = 24 * 3600 * 1000.0;
+constexpr double max_cost_us = 1e12;
 
-// It becomes a word of a node's line.
+// Ids become a word of a line-based protocol to nodes.
 bool is_word(std::string_view text) {
-  return !text.empty() && text.size() <= longest_id &&
+  return !text.empty() && text.size() <= max_id_bytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
@@ -37,12 +37,12 @@
   const json::Value* weight = value.find("portion");
   auto share = weight ? weight->number() : std::nullopt;
   if (!share) return RequestError{400, "portion: missing or not a number"};
-  // In all they come to 1; one that is rounded may stand a hair over it.
+  // All weights sum up to 1; a rounded one may be slightly above it.
   if (*share < 0 || *share > 1.001) return RequestError{400, "portion: not from 0 to 1"};
   part.weight = *share;
   if (const json::Value* price = value.find("price"); price && !price->is(json::Kind::null)) {
     part.cost_us = price->number();
-    if (!part.cost_us || *part.cost_us < 0 || *part.cost_us > largest_cost_us)
+    if (!part.cost_us || *part.cost_us < 0 || *part.cost_us > max_cost_us)
       return RequestError{400, "price: not a number in range"};
   }
   if (const json::Value* hash = value.find("hash"); hash && !hash->is(json::Kind::null)) {
@@ -57,7 +57,7 @@
 std::optional<RequestError> read_body(std::string_view body, const QueryLimits& limits, Query& query) {
   json::Value root;
   try {
-    root = json::parse(body, body_depth);
+    root = json::parse(body, max_body_depth);
   } catch (const json::ParseError& error) {
     return RequestError{400, std::string("body: ") + error.what()};
   }
@@ -69,19 +69,19 @@
   double sum = 0;
   for (const json::Value& item : ranges->items) {
     QueryPart part;
-    if (auto fault = read_part(item, limits, part)) return fault;
+    if (auto error = read_part(item, limits, part)) return error;
     if (seen[static_cast<std::size_t>(part.shard)]) return RequestError{400, "range: a shard stands twice"};
     seen[static_cast<std::size_t>(part.shard)] = true;
     sum += part.weight;
     query.parts.push_back(part);
   }
-  // Each is rounded for itself.
+  // Each weight may be rounded.
   double slack = 1e-3 + 5e-4 * static_cast<double>(ranges->items.size());
   if (std::abs(sum - 1) > slack) return RequestError{400, "portion: not 1 in all"};
   const json::Value* text = root.find("predicate");
   auto words = text ? text->text() : std::nullopt;
   if (!words) return RequestError{400, "predicate: missing or not a text"};
-  if (words->size() > longest_text) return RequestError{400, "predicate: too long"};
+  if (words->size() > max_text_bytes) return RequestError{400, "predicate: too long"};
   query.text = std::move(*words);
   return std::nullopt;
 }
@@ -101,7 +101,7 @@
   std::string_view left = message.header("X-Time-Left-Ms").value_or("");
   auto [stop, error] = std::from_chars(left.data(), left.data() + left.size(), query.time_left_ms);
   if (left.empty() || error != std::errc() || stop != left.data() + left.size() ||
-      !(std::abs(query.time_left_ms) <= longest_wait_ms))
+      !(std::abs(query.time_left_ms) <= max_time_left_ms))
     return RequestError{400, "X-Time-Left-Ms: missing or not a number of milliseconds"};
   query.repeat = message.header("X-Repeat").value_or("") == "1";
   return read_body(message.body, limits, query);
--- a/src/clients/query.h
+++ b/src/clients/query.h
@@ -1,4 +1,4 @@
-// A client's query as it stands in a request, and the answers that go back.
+// Parsing of queries from HTTP requests and formatting of their answers.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,15 @@
 
 namespace pearspar::clients {
 
+// One shard of a query.
 struct QueryPart {
   int shard = 0;
-  double weight = 0;
+  double weight = 0;  // share of the whole query, 0..1
   std::optional<double> cost_us;
   std::uint64_t key = 0;  // 0 = none
 };
 
+// A parsed query. Its views are slices of the message.
 struct Query {
   std::string_view id;
   std::string_view cls;
@@ -31,24 +33,26 @@
   std::string text;
 };
 
-// What a client is to be told of a request that is no query; `field` and `why` in one line.
+// Why a request is not a valid query: the status and error text for the client.
 struct RequestError {
   int status = 400;
   std::string why;
 };
 
-// The limits that a query has to keep to; what breaks one never gets beyond this reader.
+// Limits on a query.
 struct QueryLimits {
   int shards = 0;
   std::size_t most_parts = 0;
   bool needs_tenant = false;
 };
 
-// Fills `query`, whose views are slices of the message; a fault where the request is none.
+// Fills `query` from the message, or returns an error.
 std::optional<RequestError> read_query(const http::Message& message, const QueryLimits& limits, Query& query);
 
 using engine::PartValue;
+// Formats the JSON body of an error response.
 std::string error_body(std::string_view why);
+// Formats the JSON body of an answer.
 std::string answer_body(bool whole, std::span<const PartValue> parts);
 
 }  // namespace pearspar::clients
--- a/src/upstream/node_links.cpp
+++ b/src/upstream/node_links.cpp
@@ -13,20 +13,20 @@
 using dispatch::CallOutcome;
 using dispatch::CallResult;
 
-constexpr std::size_t read_step = 16 * 1024;
-constexpr int reads_at_once = 8;
-constexpr net::Duration connect_within = 700ms;
+constexpr std::size_t read_chunk_bytes = 16 * 1024;
+constexpr int max_reads_per_event = 8;
+constexpr net::Duration connect_timeout = 700ms;
 constexpr int silence_ms = 1500;
-constexpr net::Duration idle_for = 4s;        // where the node does not tell how long it keeps one
-constexpr net::Duration idle_margin = 400ms;  // we close first
-constexpr net::Duration grace = 300ms;        // past the request's end, for the node's own 504
+constexpr net::Duration default_keep_alive = 4s;  // if the node sends no Keep-Alive header
+constexpr net::Duration idle_margin = 400ms;      // so that this side closes first
+constexpr net::Duration response_grace = 300ms;   // after the request's deadline, for the node's own 504
 
 constexpr std::string_view id_header = "Request-Id";
 
 std::uint64_t key(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
 
-// The id as it stands in a request's head; clients write the header's name as they like.
-std::string id_of(std::string_view request) {
+// The id in the head of a request. Clients may send the header name in any case.
+std::string request_id(std::string_view request) {
   std::string_view head = request.substr(0, request.find("\r\n\r\n"));
   for (std::size_t at = head.find("\r\n"); at != head.npos; at = head.find("\r\n", at)) {
     at += 2;
@@ -38,41 +38,42 @@
   return {};
 }
 
-net::Duration kept_for(const http::Message& message) {
+// How long the node keeps an idle connection, by its Keep-Alive header.
+net::Duration keep_alive_timeout(const http::Message& message) {
   auto header = message.header("Keep-Alive");
-  if (!header) return idle_for;
+  if (!header) return default_keep_alive;
   std::size_t at = header->find("timeout=");
-  if (at == header->npos) return idle_for;
+  if (at == header->npos) return default_keep_alive;
   double seconds = 0;
   const char* begin = header->data() + at + 8;
   auto [stop, error] = std::from_chars(begin, header->data() + header->size(), seconds);
-  return error == std::errc() && stop != begin ? net::Duration(seconds) : idle_for;
+  return error == std::errc() && stop != begin ? net::Duration(seconds) : default_keep_alive;
 }
 
 }  // namespace
 
-bool NodeLinks::start(dispatch::CallId call, const dispatch::NodeState& node, int most,
+bool NodeLinks::start(dispatch::CallId call, const dispatch::NodeState& node, int max_connections,
                       dispatch::NodeRequest request, dispatch::Time end) {
-  // Looked up anew each time: with its last connection a pool is gone.
+  // Looked up each time, since close() erases a pool with its last connection.
   while (!pools_[node.address].idle.empty()) {
     auto& idle = pools_[node.address].idle;
     net::SlotId id = idle.back();
     idle.pop_back();
     Connection* connection = connections_.find(id);
     if (!connection || connection->busy) continue;
-    // Past its time, or forgotten by the node: what is sent on it now would be lost.
-    bool old = connection->idle_until <= loop_.now();
-    if (old || net::readable(connection->fd)) {
-      counters_.forgotten += !old;
+    // Skips connections that have expired or that the node has closed.
+    bool expired = connection->idle_until <= loop_.now();
+    if (expired || net::readable(connection->fd)) {
+      counters_.forgotten += !expired;
       close(id, CallOutcome::no_connection);
       continue;
     }
     ++counters_.reused;
-    begin(id, call, std::move(request), end);
+    assign(id, call, std::move(request), end);
     send_request(id);
     return true;
   }
-  if (pools_[node.address].connections >= most) return false;
+  if (pools_[node.address].connections >= max_connections) return false;
   auto address = net::Address::parse(node.address);
   if (!address) return false;
   int error = 0;
@@ -87,27 +88,27 @@
   ++pools_[node.address].connections;
   connection.watch =
       loop_.watch(connection.fd.get(), POLLOUT, [this, id](short events) { on_ready(id, events); });
-  begin(id, call, std::move(request), end);
-  connection.timer = loop_.at(std::min(end, loop_.now() + connect_within), [this, id] { due(id); });
+  assign(id, call, std::move(request), end);
+  connection.timer = loop_.at(std::min(end, loop_.now() + connect_timeout), [this, id] { on_timeout(id); });
   return true;
 }
 
-void NodeLinks::begin(net::SlotId id, dispatch::CallId call, dispatch::NodeRequest request, net::Time end) {
+void NodeLinks::assign(net::SlotId id, dispatch::CallId call, dispatch::NodeRequest request, net::Time end) {
   Connection& connection = *connections_.find(id);
   connection.busy = true;
   connection.call = call;
-  connection.id = id_of(request.head);
+  connection.id = request_id(request.head);
   connection.end = end;
   connection.reader.expect_no_body(request.head.starts_with("HEAD "));
   connection.request = std::move(request);
   connection.out.clear();
   connection.written = 0;
   connection.all_written = false;
-  connection.timer = loop_.at(end + grace, [this, id] { due(id); });
+  connection.timer = loop_.at(end + response_grace, [this, id] { on_timeout(id); });
   calls_[key(call)] = id;
 }
 
-// With the time that is left now, which may be less than when the connection was asked for.
+// Sends the request with the time that is left now that the connection is up.
 void NodeLinks::send_request(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   invariants::check(invariants::Promise::nothing_sent_past_deadline, loop_.now() <= connection.end,
@@ -129,7 +130,7 @@
   return true;
 }
 
-void NodeLinks::due(net::SlotId id) {
+void NodeLinks::on_timeout(net::SlotId id) {
   Connection* connection = connections_.find(id);
   if (!connection) return;
   if (connection->up) ++counters_.overdue;
@@ -143,9 +144,9 @@
   if (!connection->up) {
     if (net::connect_error(connection->fd) != 0) return close(id, CallOutcome::no_connection);
     connection->up = true;
-    // A process that stood still meanwhile: what nobody waits for any more is not sent.
+    // The request may have expired while this process was suspended; it is not sent then.
     if (loop_.now() >= connection->end) return close(id, CallOutcome::no_connection);
-    connection->timer = loop_.at(connection->end + grace, [this, id] { due(id); });
+    connection->timer = loop_.at(connection->end + response_grace, [this, id] { on_timeout(id); });
     return send_request(id);
   }
   if ((events & (POLLIN | POLLHUP | POLLERR)) != 0) {
@@ -162,41 +163,41 @@
     auto result =
         net::write_from(connection.fd, std::string_view(connection.out).substr(connection.written), written);
     if (result == net::IoResult::failed) {
-      // Not from within start(): the end is told in the loop's next turn.
-      connection.timer = loop_.at(loop_.now(), [this, id] { unwritten(id); });
+      // Reported in the loop's next iteration, since start() must not call back.
+      connection.timer = loop_.at(loop_.now(), [this, id] { on_write_failed(id); });
       return connection.watch.set_events(0);
     }
     if (result == net::IoResult::none) break;
     connection.written += written;
   }
   connection.all_written = connection.written == connection.out.size();
-  bool rest = !connection.all_written;
-  if (!rest) std::string().swap(connection.out);
-  connection.watch.set_events(static_cast<short>(rest ? POLLIN | POLLOUT : POLLIN));
+  bool remaining = !connection.all_written;
+  if (!remaining) std::string().swap(connection.out);
+  connection.watch.set_events(static_cast<short>(remaining ? POLLIN | POLLOUT : POLLIN));
 }
 
-// The node takes no more of it; what it has said before may be a whole answer.
-void NodeLinks::unwritten(net::SlotId id) {
+// The node reads no more of the request, but may have sent a complete response already.
+void NodeLinks::on_write_failed(net::SlotId id) {
   if (connections_.find(id)) read(id);
   close(id, CallOutcome::broken);
 }
 
 void NodeLinks::read(net::SlotId id) {
-  for (int i = 0; i < reads_at_once; ++i) {
+  for (int i = 0; i < max_reads_per_event; ++i) {
     Connection& connection = *connections_.find(id);
-    auto result = net::read_into(connection.fd, connection.in, read_step);
+    auto result = net::read_into(connection.fd, connection.in, read_chunk_bytes);
     if (result == net::IoResult::none) break;
     if (result != net::IoResult::some) {
-      // What has come before the end may be a whole answer.
-      if (connection.busy && ended(connection, result) == http::Progress::done) answered(id);
+      // The bytes before the end may be a complete response.
+      if (connection.busy && ended(connection, result) == http::Progress::done) on_response(id);
       return close(id, CallOutcome::broken);
     }
-    account(connection);
+    update_held_bytes(connection);
     if (held_bytes_ > memory_bound_) {
       ++counters_.without_memory;
       return close(id, CallOutcome::broken);
     }
-    if (connection.in.size() < read_step) break;
+    if (connection.in.size() < read_chunk_bytes) break;
   }
   Connection& connection = *connections_.find(id);
   if (!connection.busy) {
@@ -210,23 +211,23 @@
       ++counters_.spoilt;
       return close(id, CallOutcome::broken);
     case http::Progress::done:
-      return answered(id);
+      return on_response(id);
   }
 }
 
-// No more comes. Only an end in good order is one of an answer that has no other.
+// Handles the end of the connection. Only an orderly end, not a reset, completes a response without a length.
 http::Progress NodeLinks::ended(Connection& connection, net::IoResult result) {
   const http::Progress progress = advance(connection);
   if (progress != http::Progress::more || result != net::IoResult::ended) return progress;
   return connection.reader.ended(connection.in);
 }
 
-void NodeLinks::account(Connection& connection) {
+void NodeLinks::update_held_bytes(Connection& connection) {
   const std::size_t before = std::exchange(connection.held, connection.in.capacity());
   held_bytes_ += connection.held - before;
 }
 
-// Interim answers are passed over.
+// Skips interim (1xx) responses.
 http::Progress NodeLinks::advance(Connection& connection) {
   while (true) {
     http::Progress progress = connection.reader.advance(connection.in);
@@ -235,54 +236,54 @@
   }
 }
 
-void NodeLinks::answered(net::SlotId id) {
+void NodeLinks::on_response(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   const http::Message& message = connection.reader.message();
-  bool echoed = false, ours = true;
+  bool echoed = false, matches = true;
   for (const auto& [name, value] : message.headers)
     if (http::equals_ignoring_case(name, id_header)) {
       echoed = true;
-      ours = ours && value == connection.id;
+      matches = matches && value == connection.id;
     }
-  // An answer to something else, late in the place of ours; or one that somebody on the way has changed. One
-  // that names nothing belongs to us for certain only where nothing was asked on this connection before.
+  // Rejects late responses to another request and re-encoded ones. A response without an id certainly belongs
+  // to this request only if it is the first on its connection.
   if (!echoed) {
     ++counters_.unnamed;
-    ours = !connection.used;
+    matches = !connection.used;
   }
-  if (!ours || message.header("Content-Encoding")) {
+  if (!matches || message.header("Content-Encoding")) {
     ++counters_.spoilt;
     return close(id, CallOutcome::broken);
   }
-  CallResult end;
-  end.status = message.status;
-  end.postmark = message.header("Postmark").value_or(std::string_view());
-  end.content_type = message.header("Content-Type").value_or(std::string_view());
-  end.body = message.body;
-  end.content_length = message.length;
+  CallResult result;
+  result.status = message.status;
+  result.postmark = message.header("Postmark").value_or(std::string_view());
+  result.content_type = message.header("Content-Type").value_or(std::string_view());
+  result.body = message.body;
+  result.content_length = message.length;
   if (message.status == 421)
-    end.outcome = CallOutcome::misdirected;
+    result.outcome = CallOutcome::misdirected;
   else if (message.header("Not-Run"))
-    end.outcome = CallOutcome::not_run;
+    result.outcome = CallOutcome::not_run;
   else
-    end.outcome = CallOutcome::answered;
+    result.outcome = CallOutcome::answered;
   bool keep = echoed && message.keep_alive && connection.all_written;
-  connection.idle_until = loop_.now() + kept_for(message) - idle_margin;
+  connection.idle_until = loop_.now() + keep_alive_timeout(message) - idle_margin;
   dispatch::CallId call = connection.call;
   connection.busy = false;
   calls_.erase(key(call));
   connection.timer.reset();
-  // The slices hold until the reader moves on; on_end may start another call, never on this connection.
-  on_end_(call, end);
+  // The slices are valid until reader.next(). on_end_ may start another call, but not on this connection.
+  on_end_(call, result);
   if (!connections_.find(id)) return;
   connection.reader.next(connection.in);
-  account(connection);
+  update_held_bytes(connection);
   if (connection.in.size() > 0) ++counters_.surplus;
   if (!keep || connection.in.size() > 0) return close(id, CallOutcome::no_connection);
-  rest(id);
+  return_to_pool(id);
 }
 
-void NodeLinks::rest(net::SlotId id) {
+void NodeLinks::return_to_pool(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   std::string().swap(connection.out);
   connection.written = 0;
@@ -292,22 +293,22 @@
 }
 
 void NodeLinks::sweep() {
-  std::vector<net::SlotId> old;
+  std::vector<net::SlotId> expired;
   connections_.each([&](net::SlotId id, Connection& connection) {
-    if (connection.up && !connection.busy && connection.idle_until <= loop_.now()) old.push_back(id);
+    if (connection.up && !connection.busy && connection.idle_until <= loop_.now()) expired.push_back(id);
   });
-  for (net::SlotId id : old) close(id, CallOutcome::no_connection);
+  for (net::SlotId id : expired) close(id, CallOutcome::no_connection);
 }
 
-void NodeLinks::close(net::SlotId id, CallOutcome ending) {
+void NodeLinks::close(net::SlotId id, CallOutcome outcome) {
   Connection* connection = connections_.find(id);
   if (!connection) return;
   bool busy = connection->busy;
   held_bytes_ -= connection->held;
-  // None of it has left: it has not run.
-  if (busy && ending == CallOutcome::broken && connection->written == 0) {
+  // If no byte was written, the request cannot have run.
+  if (busy && outcome == CallOutcome::broken && connection->written == 0) {
     ++counters_.unwritten;
-    ending = CallOutcome::no_connection;
+    outcome = CallOutcome::no_connection;
   }
   dispatch::CallId call = connection->call;
   auto pool = pools_.find(connection->address);
@@ -318,9 +319,9 @@
   connections_.release(id);
   if (!busy) return;
   calls_.erase(key(call));
-  CallResult end;
-  end.outcome = ending;
-  on_end_(call, end);
+  CallResult result;
+  result.outcome = outcome;
+  on_end_(call, result);
 }
 
 }  // namespace pearspar::upstream
