--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -5,40 +5,40 @@
 namespace pearspar::http {
 namespace {
 
-struct Read {
+struct Result {
   Progress progress = Progress::more;
   int status = 0;
   std::string body, target;
   bool keep_alive = false;
 };
 
-Read read_in_steps(const std::string& bytes, std::size_t step, MessageKind kind = MessageKind::request) {
+Result parse_in_steps(const std::string& bytes, std::size_t step, MessageKind kind = MessageKind::request) {
   MessageReader reader(kind);
   net::Buffer buffer;
-  Read read;
-  for (std::size_t at = 0; at < bytes.size() && read.progress == Progress::more; at += step) {
+  Result result;
+  for (std::size_t at = 0; at < bytes.size() && result.progress == Progress::more; at += step) {
     buffer.append(std::string_view(bytes).substr(at, step));
-    read.progress = reader.advance(buffer);
+    result.progress = reader.advance(buffer);
   }
-  if (read.progress == Progress::failed) read.status = reader.failure_status();
-  if (read.progress == Progress::done) {
-    read.body = reader.message().body;
-    read.target = reader.message().target;
-    read.keep_alive = reader.message().keep_alive;
+  if (result.progress == Progress::failed) result.status = reader.failure_status();
+  if (result.progress == Progress::done) {
+    result.body = reader.message().body;
+    result.target = reader.message().target;
+    result.keep_alive = reader.message().keep_alive;
   }
-  return read;
+  return result;
 }
 
-const std::string by_length =
+const std::string length_request =
     "POST /a/b?c HTTP/1.1\r\nHost: x\r\nX-Account:  acme \r\nContent-Length: 11\r\n\r\nhello world";
-const std::string in_chunks =
+const std::string chunked_request =
     "POST /a HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n5;note=x\r\nhello\r\n1\r\n "
     "\r\n005\r\nworld\r\n0\r\n"
     "Trailer: t\r\n\r\n";
 
-TEST(Http, ABodyIsReadByLengthAndInChunksHoweverItIsSplit) {
+TEST(Http, BodyIsReadByLengthAndInChunksAtAnySplit) {
   for (std::size_t step = 1; step <= 120; ++step) {
-    Read one = read_in_steps(by_length, step), other = read_in_steps(in_chunks, step);
+    Result one = parse_in_steps(length_request, step), other = parse_in_steps(chunked_request, step);
     ASSERT_EQ(one.progress, Progress::done) << step;
     EXPECT_EQ(one.body, "hello world");
     EXPECT_EQ(one.target, "/a/b?c");
@@ -48,21 +48,21 @@
   }
 }
 
-TEST(Http, HeadersAreFoundWhateverTheirCase) {
+TEST(Http, HeaderNamesAreCaseInsensitive) {
   MessageReader reader(MessageKind::request);
   net::Buffer buffer;
-  buffer.append(by_length);
+  buffer.append(length_request);
   ASSERT_EQ(reader.advance(buffer), Progress::done);
   EXPECT_EQ(reader.message().header("x-account"), "acme");
   EXPECT_FALSE(reader.message().header("X-Acc"));
 }
 
-// Bytes that came ahead of their turn belong to the next message, whole or not.
-TEST(Http, TheNextMessageBeginsWhereThisOneEnds) {
-  for (const std::string& first : {by_length, in_chunks}) {
+// Bytes after a message belong to the next one, complete or not.
+TEST(Http, PipelinedMessagesAreReadInOrder) {
+  for (const std::string& first : {length_request, chunked_request}) {
     MessageReader reader(MessageKind::request);
     net::Buffer buffer;
-    buffer.append(first + in_chunks + "GET /last HT");
+    buffer.append(first + chunked_request + "GET /last HT");
     ASSERT_EQ(reader.advance(buffer), Progress::done);
     reader.next(buffer);
     ASSERT_EQ(reader.advance(buffer), Progress::done);
@@ -78,14 +78,14 @@
   }
 }
 
-TEST(Http, TheConnectionGoesOnUnlessOneSideEndsIt) {
-  EXPECT_FALSE(read_in_steps("GET / HTTP/1.1\r\nConnection: foo, Close\r\n\r\n", 7).keep_alive);
-  EXPECT_FALSE(read_in_steps("GET / HTTP/1.0\r\n\r\n", 7).keep_alive);
-  EXPECT_TRUE(read_in_steps("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", 7).keep_alive);
+TEST(Http, KeepAliveFollowsVersionAndConnectionHeader) {
+  EXPECT_FALSE(parse_in_steps("GET / HTTP/1.1\r\nConnection: foo, Close\r\n\r\n", 7).keep_alive);
+  EXPECT_FALSE(parse_in_steps("GET / HTTP/1.0\r\n\r\n", 7).keep_alive);
+  EXPECT_TRUE(parse_in_steps("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", 7).keep_alive);
 }
 
-TEST(Http, WhatCannotBeReadIsRefusedWithItsReason) {
-  auto status = [](const std::string& head) { return read_in_steps(head + "\r\n\r\n", 1000).status; };
+TEST(Http, InvalidRequestsAreRefusedWithAStatus) {
+  auto status = [](const std::string& head) { return parse_in_steps(head + "\r\n\r\n", 1000).status; };
   EXPECT_EQ(status("GET"), 400);
   EXPECT_EQ(status("G T / HTTP/1.1"), 400);
   EXPECT_EQ(status("GET / HTTP/2.0"), 505);
@@ -98,7 +98,7 @@
   EXPECT_EQ(status("POST / HTTP/1.1\r\nContent-Length: 1x"), 400);
   EXPECT_EQ(status("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999"), 400);
   EXPECT_EQ(status("POST / HTTP/1.1\r\nContent-Length: 65537"), 413);
-  // Two readers could take these in two ways, and one's body be the other's next request.
+  // Ambiguous framing, which allows request smuggling.
   EXPECT_EQ(status("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2"), 400);
   EXPECT_EQ(status("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked"), 400);
   EXPECT_EQ(status("POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked"), 501);
@@ -109,41 +109,41 @@
   EXPECT_EQ(status(many), 431);
 }
 
-TEST(Http, ChunksThatCannotBeReadAreRefused) {
+TEST(Http, InvalidChunksAreRefused) {
   const std::string head = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (std::size_t step : {1, 3, 100000}) {
-    EXPECT_EQ(read_in_steps(head + "x\r\n", step).status, 400);
-    EXPECT_EQ(read_in_steps(head + "\r\n", step).status, 400);
-    EXPECT_EQ(read_in_steps(head + "-1\r\n", step).status, 400);
-    EXPECT_EQ(read_in_steps(head + "3\r\nabcd\r\n", step).status, 400);
-    EXPECT_EQ(read_in_steps(head + "10001\r\n", step).status, 413);
-    EXPECT_EQ(read_in_steps(head + "ffffffffffffffffff\r\n", step).status, 400);
-    EXPECT_EQ(read_in_steps(head + std::string(2000, '1'), step).status, 400);
+    EXPECT_EQ(parse_in_steps(head + "x\r\n", step).status, 400);
+    EXPECT_EQ(parse_in_steps(head + "\r\n", step).status, 400);
+    EXPECT_EQ(parse_in_steps(head + "-1\r\n", step).status, 400);
+    EXPECT_EQ(parse_in_steps(head + "3\r\nabcd\r\n", step).status, 400);
+    EXPECT_EQ(parse_in_steps(head + "10001\r\n", step).status, 413);
+    EXPECT_EQ(parse_in_steps(head + "ffffffffffffffffff\r\n", step).status, 400);
+    EXPECT_EQ(parse_in_steps(head + std::string(2000, '1'), step).status, 400);
   }
-  // Framing without end around a body that stays small.
+  // Much framing around a small body.
   std::string drip = head;
   for (int i = 0; i < 3000; ++i) drip += "1;" + std::string(200, 'x') + "\r\na\r\n";
-  EXPECT_EQ(read_in_steps(drip, 4096).status, 413);
+  EXPECT_EQ(parse_in_steps(drip, 4096).status, 413);
 }
 
-TEST(Http, TheLargestBodyPassesBothWays) {
+TEST(Http, LargestBodyIsReadByLengthAndInChunks) {
   std::string body(max_body, 'b');
-  Read plain = read_in_steps("POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + body, 5000);
+  Result plain = parse_in_steps("POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + body, 5000);
   EXPECT_EQ(plain.body, body);
   std::string chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (int i = 0; i < 64; ++i) chunked += "400\r\n" + std::string(1024, 'b') + "\r\n";
-  EXPECT_EQ(read_in_steps(chunked + "0\r\n\r\n", 5000).body, body);
+  EXPECT_EQ(parse_in_steps(chunked + "0\r\n\r\n", 5000).body, body);
 }
 
-TEST(Http, AReplyNeedsALength) {
-  Read good = read_in_steps("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 3, MessageKind::reply);
+TEST(Http, ReplyWithoutLengthIsRefused) {
+  Result good = parse_in_steps("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 3, MessageKind::reply);
   EXPECT_EQ(good.body, "hi");
-  EXPECT_EQ(read_in_steps("HTTP/1.1 200 OK\r\n\r\n", 3, MessageKind::reply).progress, Progress::failed);
-  EXPECT_EQ(read_in_steps("HTTP/1.1 20 OK\r\n\r\n", 3, MessageKind::reply).progress, Progress::failed);
-  EXPECT_EQ(read_in_steps("nonsense\r\n\r\n", 3, MessageKind::reply).progress, Progress::failed);
+  EXPECT_EQ(parse_in_steps("HTTP/1.1 200 OK\r\n\r\n", 3, MessageKind::reply).progress, Progress::failed);
+  EXPECT_EQ(parse_in_steps("HTTP/1.1 20 OK\r\n\r\n", 3, MessageKind::reply).progress, Progress::failed);
+  EXPECT_EQ(parse_in_steps("nonsense\r\n\r\n", 3, MessageKind::reply).progress, Progress::failed);
 }
 
-TEST(Http, AClientThatWaitsForAWordBeforeItsBodyGetsIt) {
+TEST(Http, ContinueIsRequestedOnce) {
   MessageReader reader(MessageKind::request);
   net::Buffer buffer;
   buffer.append("POST / HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -7,7 +7,7 @@
 namespace pearspar::net {
 namespace {
 
-TEST(Slots, AnOldIdFindsNothingInASlotThatIsUsedAgain) {
+TEST(Slots, StaleIdFindsNothingInAReusedSlot) {
   SlotTable<std::string> table;
   SlotId first = table.add("one");
   ASSERT_NE(table.find(first), nullptr);
@@ -18,19 +18,19 @@
   EXPECT_EQ(second.index, first.index);
   EXPECT_EQ(table.find(first), nullptr);
   EXPECT_EQ(*table.find(second), "two");
-  table.release(first);  // an id kept too long releases nothing
+  table.release(first);  // a stale id releases nothing
   EXPECT_EQ(table.size(), 1u);
   EXPECT_EQ(table.find(SlotId{}), nullptr);
 }
 
-TEST(Slots, WhatStandsInThemDoesNotMove) {
+TEST(Slots, EntriesDoNotMove) {
   SlotTable<int> table;
   int* first = table.find(table.add(7));
   for (int i = 0; i < 1000; ++i) table.add(i);
   EXPECT_EQ(*first, 7);
 }
 
-TEST(Slots, VisitorsMayReleaseWhatTheyAreShown) {
+TEST(Slots, VisitorMayReleaseItsEntry) {
   SlotTable<int> table;
   for (int i = 0; i < 10; ++i) table.add(i);
   table.each([&](SlotId id, int value) {
@@ -39,7 +39,7 @@
   EXPECT_EQ(table.size(), 5u);
 }
 
-TEST(Buffer, SlicesFollowWhatIsConsumed) {
+TEST(Buffer, ViewFollowsConsumeAndAppend) {
   Buffer buffer;
   buffer.append("abcdef");
   buffer.consume(2);
@@ -50,7 +50,7 @@
   EXPECT_EQ(buffer.size(), 0u);
 }
 
-TEST(Loop, DeadlinesComeInTheirOrder) {
+TEST(Loop, TimersFireInOrder) {
   Loop loop;
   std::string order;
   Timer c = loop.at(loop.now() + Duration(0.003), [&] { order += 'c'; });
@@ -64,7 +64,7 @@
   EXPECT_FALSE(a.pending());
 }
 
-TEST(Loop, ADeadlineIsNeverEarly) {
+TEST(Loop, TimerNeverFiresEarly) {
   Loop loop;
   for (int i = 0; i < 20; ++i) {
     Time due = loop.read_clock() + Duration(0.0007);
@@ -78,8 +78,8 @@
   }
 }
 
-// A call that keeps setting deadlines which are due already must not hold the turn.
-TEST(Loop, DeadlinesSetByADeadlineWaitForTheNextTurn) {
+// A callback that keeps setting timers which are due already must not block the loop.
+TEST(Loop, TimerSetByATimerWaitsForTheNextIteration) {
   Loop loop;
   int calls = 0;
   Timer timer;
@@ -94,9 +94,9 @@
   EXPECT_EQ(calls, 2);
 }
 
-// Both ends of two connections are ready in one turn, and the first call closes the second one: its place may
-// already belong to another descriptor, which must not get the old one's events.
-TEST(Loop, AWatchThatEndedInThisTurnIsNotCalled) {
+// Two descriptors are ready in one iteration, and the first callback ends the watch of the second and creates
+// a new one. Guards against delivering the old watch's events to the new one.
+TEST(Loop, WatchEndedInTheSameIterationIsNotCalled) {
   Loop loop;
   peers::Listener listener;
   peers::Peer one = peers::connect_to(listener.address());
@@ -117,13 +117,13 @@
     first.reset();
     second.reset();
   });
-  // Both are readable only once both bytes are across.
+  // Both bytes have to arrive before both descriptors are readable.
   ASSERT_TRUE(peers::turn_until(
       loop, [] {}, [&] { return calls > 0; }));
   EXPECT_EQ(calls, 1);
 }
 
-TEST(Address, IsReadAndWrittenAlike) {
+TEST(Address, ParseAndTextRoundTrip) {
   auto address = Address::parse("127.8.0.1:3000");
   ASSERT_TRUE(address);
   EXPECT_EQ(address->text(), "127.8.0.1:3000");
@@ -132,8 +132,8 @@
     EXPECT_FALSE(Address::parse(bad)) << bad;
 }
 
-// Moments named by other machines are in Unix time; the broker's own stand on the same scale.
-TEST(Clock, StandsOnTheScaleOfUnixTime) {
+// Timestamps from other machines are in Unix time and are compared with the local clock.
+TEST(Clock, IsAlignedWithUnixTime) {
   Clock clock;
   double unix_now =
       std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
