--- a/src/clients/http_server.cpp
+++ b/src/clients/http_server.cpp
@@ -146,24 +146,24 @@
   for (int i = 0; i < max_reads_per_event; ++i) {
     if (connection.in.size() >= max_read_ahead_bytes && connection.state != State::reading) break;
     // Bytes received after the last answer are discarded.
-    const std::size_t before_bytes = connection.in.size();
+    const std::size_t bytes_before = connection.in.size();
     net::IoResult result = connection.half_closed
                                ? net::discard(connection.fd)
                                : net::read_into(connection.fd, connection.in, read_chunk_bytes);
     if (result == net::IoResult::some) {
       connection.last_used = loop_.now();
       if (connection.half_closed) continue;
-      const State before = connection.state;
-      record_arrival(connection, connection.in.size() - before_bytes);
+      const State previous_state = connection.state;
+      record_arrival(connection, connection.in.size() - bytes_before);
       update_held_bytes(connection);
-      if (!make_room() && before != State::reading) {
+      if (!make_room() && previous_state != State::reading) {
         // These are pipelined bytes, and nothing else can be freed.
         ++counters_.closed_for_memory;
         close(id);
       }
-      Connection* still = connections_.find(id);
-      if (!still) return false;
-      if (still->state != before || still->in.size() >= max_read_ahead_bytes) break;
+      Connection* current = connections_.find(id);
+      if (!current) return false;
+      if (current->state != previous_state || current->in.size() >= max_read_ahead_bytes) break;
       continue;
     }
     if (result == net::IoResult::none) {
--- a/src/clients/http_server_memory.cpp
+++ b/src/clients/http_server_memory.cpp
@@ -24,8 +24,8 @@
 }
 
 void HttpServer::update_held_bytes(Connection& connection) {
-  const std::size_t before = std::exchange(connection.held, memory_of(connection));
-  held_bytes_ += connection.held - before;
+  const std::size_t previous = std::exchange(connection.held, memory_of(connection));
+  held_bytes_ += connection.held - previous;
 }
 
 // The matching connection with the largest buffers.
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -30,10 +30,10 @@
   return front;
 }
 
-// Whether a comma-separated list contains `word`, in any case.
-bool lists(std::string_view list, std::string_view word) {
+// Whether a comma-separated list contains `item`, in any case.
+bool lists(std::string_view list, std::string_view item) {
   while (!list.empty())
-    if (equals_ignoring_case(trimmed(take_until(list, ',')), word)) return true;
+    if (equals_ignoring_case(trimmed(take_until(list, ',')), item)) return true;
   return false;
 }
 
--- a/src/http/stream.cpp
+++ b/src/http/stream.cpp
@@ -96,25 +96,26 @@
 
 Progress ReplyStream::advance(net::Buffer& buffer, const BodySink& sink) {
   while (stage_ != Stage::done && stage_ != Stage::failed) {
-    std::string_view have = buffer.view();
-    if (have.empty()) return Progress::more;
+    std::string_view bytes = buffer.view();
+    if (bytes.empty()) return Progress::more;
     if (stage_ == Stage::head) {
-      std::size_t end = have.find("\r\n\r\n");
-      if (end == have.npos) return have.size() > max_head ? fail("the head is too large") : Progress::more;
+      std::size_t end = bytes.find("\r\n\r\n");
+      if (end == bytes.npos) return bytes.size() > max_head ? fail("the head is too large") : Progress::more;
       if (end > max_head) return fail("the head is too large");
-      if (read_head(have.substr(0, end + 2)) == Progress::failed) return Progress::failed;
+      if (read_head(bytes.substr(0, end + 2)) == Progress::failed) return Progress::failed;
       buffer.consume(end + 4);
     } else if (stage_ == Stage::counted || stage_ == Stage::chunk || stage_ == Stage::until_close) {
-      std::size_t size = stage_ == Stage::until_close ? have.size() : std::min(left_, have.size());
-      if (!sink(have.substr(0, size))) return fail("the body was rejected");
+      std::size_t size = stage_ == Stage::until_close ? bytes.size() : std::min(left_, bytes.size());
+      if (!sink(bytes.substr(0, size))) return fail("the body was rejected");
       buffer.consume(size);
       if (stage_ == Stage::until_close) continue;
       left_ -= size;
       if (left_ == 0) stage_ = stage_ == Stage::counted ? Stage::done : Stage::chunk_end;
     } else {
-      std::size_t end = have.find("\r\n");
-      if (end == have.npos) return have.size() > max_line ? fail("a chunk line is too long") : Progress::more;
-      if (read_line(have.substr(0, end)) == Progress::failed) return Progress::failed;
+      std::size_t end = bytes.find("\r\n");
+      if (end == bytes.npos)
+        return bytes.size() > max_line ? fail("a chunk line is too long") : Progress::more;
+      if (read_line(bytes.substr(0, end)) == Progress::failed) return Progress::failed;
       buffer.consume(end + 2);
     }
   }
--- a/src/upstream/node_links.cpp
+++ b/src/upstream/node_links.cpp
@@ -223,8 +223,8 @@
 }
 
 void NodeLinks::update_held_bytes(Connection& connection) {
-  const std::size_t before = std::exchange(connection.held, connection.in.capacity());
-  held_bytes_ += connection.held - before;
+  const std::size_t previous = std::exchange(connection.held, connection.in.capacity());
+  held_bytes_ += connection.held - previous;
 }
 
 // Skips interim (1xx) responses.
