--- a/src/carestiato/call.cpp
+++ b/src/admin_client/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 #include "http/stream.h"
 #include "net/socket.h"
 
-namespace pearspar::carestiato {
+namespace pearspar::admin_client {
 namespace {
 
 using namespace std::chrono_literals;
@@ -18,8 +18,9 @@
 
 }  // namespace
 
-CallReply Caller::ask(const std::string& member, const CallRequest& request, net::Duration within) {
-  CallReply reply;
+AdminReply AdminClient::call_member(const std::string& member, const AdminRequest& request,
+                                    net::Duration within) {
+  AdminReply reply;
   reply.from = member;
   auto fail = [&](std::string why) {
     reply.status = 0;
@@ -85,9 +86,9 @@
   return reply;
 }
 
-CallReply Caller::call(const CallRequest& request, net::Duration within) {
+AdminReply AdminClient::call(const AdminRequest& request, net::Duration within) {
   net::Time end = loop_.read_clock() + within;
-  CallReply last, said;
+  AdminReply last, said;
   last.fault = "no member is named";
   net::Duration pause = 50ms;
   for (std::size_t tries = 0; !members_.empty(); ++tries) {
@@ -96,9 +97,9 @@
     std::string member = members_[next_];
     // Each is asked once before the time is over, whoever is silent.
     std::size_t others = tries < members_.size() ? members_.size() - tries : 1;
-    last = ask(member, request, std::min(left / others, net::Duration(one_try)));
+    last = call_member(member, request, std::min(left / others, net::Duration(one_try)));
     for (int hop = 0; hop < most_redirects && last.status == 307; ++hop)
-      last = ask(last.fault, request, std::min(net::Duration(one_try), end - loop_.read_clock()));
+      last = call_member(last.fault, request, std::min(net::Duration(one_try), end - loop_.read_clock()));
     if (last.status != 0 && last.status < 500 && last.status != 307) return last;
     if (last.status >= 500) said = last;
     next_ = (next_ + 1) % members_.size();
@@ -110,4 +111,4 @@
   return last.status == 0 && said.status != 0 ? said : last;
 }
 
-}  // namespace pearspar::carestiato
+}  // namespace pearspar::admin_client
--- a/src/carestiato/call.h
+++ b/src/admin_client/admin_client.h
@@ -8,9 +8,9 @@
 
 #include "net/loop.h"
 
-namespace pearspar::carestiato {
+namespace pearspar::admin_client {
 
-struct CallRequest {
+struct AdminRequest {
   std::string method;
   std::string path;
   std::string headers;  // further lines, each with its end
@@ -18,22 +18,23 @@
   std::string host;  // empty = the member's address
 };
 
-struct CallReply {
+struct AdminReply {
   int status = 0;  // 0 = nobody has answered
   std::string body;
   std::string fault;  // why, where nobody has
   std::string from;   // who has
 };
 
-class Caller {
+class AdminClient {
  public:
-  Caller(net::Loop& loop, std::vector<std::string> members) : loop_(loop), members_(std::move(members)) {}
+  AdminClient(net::Loop& loop, std::vector<std::string> members)
+      : loop_(loop), members_(std::move(members)) {}
 
   // Asks one member after the other until one says something definite, or the time is over: then it is the
   // last word of any that tells why, rather than the silence of another.
-  CallReply call(const CallRequest& request, net::Duration within);
+  AdminReply call(const AdminRequest& request, net::Duration within);
   // Asks that one alone.
-  CallReply ask(const std::string& member, const CallRequest& request, net::Duration within);
+  AdminReply call_member(const std::string& member, const AdminRequest& request, net::Duration within);
   const std::vector<std::string>& members() const { return members_; }
 
  private:
@@ -42,4 +43,4 @@
   std::size_t next_ = 0;
 };
 
-}  // namespace pearspar::carestiato
+}  // namespace pearspar::admin_client
--- a/src/carestiato/commands.cpp
+++ b/src/admin_client/commands.cpp
@@ -1,4 +1,4 @@
-#include "carestiato/commands.h"
+#include "admin_client/commands.h"
 
 #include <fmt/format.h>
 
@@ -13,7 +13,7 @@
 #include "control_plane/report.h"
 #include "net/socket.h"
 
-namespace pearspar::carestiato {
+namespace pearspar::admin_client {
 namespace {
 
 using catalog::Fault;
@@ -67,14 +67,14 @@
   int snapshot_restore(const std::string& file);
 
  private:
-  CallReply get(const std::string& path) {
+  AdminReply get(const std::string& path) {
     return caller_.call({"GET", path, "", "", ""}, net::Duration(options_.within_s));
   }
   int put(const catalog::Configuration& next, catalog::Revision base);
   // What stands, for an order to build on; 0 where nothing does.
   int read_base(catalog::Revision& base);
   // Says what is wrong with an answer that is not 200.
-  int complain(const CallReply& reply);
+  int complain(const AdminReply& reply);
   int fail(int status, const std::string& what) {
     std::fflush(out_);  // what was told before stands before it
     std::fprintf(err_, "altavia: %s\n", what.c_str());
@@ -105,12 +105,12 @@
 
   const Options& options_;
   net::Loop loop_;
-  Caller caller_;
+  AdminClient caller_;
   std::FILE* out_;
   std::FILE* err_;
 };
 
-int Session::complain(const CallReply& reply) {
+int Session::complain(const AdminReply& reply) {
   if (reply.status == 0) return fail(failed, reply.fault);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -142,8 +142,8 @@
   bool leaderless = false;
   std::set<std::string> revisions, leaders;
   for (const std::string& member : caller_.members()) {
-    CallReply reply = caller_.ask(member, {"GET", "/pearspar/status", "", "", ""},
-                                  net::Duration(std::min(2.0, options_.within_s)));
+    AdminReply reply = caller_.call_member(member, {"GET", "/pearspar/status", "", "", ""},
+                                           net::Duration(std::min(2.0, options_.within_s)));
     Fault fault;
     Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
     if (!json) {
@@ -178,7 +178,7 @@
 }
 
 int Session::leader() {
-  CallReply reply = get("/pearspar/status");
+  AdminReply reply = get("/pearspar/status");
   if (reply.status != 200) return complain(reply);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -189,7 +189,7 @@
 }
 
 int Session::members() {
-  CallReply reply = get("/pearspar/status");
+  AdminReply reply = get("/pearspar/status");
   if (reply.status != 200) return complain(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
@@ -203,7 +203,7 @@
 }
 
 int Session::nodes() {
-  CallReply reply = get("/pearspar/nodes");
+  AdminReply reply = get("/pearspar/nodes");
   if (reply.status != 200) return complain(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
@@ -220,7 +220,7 @@
 
 // The node's own record once more, closing: it is asked no more for the rest of its life.
 int Session::drain(const std::string& id) {
-  CallReply reply = get("/pearspar/nodes");
+  AdminReply reply = get("/pearspar/nodes");
   if (reply.status != 200) return complain(reply);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -230,7 +230,7 @@
     cJSON_ReplaceItemInObjectCaseSensitive(node, "nodeState", cJSON_CreateString("closing_out"));
     cJSON_DeleteItemFromObjectCaseSensitive(node, "id");
     char* body = cJSON_PrintUnformatted(node);
-    CallReply done =
+    AdminReply done =
         caller_.call({"PUT", "/pearspar/nodes/" + id, "", body, ""}, net::Duration(options_.within_s));
     cJSON_free(body);
     if (done.status != 200) return complain(done);
@@ -241,7 +241,7 @@
 }
 
 int Session::config_get() {
-  CallReply reply = get("/pearspar/config");
+  AdminReply reply = get("/pearspar/config");
   if (reply.status != 200) return complain(reply);
   return show_json(reply.body);
 }
@@ -256,7 +256,7 @@
 
 int Session::read_base(catalog::Revision& base) {
   base = 0;
-  CallReply reply = get("/pearspar/config");
+  AdminReply reply = get("/pearspar/config");
   if (reply.status != 200 && reply.status != 404) return complain(reply);
   Fault fault;
   if (reply.status == 200)
@@ -265,7 +265,7 @@
 }
 
 int Session::put(const catalog::Configuration& next, catalog::Revision base) {
-  CallReply reply =
+  AdminReply reply =
       caller_.call({"PUT", "/pearspar/config", fmt::format("If-Match: {}\r\n", base), next.text, ""},
                    net::Duration(options_.within_s));
   if (reply.status == 200) return good;
@@ -299,7 +299,7 @@
 int Session::config_diff(const std::string& file) {
   auto next = read_config(file);
   if (!next) return bad_input;
-  CallReply reply = get("/pearspar/config");
+  AdminReply reply = get("/pearspar/config");
   if (reply.status != 200) return complain(reply);
   Fault fault;
   Json before = catalog::parse_json(reply.body, fault), after = catalog::parse_json(next->text, fault);
@@ -331,7 +331,7 @@
   std::string seen;
   net::Time end = loop_.read_clock() + net::Duration(options_.for_s);
   while (options_.for_s <= 0 || loop_.read_clock() < end) {
-    CallReply reply = get("/pearspar/history?newest=1");
+    AdminReply reply = get("/pearspar/history?newest=1");
     Fault fault;
     Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
     if (json) {
@@ -354,7 +354,7 @@
 int Session::history(const std::string& newest) {
   if (newest.find_first_not_of("0123456789") != newest.npos || newest.size() > 9)
     return fail(bad_input, newest + ": is no number of editions");
-  CallReply reply = get(newest.empty() ? "/pearspar/history" : "/pearspar/history?newest=" + newest);
+  AdminReply reply = get(newest.empty() ? "/pearspar/history" : "/pearspar/history?newest=" + newest);
   if (reply.status != 200) return complain(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
@@ -369,7 +369,7 @@
 
 // All, or what counts for one holder: itself, and the branches under it.
 int Session::allowance_show(const std::string& holder) {
-  CallReply reply = get("/pearspar/allowance");
+  AdminReply reply = get("/pearspar/allowance");
   if (reply.status != 200) return complain(reply);
   if (options_.json && holder.empty()) return show_json(reply.body);
   Fault fault;
@@ -394,7 +394,7 @@
 // One JSON line for each count, oldest window first, signed off by the place in the log; the file appears
 // whole.
 int Session::allowance_export(const std::string& file) {
-  CallReply reply = get("/pearspar/allowance");
+  AdminReply reply = get("/pearspar/allowance");
   if (reply.status != 200) return complain(reply);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -435,7 +435,7 @@
 }
 
 int Session::snapshot_save(const std::string& file) {
-  CallReply reply = get("/pearspar/snapshot");
+  AdminReply reply = get("/pearspar/snapshot");
   if (reply.status != 200) return complain(reply);
   // A file that is half written must not stand under its name.
   std::string half = file + ".part";
@@ -497,7 +497,7 @@
          "        allowance show [HOLDER] | allowance export FILE";
 }
 
-bool knows(const std::string& command) {
+bool is_admin_command(const std::string& command) {
   for (const char* known :
        {"status", "members", "leader", "nodes", "drain", "config", "snapshot", "allowance"})
     if (command == known) return true;
@@ -555,4 +555,4 @@
   return result == good ? failed : result;
 }
 
-}  // namespace pearspar::carestiato
+}  // namespace pearspar::admin_client
--- a/src/carestiato/commands.h
+++ b/src/admin_client/commands.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 
-namespace pearspar::carestiato {
+namespace pearspar::admin_client {
 
-// Exit statuses, for scripts.
-enum Exit {
+// ExitStatus statuses, for scripts.
+enum ExitStatus {
   good = 0,
   failed = 1,     // nobody has answered, or not in time; an order may have been taken
   bad_input = 2,  // the command line or a file is no good
@@ -32,7 +32,7 @@
 // check FILE | config put FILE | config diff FILE | config watch | config history [N] | allowance show
 // [HOLDER] | allowance export FILE | snapshot save FILE | snapshot verify FILE | snapshot restore FILE.
 int run(const std::vector<std::string>& words, const Options& options, std::FILE* out, std::FILE* err);
-bool knows(const std::string& command);
+bool is_admin_command(const std::string& command);
 const char* usage();
 
-}  // namespace pearspar::carestiato
+}  // namespace pearspar::admin_client
--- a/src/altavia/edge.cpp
+++ b/src/altavia/edge.cpp
@@ -24,7 +24,7 @@
 constexpr transport::TcpTransport::InboundLimits asked_by_edges{64, 1024};
 constexpr std::size_t other_files = 300;  // descriptors that are no client's
 
-std::size_t most_clients(const coldai::Settings& settings) {
+std::size_t most_clients(const process_settings::Settings& settings) {
   auto files = static_cast<std::size_t>(settings.files);
   return files > 2 * other_files ? (files - other_files) / 2 : 100;
 }
@@ -33,21 +33,21 @@
 
 }  // namespace
 
-Edge::Edge(net::Loop& loop, const coldai::Settings& settings, std::uint64_t life)
+Edge::Edge(net::Loop& loop, const process_settings::Settings& settings, std::uint64_t life)
     : loop_(loop),
       settings_(settings),
       check_(loop, warn, 64, *this, {30s, 5s}),
       links_(loop, *this),
-      door_(loop, links_,
-            {{life, settings.node_name, settings.zone, settings.inner_seeds(), listen_to_edges()},
-             {settings.retry_ratio, settings.retry_slack, net::Duration(settings.retry_window_s)},
-             most_clients(settings),
-             warn}) {
-  door_.gateway().dispatcher().load_balancer().set_home_zone(settings.zone);
-  door_.set_memory_bounds(settings.memory_bytes(edge_shares.clients),
-                          settings.memory_bytes(edge_shares.servers));
+      proxy_(loop, links_,
+             {{life, settings.node_name, settings.zone, settings.inner_seeds(), listen_to_edges()},
+              {settings.retry_ratio, settings.retry_slack, net::Duration(settings.retry_window_s)},
+              most_clients(settings),
+              warn}) {
+  proxy_.gateway().dispatcher().load_balancer().set_home_zone(settings.zone);
+  proxy_.set_memory_bounds(settings.memory_bytes(edge_shares.clients),
+                           settings.memory_bytes(edge_shares.servers));
   links_.set_memory_bound(settings.memory_bytes(edge_shares.links));
-  door_.start(net::Address::of(settings.front_door));
+  proxy_.start(net::Address::of(settings.front_door));
   check_.leave_heads_bare();
   if (!settings.ready_check.empty()) check_.listen(net::Address::of(settings.ready_check));
   each_second();
@@ -61,7 +61,7 @@
   } else if (message.target == "/pearspar/counters") {
     answer.body = metrics::as_json(samples());
   } else if (message.target == "/pearspar/failures") {
-    answer.body = door_.gateway().dispatcher().failure_log().as_json(loop_.now());
+    answer.body = proxy_.gateway().dispatcher().failure_log().as_json(loop_.now());
   } else if (message.target == "/pearspar/metrics") {
     answer.type = "text/plain; version=0.0.4";
     answer.body = metrics::as_text(samples(), settings_.node_name, settings_.zone);
@@ -84,40 +84,40 @@
 }
 
 void Edge::link_up(transport::LinkId link, const std::string& address) {
-  door_.gateway().link_up(link, address);
+  proxy_.gateway().link_up(link, address);
 }
-void Edge::link_down(transport::LinkId link) { door_.gateway().link_down(link); }
+void Edge::link_down(transport::LinkId link) { proxy_.gateway().link_down(link); }
 void Edge::link_frame(transport::LinkId link, std::string_view frame) {
-  door_.gateway().link_frame(loop_.now(), link, frame);
+  proxy_.gateway().link_frame(loop_.now(), link, frame);
   take_configuration();
 }
 
 void Edge::take_configuration() {
-  if (!door_.take_configuration()) return;
-  const auto& configuration = door_.gateway().follower().view().configuration();
+  if (!proxy_.take_configuration()) return;
+  const auto& configuration = proxy_.gateway().follower().view().configuration();
   log(Level::info, "configuration",
       {{"edition", configuration->revision}, {"routes", configuration->routes.size()}});
 }
 
 void Edge::each_second() {
   second_ = loop_.at(loop_.now() + 1s, [this] { each_second(); });
-  door_.sweep();
+  proxy_.sweep();
 }
 
 void Edge::after_turn() {
   const allocation::Activity activity("requests that are due");
   net::Time now = loop_.now();
-  door_.after_turn();
+  proxy_.after_turn();
   take_configuration();
   if (stopping_) wind_down();
-  net::Time due = door_.gateway().due(now);
+  net::Time due = proxy_.gateway().due(now);
   if (stopping_) due = std::min(due, now + net::Duration(0.05));
   due_ = loop_.at(std::max(due, now), [] {});
 }
 
-void Edge::settings_changed(const coldai::Settings& settings) {
+void Edge::settings_changed(const process_settings::Settings& settings) {
   settings_.seeds = settings.seeds;
-  door_.gateway().follower().set_seeds(settings_.inner_seeds());
+  proxy_.gateway().follower().set_seeds(settings_.inner_seeds());
 }
 
 void Edge::stop() {
@@ -126,30 +126,30 @@
   net::Duration grace(settings_.grace_s);
   stop_at_ = loop_.now() + std::min(leave_after, grace * leave_share);
   end_at_ = loop_.now() + grace - std::min(leave_before, grace * most_left_of_grace);
-  door_.front().wind_down();
-  log(Level::info, "edge_stops", {{"open", door_.gateway().dispatcher().open_requests()}});
+  proxy_.front().wind_down();
+  log(Level::info, "edge_stops", {{"open", proxy_.gateway().dispatcher().open_requests()}});
 }
 
 void Edge::wind_down() {
   if (loop_.now() < stop_at_) return;
-  door_.front().stop_listening();
-  door_.front().close_idle();
-  if (door_.front().busy() > 0 && loop_.now() < end_at_) return;
+  proxy_.front().stop_listening();
+  proxy_.front().close_idle();
+  if (proxy_.front().busy() > 0 && loop_.now() < end_at_) return;
   if (answers_taken_by_ == net::Time{}) {
     answers_taken_by_ = loop_.now() + answers_taken_within;
-    door_.finish_open_requests();
-    door_.after_turn();
+    proxy_.finish_open_requests();
+    proxy_.after_turn();
   }
-  if (door_.front().busy() > 0 && loop_.now() < answers_taken_by_) return;
-  door_.gateway().follower().send_goodbye();
+  if (proxy_.front().busy() > 0 && loop_.now() < answers_taken_by_) return;
+  proxy_.gateway().follower().send_goodbye();
   ended_ = true;
 }
 
 std::vector<metrics::Sample> Edge::samples() const {
-  const dispatch::DispatcherCounters& dispatcher = door_.gateway().dispatcher().counters();
-  const pramperet::PurseCounters& purse = door_.gateway().purse().counters();
-  const upstream::LinkCounters& links = door_.nodes().counters();
-  const clients::FrontCounters& front = door_.front().counters();
+  const dispatch::DispatcherCounters& dispatcher = proxy_.gateway().dispatcher().counters();
+  const pramperet::PurseCounters& purse = proxy_.gateway().purse().counters();
+  const upstream::LinkCounters& links = proxy_.nodes().counters();
+  const clients::FrontCounters& front = proxy_.front().counters();
   auto n = [](auto value) { return static_cast<double>(value); };
   return {
       {"altavia_requests_total", "requests of clients", n(dispatcher.requests)},
@@ -188,7 +188,7 @@
       {"altavia_accepted_total", "connections of clients", n(front.accepted)},
       {"altavia_bad_requests_total", "what was no request", n(front.bad_requests)},
       {"altavia_closed_for_room_total", "idle clients that made way", n(front.closed_for_room)},
-      {"altavia_client_bytes", "held for clients' connections", n(door_.front().held_bytes())},
+      {"altavia_client_bytes", "held for clients' connections", n(proxy_.front().held_bytes())},
       {"altavia_refused_for_memory_total",
        "requests answered 503 since clients' bytes had reached their bound", n(front.refused_for_memory)},
       {"altavia_closed_for_memory_total", "clients cut off for it that did not take their answer",
@@ -199,17 +199,17 @@
       {"altavia_links_closed_for_memory_total", "links cut off since their bytes had reached their bound",
        n(links_.closed_for_memory())},
       {"altavia_unread_total", "frames that could not be read",
-       n(door_.gateway().follower().unreadable_frames())},
+       n(proxy_.gateway().follower().unreadable_frames())},
       {"altavia_log_lines_dropped_total", "lines that would have waited, or were too many",
        n(logging::dropped_lines())},
       {"altavia_cancelled_total", "calls ended since their client had left", n(dispatcher.cancelled)},
       {"altavia_allocations_refused_total", "served from the reserve", n(allocation::refusals())},
       {"altavia_violations_total", "of invariants; never to be more than none", n(invariants::violations())},
-      {"altavia_open", "requests under way", n(door_.gateway().dispatcher().open_requests())},
-      {"altavia_coverage", "share of the weight that is asked", door_.gateway().dispatcher().coverage()},
-      {"altavia_edition", "configuration in force", n(door_.gateway().follower().view().revision())},
-      {"altavia_nodes", "nodes known", n(door_.gateway().follower().view().nodes().all().size())},
-      {"altavia_edges", "edges that hold a lease", n(door_.gateway().follower().view().edge_count())},
+      {"altavia_open", "requests under way", n(proxy_.gateway().dispatcher().open_requests())},
+      {"altavia_coverage", "share of the weight that is asked", proxy_.gateway().dispatcher().coverage()},
+      {"altavia_edition", "configuration in force", n(proxy_.gateway().follower().view().revision())},
+      {"altavia_nodes", "nodes known", n(proxy_.gateway().follower().view().nodes().all().size())},
+      {"altavia_edges", "edges that hold a lease", n(proxy_.gateway().follower().view().edge_count())},
       {"altavia_ready", "whether it takes clients", ready() ? 1.0 : 0.0},
   };
 }
--- a/src/altavia/edge.h
+++ b/src/altavia/edge.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "altavia/door.h"
+#include "altavia/reverse_proxy.h"
 #include "clients/front.h"
-#include "coldai/settings.h"
 #include "metrics/metrics.h"
 #include "net/loop.h"
+#include "process_settings/settings.h"
 #include "transport/tcp_transport.h"
 
 namespace pearspar::altavia {
@@ -17,20 +17,20 @@
 class Edge : private transport::TransportHandler, private clients::FrontUser {
  public:
   // Throws std::system_error where an address cannot be had.
-  Edge(net::Loop& loop, const coldai::Settings& settings, std::uint64_t life);
+  Edge(net::Loop& loop, const process_settings::Settings& settings, std::uint64_t life);
 
   void after_turn();
-  void settings_changed(const coldai::Settings& settings);
+  void settings_changed(const process_settings::Settings& settings);
   // No more ready; serves on while clients go elsewhere, then ends.
   void stop();
   bool stopped() const { return ended_; }
   // Gives up what one connection holds; false where nothing is left to give up.
-  bool shed() { return door_.front().shed() || links_.close_largest(); }
+  bool shed() { return proxy_.front().shed() || links_.close_largest(); }
   // Bytes that others make this process hold.
-  std::size_t client_bytes() const { return door_.front().held_bytes() + check_.held_bytes(); }
-  std::size_t server_bytes() const { return door_.nodes().held_bytes(); }
+  std::size_t client_bytes() const { return proxy_.front().held_bytes() + check_.held_bytes(); }
+  std::size_t server_bytes() const { return proxy_.nodes().held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
-  bool ready() const { return !stopping_ && door_.gateway().ready(); }
+  bool ready() const { return !stopping_ && proxy_.gateway().ready(); }
 
  private:
   // The check of our readiness.
@@ -49,10 +49,10 @@
   std::vector<metrics::Sample> samples() const;
 
   net::Loop& loop_;
-  coldai::Settings settings_;
+  process_settings::Settings settings_;
   clients::Front check_;
   transport::TcpTransport links_;
-  Door door_;
+  ReverseProxy proxy_;
   net::Timer second_;
   net::Timer due_;
   bool stopping_ = false;
--- a/src/altavia/main.cpp
+++ b/src/altavia/main.cpp
@@ -19,10 +19,10 @@
 #include <system_error>
 #include <vector>
 
+#include "admin_client/commands.h"
 #include "allocation/allocation.h"
 #include "altavia/edge.h"
 #include "altavia/member.h"
-#include "carestiato/commands.h"
 #include "invariants/invariants.h"
 #include "logging/log.h"
 #include "net/signals.h"
@@ -130,7 +130,7 @@
   void read(net::Loop& loop) {
     const allocation::Activity activity("the settings and what they start");
     look_ = false;
-    coldai::ReadSettings read = coldai::read_settings(path_);
+    process_settings::SettingsResult read = process_settings::read_settings(path_);
     if (!read.fault.empty()) {
       log(Level::error, "settings_refused", {{"why", read.fault}});
       if (!edge_ && !member_) again_ = loop.at(loop.now() + 500ms, [this] { look_ = true; });
@@ -171,12 +171,12 @@
   bool stop_ = false;
 };
 
-void tell_violation(invariants::Promise promise, std::string_view what) {
-  log(Level::error, "invariant_broken", {{"promise", invariants::name(promise)}, {"what", what}});
+void tell_violation(invariants::Invariant invariant, std::string_view what) {
+  log(Level::error, "invariant_broken", {{"promise", invariants::name(invariant)}, {"what", what}});
 }
 
 int check_settings(const std::string& path) {
-  coldai::ReadSettings read = coldai::read_settings(path);
+  process_settings::SettingsResult read = process_settings::read_settings(path);
   if (!read.fault.empty()) {
     std::fprintf(stderr, "%s\n", read.fault.c_str());
     return bad_input;
@@ -192,7 +192,7 @@
   char* at = nullptr;
   char* level = nullptr;
   int json = 0;
-  carestiato::Options operators;
+  admin_client::Options operators;
   const poptOption options[] = {
       {"settings", 's', POPT_ARG_STRING, &settings, 0,
        "the platform's settings file (else PEARSPAR_CONFIG in the environment)", "FILE"},
@@ -210,7 +210,7 @@
       POPT_AUTOHELP POPT_TABLEEND};
   std::unique_ptr<std::remove_pointer_t<poptContext>, void (*)(poptContext)> context(
       poptGetContext("altavia", argc, argv, options, 0), [](poptContext c) { poptFreeContext(c); });
-  poptSetOtherOptionHelp(context.get(), carestiato::usage());
+  poptSetOtherOptionHelp(context.get(), admin_client::usage());
   int result = 0;
   while ((result = poptGetNextOpt(context.get())) >= 0) {
   }
@@ -235,10 +235,10 @@
     return bad_input;
   }
   std::string command = words.empty() ? "" : words[0];
-  if (carestiato::knows(command)) {
+  if (admin_client::is_admin_command(command)) {
     if (operators.members.empty() && !path.empty())
-      operators.members = coldai::read_settings(path).settings.seeds;
-    return carestiato::run(words, operators, stdout, stderr);
+      operators.members = process_settings::read_settings(path).settings.seeds;
+    return admin_client::run(words, operators, stdout, stderr);
   }
   if (words.size() != 1 || (command != "serve" && command != "check-settings")) {
     poptPrintUsage(context.get(), stderr, 0);
@@ -253,7 +253,7 @@
   cJSON_Hooks memory{allocation::allocate, allocation::release};
   cJSON_InitHooks(&memory);
   allocation::fill_reserve();
-  invariants::set_handler(tell_violation);
+  invariants::set_violation_handler(tell_violation);
   logging::open_log("altavia", least);
   return Process(path, least).run();
 }
--- a/src/altavia/member.cpp
+++ b/src/altavia/member.cpp
@@ -21,7 +21,7 @@
 constexpr double most_of_grace = 0.85;  // for a leave that needs others
 constexpr net::Duration least_wait = 2ms;
 
-raft::Options core_options(const coldai::Settings& settings, std::uint64_t seed) {
+raft::Options core_options(const process_settings::Settings& settings, std::uint64_t seed) {
   raft::Options options;
   options.address = settings.inner_address();
   options.founders = settings.inner_seeds();
@@ -32,7 +32,8 @@
   return options;
 }
 
-control_plane::ControllerOptions controller_options(const coldai::Settings& settings, std::uint64_t seed) {
+control_plane::ControllerOptions controller_options(const process_settings::Settings& settings,
+                                                    std::uint64_t seed) {
   control_plane::ControllerOptions options;
   options.pool = {settings.retry_slack, net::Duration(settings.retry_window_s)};
   options.inner_address = settings.inner_address();
@@ -51,7 +52,7 @@
 
 }  // namespace
 
-Member::Member(net::Loop& loop, const coldai::Settings& settings, std::uint64_t seed)
+Member::Member(net::Loop& loop, const process_settings::Settings& settings, std::uint64_t seed)
     : loop_(loop),
       settings_(settings),
       front_(loop,
@@ -88,7 +89,7 @@
        {"voter", core.log().membership().has(core.self())}});
 }
 
-void Member::settings_changed(const coldai::Settings& settings) {
+void Member::settings_changed(const process_settings::Settings& settings) {
   settings_.seeds = settings.seeds;
   member_.set_seeds(settings_.inner_seeds());
 }
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -6,10 +6,10 @@
 #include <string>
 
 #include "clients/front.h"
-#include "coldai/settings.h"
 #include "control_plane/member.h"
 #include "metrics/metrics.h"
 #include "net/loop.h"
+#include "process_settings/settings.h"
 #include "storage/lmdb_store.h"
 #include "transport/tcp_transport.h"
 
@@ -18,12 +18,12 @@
 class Member : private clients::FrontUser, private transport::TransportHandler {
  public:
   // Throws std::system_error where an address cannot be had.
-  Member(net::Loop& loop, const coldai::Settings& settings, std::uint64_t seed);
+  Member(net::Loop& loop, const process_settings::Settings& settings, std::uint64_t seed);
   ~Member() override;
 
   // After each turn of the loop.
   void after_turn();
-  void settings_changed(const coldai::Settings& settings);
+  void settings_changed(const process_settings::Settings& settings);
   // Hands over what it leads, and answers what it still can. It ends when the others can do without it.
   void stop();
   // Gives up what one connection holds; false where nothing is left to give up.
@@ -48,7 +48,7 @@
   std::vector<metrics::Sample> samples() const;
 
   net::Loop& loop_;
-  coldai::Settings settings_;
+  process_settings::Settings settings_;
   clients::Front front_;
   transport::TcpTransport links_;
   storage::LmdbStore store_;
--- a/src/altavia/door.cpp
+++ b/src/altavia/reverse_proxy.cpp
@@ -1,4 +1,4 @@
-#include "altavia/door.h"
+#include "altavia/reverse_proxy.h"
 
 #include <fmt/format.h>
 
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-Door::Door(net::Loop& loop, transport::Transport& wire, Options options)
+ReverseProxy::ReverseProxy(net::Loop& loop, transport::Transport& wire, Options options)
     : loop_(loop),
       front_(loop, std::move(options.warn), options.most_clients, *this, patience, first_limits),
       nodes_(loop,
@@ -89,13 +89,13 @@
              }),
       gateway_(wire, std::move(options.follower), nodes_, options.allowance) {}
 
-void Door::start(const net::Address& address) {
+void ReverseProxy::start(const net::Address& address) {
   front_.leave_heads_bare();
   front_.listen(address);
   gateway_.start(loop_.now());
 }
 
-void Door::client_left(net::SlotId connection) {
+void ReverseProxy::client_left(net::SlotId connection) {
   auto found = requests_.find(key(connection));
   if (found == requests_.end()) return;
   gateway_.client_disconnected(found->second);
@@ -103,7 +103,7 @@
   requests_.erase(found);
 }
 
-void Door::request_arrived(net::SlotId connection, const http::Message& message) {
+void ReverseProxy::request_arrived(net::SlotId connection, const http::Message& message) {
   dispatch::ClientRequest arrival;
   arrival.method = message.method;
   Target target = target_of(message);
@@ -144,7 +144,7 @@
   requests_[key(connection)] = request;
 }
 
-void Door::answer(net::SlotId connection, dispatch::ClientResponse final) {
+void ReverseProxy::answer(net::SlotId connection, dispatch::ClientResponse final) {
   clients::Answer answer;
   answer.status = final.status;
   answer.type = final.content_type;
@@ -155,7 +155,7 @@
   front_.answer(connection, answer);
 }
 
-bool Door::take_configuration() {
+bool ReverseProxy::take_configuration() {
   if (gateway_.routed_revision() == routed_) return false;
   routed_ = gateway_.routed_revision();
   const catalog::Limits& limits = gateway_.follower().view().configuration()->limits;
@@ -164,13 +164,13 @@
   return true;
 }
 
-void Door::sweep() {
+void ReverseProxy::sweep() {
   nodes_.sweep();
   if (const auto& configuration = gateway_.follower().view().configuration())
     front_.close_idle_since(loop_.now() - dispatch::from_ms(configuration->limits.idle_ms));
 }
 
-void Door::after_turn() {
+void ReverseProxy::after_turn() {
   net::Time now = loop_.now();
   gateway_.advance(now);
   for (auto& [request, final] : gateway_.take_responses(now)) {
--- a/src/altavia/door.h
+++ b/src/altavia/reverse_proxy.h
@@ -12,7 +12,7 @@
 
 namespace pearspar::altavia {
 
-class Door : private clients::FrontUser {
+class ReverseProxy : private clients::FrontUser {
  public:
   struct Options {
     subscription::FollowerOptions follower;
@@ -20,7 +20,7 @@
     std::size_t most_clients = 0;
     clients::Front::Warn warn;
   };
-  Door(net::Loop& loop, transport::Transport& wire, Options options);
+  ReverseProxy(net::Loop& loop, transport::Transport& wire, Options options);
 
   // Throws std::system_error where the address cannot be had.
   void start(const net::Address& address);
--- a/src/biella/cluster.cpp
+++ b/src/biella/cluster.cpp
@@ -55,7 +55,7 @@
   for (auto& edge : edges_) edge->process.reset();
 }
 
-const altavia::Door* Cluster::door(std::size_t edge) const {
+const altavia::ReverseProxy* Cluster::door(std::size_t edge) const {
   const auto& process = edges_[edge]->process;
   return process && process->service ? process->service->door.get() : nullptr;
 }
--- a/src/biella/cluster.h
+++ b/src/biella/cluster.h
@@ -23,7 +23,7 @@
 #include "subscription/follower.h"
 
 namespace pearspar::altavia {
-class Door;
+class ReverseProxy;
 }
 
 namespace pearspar::biella {
@@ -150,7 +150,7 @@
     double longest_s = 0;
   };
   const std::map<std::string, Heard>& heard() const { return heard_; }
-  const altavia::Door* door(std::size_t edge) const;
+  const altavia::ReverseProxy* door(std::size_t edge) const;
 
   // An operator's change on top of the newest revision it has seen; told to any member, again until it is
   // clear.
--- a/src/biella/cluster_edges.cpp
+++ b/src/biella/cluster_edges.cpp
@@ -67,8 +67,9 @@
   service = std::make_unique<Service>(cluster.streams_);
   net::StandIn in(service->host);
   service->loop = std::make_unique<net::Loop>();
-  service->door = std::make_unique<altavia::Door>(
-      *service->loop, port, altavia::Door::Options{follower, rules, most_clients, [](std::string_view) {}});
+  service->door = std::make_unique<altavia::ReverseProxy>(
+      *service->loop, port,
+      altavia::ReverseProxy::Options{follower, rules, most_clients, [](std::string_view) {}});
   return service->door->gateway();
 }
 
--- a/src/biella/cluster_parts.h
+++ b/src/biella/cluster_parts.h
@@ -5,7 +5,7 @@
 #include <deque>
 #include <optional>
 
-#include "altavia/door.h"
+#include "altavia/reverse_proxy.h"
 #include "biella/cluster.h"
 #include "biella/cluster_http.h"
 #include "edge_gateway/edge_gateway.h"
@@ -124,7 +124,7 @@
     struct Service {
       Host host;
       std::unique_ptr<net::Loop> loop;
-      std::unique_ptr<altavia::Door> door;
+      std::unique_ptr<altavia::ReverseProxy> door;
       net::Timer second;
       explicit Service(Streams& streams) : host(streams) {}
     };
--- a/src/biella/http_days.cpp
+++ b/src/biella/http_days.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "altavia/door.h"
+#include "altavia/reverse_proxy.h"
 
 namespace pearspar::biella {
 namespace {
@@ -64,7 +64,7 @@
 
 void note(const Cluster& cluster, HttpDay& day) {
   for (std::size_t i = 0; i < cluster.edges(); ++i) {
-    const altavia::Door* door = cluster.door(i);
+    const altavia::ReverseProxy* door = cluster.door(i);
     if (!door) continue;
     const auto& links = door->nodes().counters();
     const auto& front = door->front().counters();
--- a/src/clients/front.cpp
+++ b/src/clients/front.cpp
@@ -359,7 +359,7 @@
   bool waiting = connection->state == State::waiting;
   held_bytes_ -= connection->held;
   connections_.release(id);
-  invariants::check(invariants::Promise::bytes_are_accounted, connections_.size() > 0 || held_bytes_ == 0,
+  invariants::check(invariants::Invariant::bytes_are_accounted, connections_.size() > 0 || held_bytes_ == 0,
                     "front");
   if (waiting) user_.client_left(id);
 }
--- a/src/control_plane/controller_configuration.cpp
+++ b/src/control_plane/controller_configuration.cpp
@@ -92,7 +92,7 @@
   proposal_.reset();
   // If the term ended before the change was applied, its outcome is not known yet: no definite answer.
   bool succeeded = !lost && state_.has_applied(done.revision, done.digest);
-  invariants::check(invariants::Promise::acknowledged_is_applied,
+  invariants::check(invariants::Invariant::acknowledged_is_applied,
                     !succeeded || state_.revision() >= done.revision, "configuration change");
   for (const Request& request : done.callers)
     if (succeeded)
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using invariants::Promise;
+using invariants::Invariant;
 
 // Reserved from the latency target for the response to reach the client.
 constexpr Duration response_margin = 12ms;
@@ -231,8 +231,8 @@
     ++counters_.refused;
   else if (response.status >= 500 && request.route->gathers())
     ++counters_.failed;
-  invariants::check(Promise::one_answer_per_request, !request.done, request.id);
-  invariants::check(Promise::refusal_means_not_run, !response.not_executed || !may_have_run(request),
+  invariants::check(Invariant::one_answer_per_request, !request.done, request.id);
+  invariants::check(Invariant::refusal_means_not_run, !response.not_executed || !may_have_run(request),
                     request.id);
   log_failure(now, request, response);
   request.done = true;
--- a/src/dispatch/dispatcher_calls.cpp
+++ b/src/dispatch/dispatcher_calls.cpp
@@ -10,7 +10,7 @@
 namespace pearspar::dispatch {
 namespace {
 
-using invariants::Promise;
+using invariants::Invariant;
 
 // The share of a node's connection limit that the edges use together.
 constexpr double usable_connection_share = 0.9;
@@ -85,8 +85,9 @@
     part.calls.push_back(call_id);
     ++part.tries;
     ++counters_.calls;
-    invariants::check(Promise::tries_within_route, part.tries <= request.route->max_attempts, request.id);
-    invariants::check(Promise::unsafe_is_not_repeated, request.route->safe || !part.may_have_run, request.id);
+    invariants::check(Invariant::tries_within_route, part.tries <= request.route->max_attempts, request.id);
+    invariants::check(Invariant::unsafe_is_not_repeated, request.route->safe || !part.may_have_run,
+                      request.id);
     return true;
   }
   if (part.calls.empty()) part.closed = true;
--- a/src/dispatch/dispatcher_responses.cpp
+++ b/src/dispatch/dispatcher_responses.cpp
@@ -77,7 +77,7 @@
   }
   Merged merged = merge(bodies, static_cast<std::size_t>(request.route->max_records));
   std::size_t missing = request.parts.size() - bodies.size();
-  invariants::check(invariants::Promise::parts_are_of_one_set,
+  invariants::check(invariants::Invariant::parts_are_of_one_set,
                     request.parts.size() == request.route->shards.size() && !bodies.empty(), request.id);
   if (missing == 0) weights_.learn(shards, merged.survived);
   ++(missing == 0 ? counters_.whole : counters_.partial);
--- a/src/edge_gateway/edge_gateway.cpp
+++ b/src/edge_gateway/edge_gateway.cpp
@@ -48,7 +48,7 @@
     dispatcher_.set_initial_coverage(view.coverage());
   }
   if (view.revision() == routed_revision_) return;
-  invariants::check(invariants::Promise::version_never_falls, view.revision() > routed_revision_,
+  invariants::check(invariants::Invariant::version_never_falls, view.revision() > routed_revision_,
                     "configuration");
   routed_revision_ = view.revision();
   dispatcher_.set_routes(std::make_shared<const dispatch::RouteTable>(view.configuration()));
--- a/src/invariants/invariants.h
+++ b/src/invariants/invariants.h
@@ -1,4 +1,4 @@
-// The promises that matter most, checked while the program runs. A violation is counted and told to a
+// The invariant_count that matter most, checked while the program runs. A violation is counted and told to a
 // handler; it never ends a process in service. Tests and the soak ask for the counts to be zero.
 //
 // A check costs a comparison. Counts are of the whole process and may be read from any thread.
@@ -10,7 +10,7 @@
 
 namespace pearspar::invariants {
 
-enum class Promise {
+enum class Invariant {
   commit_never_falls,          // what a majority holds stays held
   term_never_falls,            // nor does a member vote twice in a term by going back
   applied_within_log,          // applied <= committed <= in the log
@@ -24,24 +24,24 @@
   nothing_sent_past_deadline,  // to a server
   bytes_are_accounted,         // what is counted as held is given back with the last connection
 };
-inline constexpr std::size_t promises = static_cast<std::size_t>(Promise::bytes_are_accounted) + 1;
+inline constexpr std::size_t invariant_count = static_cast<std::size_t>(Invariant::bytes_are_accounted) + 1;
 
 // As it stands in logs and metrics.
-std::string_view name(Promise promise);
+std::string_view name(Invariant invariant);
 
 // Told of each violation, on the thread that found it. None by default.
-using Handler = void (*)(Promise promise, std::string_view what);
-void set_handler(Handler handler);
+using ViolationHandler = void (*)(Invariant invariant, std::string_view what);
+void set_violation_handler(ViolationHandler handler);
 
-std::uint64_t violations(Promise promise);
+std::uint64_t violations(Invariant invariant);
 std::uint64_t violations();
 
 // Counts and tells.
-void broken(Promise promise, std::string_view what);
+void report_violation(Invariant invariant, std::string_view what);
 
-inline void check(Promise promise, bool holds, std::string_view what) {
+inline void check(Invariant invariant, bool holds, std::string_view what) {
   if (!holds) [[unlikely]]
-    broken(promise, what);
+    report_violation(invariant, what);
 }
 
 }  // namespace pearspar::invariants
--- a/src/measure/capacity_processes.cpp
+++ b/src/measure/capacity_processes.cpp
@@ -14,7 +14,7 @@
 #include <stdexcept>
 #include <system_error>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "measure/capacity.h"
 
 namespace pearspar::measure {
@@ -148,9 +148,9 @@
 double Members::sample(std::size_t member, std::string_view name) const {
   if (!up(member)) return 0;
   net::Loop loop;
-  carestiato::Caller caller(loop, {});
-  carestiato::CallReply reply =
-      caller.ask(control_[member], {"GET", "/pearspar/metrics", "", "", ""}, net::Duration(2));
+  admin_client::AdminClient caller(loop, {});
+  admin_client::AdminReply reply =
+      caller.call_member(control_[member], {"GET", "/pearspar/metrics", "", "", ""}, net::Duration(2));
   std::istringstream lines(reply.body);
   for (std::string line; std::getline(lines, line);)
     if (line.starts_with(name) && line.size() > name.size() &&
--- a/src/measure/capacity_run.cpp
+++ b/src/measure/capacity_run.cpp
@@ -14,7 +14,7 @@
 #include <span>
 #include <system_error>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "measure/capacity.h"
 
 namespace pearspar::measure {
@@ -222,19 +222,20 @@
         R"("topN":20,"minShare":0.5}}{}],"depots":[{}],"limits":{{}}}})",
         revision, shards, routes, services);
   }
-  carestiato::CallReply call(const std::string& method, const std::string& path, const std::string& headers,
-                             const std::string& body) {
+  admin_client::AdminReply call(const std::string& method, const std::string& path,
+                                const std::string& headers, const std::string& body) {
     net::Loop loop;
     std::vector<std::string> members;
     for (std::size_t i = 0; i < members_->count(); ++i)
       if (members_->up(i)) members.push_back(members_->control()[i]);
-    return carestiato::Caller(loop, members).call({method, path, headers, body, ""}, net::Duration(10));
+    return admin_client::AdminClient(loop, members)
+        .call({method, path, headers, body, ""}, net::Duration(10));
   }
   bool change() {
     std::string headers = fmt::format("If-Match: \"{}\"\r\n", revision_);
     std::string text = configuration(revision_ + 1);
     put("configuration_bytes", static_cast<double>(text.size()));
-    carestiato::CallReply reply = call("PUT", "/pearspar/config", headers, text);
+    admin_client::AdminReply reply = call("PUT", "/pearspar/config", headers, text);
     if (reply.status != 200) {
       wall(fmt::format("a change was not taken: {} {} {}", reply.status, reply.fault,
                        reply.body.substr(0, 200)));
@@ -375,7 +376,7 @@
     call("PUT", path, "", beat_body(server, "at_post", 1));
     wait(0.5);
     double sent = seconds();
-    carestiato::CallReply reply = call("PUT", path, "", beat_body(server, "closing_out", 2));
+    admin_client::AdminReply reply = call("PUT", path, "", beat_body(server, "closing_out", 2));
     double took = (seconds() - sent) * 1000;
     if (reply.status != 200) wall(fmt::format("a leave was answered {} {}", reply.status, reply.fault));
     call("DELETE", path, "", "");
--- a/src/coldai/settings.cpp
+++ b/src/process_settings/settings.cpp
@@ -1,4 +1,4 @@
-#include "coldai/settings.h"
+#include "process_settings/settings.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 
 #include <sstream>
 
-namespace pearspar::coldai {
+namespace pearspar::process_settings {
 namespace {
 
 // Asks a table for keys, and keeps the first fault with its place.
@@ -85,8 +85,8 @@
 }
 
 // By system calls: a C stream that is refused its memory looks like a file that cannot be opened.
-ReadSettings read_settings(const std::string& path) {
-  ReadSettings read;
+SettingsResult read_settings(const std::string& path) {
+  SettingsResult read;
   const int file = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (file < 0) {
     read.fault = path + ": cannot be opened";
@@ -104,8 +104,8 @@
   return read_settings_text(text, path);
 }
 
-ReadSettings read_settings_text(std::string_view text, const std::string& name) {
-  ReadSettings read;
+SettingsResult read_settings_text(std::string_view text, const std::string& name) {
+  SettingsResult read;
   toml::parse_result parsed = toml::parse(text, name);
   if (!parsed) {
     const auto& error = parsed.error();
@@ -166,4 +166,4 @@
   return read;
 }
 
-}  // namespace pearspar::coldai
+}  // namespace pearspar::process_settings
--- a/src/coldai/settings.h
+++ b/src/process_settings/settings.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearspar::coldai {
+namespace pearspar::process_settings {
 
 struct Settings {
   std::string node_name;
@@ -48,12 +48,12 @@
   std::vector<std::string> inner_seeds() const;
 };
 
-struct ReadSettings {
+struct SettingsResult {
   Settings settings;
   std::string fault;  // "FILE:LINE:COLUMN: KEY: what is wrong"; empty = none
 };
 
-ReadSettings read_settings(const std::string& path);
-ReadSettings read_settings_text(std::string_view text, const std::string& name);
+SettingsResult read_settings(const std::string& path);
+SettingsResult read_settings_text(std::string_view text, const std::string& name);
 
-}  // namespace pearspar::coldai
+}  // namespace pearspar::process_settings
--- a/src/raft/core.cpp
+++ b/src/raft/core.cpp
@@ -137,10 +137,10 @@
 }
 
 void Core::check_invariants() {
-  using invariants::Promise;
-  invariants::check(Promise::commit_never_falls, commit_ >= checked_commit_, options_.address);
-  invariants::check(Promise::term_never_falls, vote_.term >= checked_term_, options_.address);
-  invariants::check(Promise::applied_within_log, applied_ <= commit_ && commit_ <= log_.last(),
+  using invariants::Invariant;
+  invariants::check(Invariant::commit_never_falls, commit_ >= checked_commit_, options_.address);
+  invariants::check(Invariant::term_never_falls, vote_.term >= checked_term_, options_.address);
+  invariants::check(Invariant::applied_within_log, applied_ <= commit_ && commit_ <= log_.last(),
                     options_.address);
   checked_commit_ = commit_;
   checked_term_ = vote_.term;
--- a/src/standins/hall.cpp
+++ b/src/standins/hall.cpp
@@ -15,7 +15,7 @@
 #include <thread>
 #include <vector>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "clients/front.h"
 #include "net/signals.h"
 
@@ -110,7 +110,7 @@
 void beat(const Options& options, const Node& node, const std::string& address, std::atomic<bool>& leaving,
           std::atomic<bool>& known, std::atomic<bool>& gone) {
   net::Loop loop;
-  carestiato::Caller caller(loop, options.members);
+  admin_client::AdminClient caller(loop, options.members);
   int call = 0;
   auto say = [&](const std::string& state) {
     return caller.call(
@@ -126,7 +126,7 @@
     for (int i = 0; i < 10 && !leaving; ++i)
       std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(options.beat_ms / 10));
   }
-  carestiato::CallReply reply = say("closing_out");
+  admin_client::AdminReply reply = say("closing_out");
   std::printf("%s closing_out: %d\n", node.id().c_str(), reply.status);
   std::fflush(stdout);
   known = reply.status == 200;
@@ -160,8 +160,8 @@
   net::Loop loop;
   int served = 0;
   for (int i = 0; i < options.count; ++i) {
-    carestiato::Caller caller(loop, options.members);
-    carestiato::CallReply reply = caller.call(
+    admin_client::AdminClient caller(loop, options.members);
+    admin_client::AdminReply reply = caller.call(
         {"GET", options.path,
          fmt::format("Request-Id: {}\r\nDeadline-Ms: {:.0f}\r\n", random_id(random), options.deadline_ms) +
              (options.holder.empty() ? "" : "Holder: " + options.holder + "\r\n"),
--- a/src/upstream/node_links.cpp
+++ b/src/upstream/node_links.cpp
@@ -110,7 +110,7 @@
 // With the time that is left now, which may be less than when the connection was asked for.
 void NodeLinks::send_request(net::SlotId id) {
   Connection& connection = *connections_.find(id);
-  invariants::check(invariants::Promise::nothing_sent_past_deadline, loop_.now() <= connection.end,
+  invariants::check(invariants::Invariant::nothing_sent_past_deadline, loop_.now() <= connection.end,
                     connection.id);
   connection.out = connection.request.text(connection.end - loop_.now());
   connection.request = {};
--- a/tests/processes/memory_measure.cpp
+++ b/tests/processes/memory_measure.cpp
@@ -21,8 +21,8 @@
 #include <string>
 #include <vector>
 
+#include "admin_client/admin_client.h"
 #include "allocation/allocation.h"
-#include "carestiato/call.h"
 #include "net/loop.h"
 #include "processes/memory_faults.h"
 #include "trial/process.h"
@@ -222,15 +222,15 @@
   }
 
   bool order() {
-    carestiato::Caller caller(loop_, {control});
+    admin_client::AdminClient caller(loop_, {control});
     const std::uint64_t next = revision_ + 1;
-    const auto reply = caller.ask(
+    const auto reply = caller.call_member(
         control,
         {"PUT", "/pearspar/config", fmt::format("If-Match: {}\r\n", revision_), configuration(next), ""}, 2s);
     if (reply.status != 200) {
       answered_ = fmt::format("order {}: {} {}{}", next, reply.status, reply.fault, reply.body);
       // Without a clear answer it may be in force.
-      const auto now = caller.ask(control, {"GET", "/pearspar/config", "", "", ""}, 2s);
+      const auto now = caller.call_member(control, {"GET", "/pearspar/config", "", "", ""}, 2s);
       if (now.status == 200 && now.body == configuration(next)) revision_ = next;
       return false;
     }
@@ -238,14 +238,14 @@
     return true;
   }
   bool read() {
-    carestiato::Caller caller(loop_, {control});
-    const auto reply = caller.ask(control, {"GET", "/pearspar/config", "", "", ""}, 2s);
+    admin_client::AdminClient caller(loop_, {control});
+    const auto reply = caller.call_member(control, {"GET", "/pearspar/config", "", "", ""}, 2s);
     return reply.status == 200 && reply.body == configuration(revision_);
   }
   bool beat() {
-    carestiato::Caller caller(loop_, {control});
+    admin_client::AdminClient caller(loop_, {control});
     return caller
-               .ask(
+               .call_member(
                    control,
                    {"PUT", "/pearspar/nodes/i-x", "",
                     fmt::format(R"({{"depot":"none","address":"127.76.1.99:1","zoneName":"a","edition":"v1",)"
@@ -256,8 +256,8 @@
                .status == 200;
   }
   bool request() {
-    carestiato::Caller caller(loop_, {front_door});
-    const auto reply = caller.ask(
+    admin_client::AdminClient caller(loop_, {front_door});
+    const auto reply = caller.call_member(
         front_door,
         {"GET", "/g/x", fmt::format("Request-Id: r{:x}\r\nDeadline-Ms: 2000\r\n", ++requests_), "", "h"}, 3s);
     answered_ = fmt::format("request r{:x}: {} {}, {} bytes", requests_, reply.status, reply.fault,
--- a/tests/processes/processes_callers.cpp
+++ b/tests/processes/processes_callers.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <thread>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "catalog/json.h"
 #include "processes/processes.h"
 
@@ -15,8 +15,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-using carestiato::Caller;
-using carestiato::CallReply;
+using admin_client::AdminClient;
+using admin_client::AdminReply;
 
 constexpr net::Duration one_call = 1500ms;
 constexpr double most_open_s = 45;  // an order without a definite answer, all being well at its end
@@ -24,11 +24,11 @@
 
 void rest(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
-CallReply put(Caller& caller, const std::string& member, const Order& order,
-              net::Duration within = one_call) {
-  return caller.ask(member,
-                    {"PUT", "/pearspar/config", fmt::format("If-Match: {}\r\n", order.base), order.text, ""},
-                    within);
+AdminReply put(AdminClient& caller, const std::string& member, const Order& order,
+               net::Duration within = one_call) {
+  return caller.call_member(
+      member, {"PUT", "/pearspar/config", fmt::format("If-Match: {}\r\n", order.base), order.text, ""},
+      within);
 }
 
 std::string pick(const std::vector<std::string>& from, std::mt19937_64& random) {
@@ -36,12 +36,12 @@
 }
 
 // Sent to any member, again and again and unchanged, until somebody says something definite.
-void see_through(Scene& scene, Caller& caller, const Order& order, std::mt19937_64& random, bool lose_first,
-                 std::string member) {
+void see_through(Scene& scene, AdminClient& caller, const Order& order, std::mt19937_64& random,
+                 bool lose_first, std::string member) {
   const double began = scene.judge.now();
   if (lose_first) put(caller, member, order, std::chrono::duration<double>(0.0002 * double(random() % 40)));
   for (double pause = 0.01;; pause = std::min(pause * 2, 0.2)) {
-    const CallReply reply = put(caller, member, order);
+    const AdminReply reply = put(caller, member, order);
     if (scene.judge.answered(order, reply.status, reply.body)) break;
     if (scene.judge.now() - began > most_open_s)
       return scene.judge.fault("ORDER", fmt::format("edition {} has no definite answer after {:.0f} s: {}",
@@ -51,7 +51,7 @@
   }
   scene.judge.waited(scene.judge.now() - began);
   if (random() % 8 == 0) {  // once more, to anybody
-    const CallReply again = put(caller, pick(scene.controls(), random), order);
+    const AdminReply again = put(caller, pick(scene.controls(), random), order);
     scene.judge.answered(order, again.status, again.body);
   }
 }
@@ -96,7 +96,7 @@
 void operate(Scene& scene, std::uint64_t seed, int number) {
   std::mt19937_64 random(seed * 16 + static_cast<unsigned>(number));
   net::Loop loop, rivals_loop;
-  Caller caller(loop, {});
+  AdminClient caller(loop, {});
   while (scene.troubled) {
     const bool storms = scene.storm > 0 && scene.storm-- > 0;
     // On what is known to stand, mostly; now and then on what has just passed.
@@ -114,7 +114,7 @@
       scene.judge.sent(rival);
       std::thread second([&, seed_of_rival = random()] {
         std::mt19937_64 own(seed_of_rival);
-        Caller his(rivals_loop, {});
+        AdminClient his(rivals_loop, {});
         see_through(scene, his, rival, own, false, other);
       });
       see_through(scene, caller, order, random, lose, member);
@@ -130,11 +130,11 @@
 void read_on(Scene& scene, std::uint64_t seed) {
   std::mt19937_64 random(seed * 16 + 9);
   net::Loop loop;
-  Caller caller(loop, {});
+  AdminClient caller(loop, {});
   while (!scene.over) {
     const double began = scene.judge.now();
-    const CallReply reply =
-        caller.ask(pick(scene.controls(), random), {"GET", "/pearspar/config", "", "", ""}, one_call);
+    const AdminReply reply =
+        caller.call_member(pick(scene.controls(), random), {"GET", "/pearspar/config", "", "", ""}, one_call);
     scene.judge.read(began, reply.status, reply.body);
     rest(0.01 + 0.001 * double(random() % 60));
   }
@@ -143,7 +143,7 @@
 void ask_on(Scene& scene, std::uint64_t seed) {
   std::mt19937_64 random(seed * 16 + 10);
   net::Loop loop;
-  Caller caller(loop, {});
+  AdminClient caller(loop, {});
   while (!scene.over) {
     const std::string path = random() % 2 == 0 ? "/g/x" : "/s/x";
     std::vector<std::string> edges;
@@ -151,11 +151,11 @@
       std::lock_guard lock(scene.mutex);
       edges = scene.edges;
     }
-    const CallReply reply =
-        caller.ask(pick(edges, random),
-                   {"GET", path, fmt::format("Request-Id: {:016x}\r\nDeadline-Ms: 1000\r\n", random()), "",
-                    "hall.example"},
-                   one_call);
+    const AdminReply reply = caller.call_member(
+        pick(edges, random),
+        {"GET", path, fmt::format("Request-Id: {:016x}\r\nDeadline-Ms: 1000\r\n", random()), "",
+         "hall.example"},
+        one_call);
     if (reply.status != 0) scene.judge.client(path, reply.status);
     rest(0.02);
   }
@@ -163,10 +163,10 @@
 
 void watch_on(Scene& scene) {
   net::Loop loop;
-  Caller caller(loop, {});
+  AdminClient caller(loop, {});
   while (!scene.over) {
     for (const std::string& address : scene.controls()) {
-      const CallReply reply = caller.ask(address, {"GET", "/pearspar/status", "", "", ""}, 150ms);
+      const AdminReply reply = caller.call_member(address, {"GET", "/pearspar/status", "", "", ""}, 150ms);
       Standing now;
       catalog::Fault fault;
       catalog::Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
@@ -196,7 +196,7 @@
 
 void close_books(Scene& scene) {
   net::Loop loop;
-  Caller caller(loop, {});
+  AdminClient caller(loop, {});
   std::mt19937_64 random(1);
   // All that are about agree, and know what was taken.
   const double began = scene.judge.now();
@@ -233,7 +233,7 @@
   for (const auto& [order, status] : definite) {
     if (status == 200 && order.revision < least) continue;
     for (int tries = 0; tries < 50; ++tries) {
-      const CallReply reply = put(caller, pick(scene.controls(), random), order);
+      const AdminReply reply = put(caller, pick(scene.controls(), random), order);
       if (scene.judge.answered(order, reply.status, reply.body)) break;
       rest(0.1);
       if (tries == 49)
--- a/tests/processes/processes_restart.cpp
+++ b/tests/processes/processes_restart.cpp
@@ -10,7 +10,7 @@
 #include <fstream>
 #include <thread>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "processes/processes_hall.h"
 
 namespace pearspar::processes {
@@ -58,10 +58,10 @@
     double caught = 0;
     std::thread looks([&] {
       net::Loop loop;
-      carestiato::Caller caller(loop, {});
+      admin_client::AdminClient caller(loop, {});
       while (scene_.judge.now() - from < 60) {
         const auto reply =
-            caller.ask(hall_.member(0).control, {"GET", "/pearspar/status", "", "", ""}, 500ms);
+            caller.call_member(hall_.member(0).control, {"GET", "/pearspar/status", "", "", ""}, 500ms);
         const std::size_t at = reply.body.find("\"edition\":");
         if (reply.status == 200 && at != reply.body.npos &&
             std::strtoull(reply.body.c_str() + at + 10, nullptr, 10) >= wanted_) {
@@ -84,7 +84,7 @@
 
  private:
   void change(int count) {
-    carestiato::Caller caller(loop_, scene_.controls());
+    admin_client::AdminClient caller(loop_, scene_.controls());
     wanted_ = revision_;
     for (int i = 0; i < count; ++i) {
       const std::string text = configuration(revision_ + 1, "m", routes_);
@@ -105,14 +105,16 @@
   void restart(int member, const char* how) {
     const double from = scene_.judge.now();
     hall_.start_member(member, false);
-    carestiato::Caller caller(loop_, {});
+    admin_client::AdminClient caller(loop_, {});
     const std::string& control = hall_.member(member).control;
     double says = 0;
     for (bool reads = false; !reads && scene_.judge.now() - from < 60;) {
-      const auto status = caller.ask(control, {"GET", "/pearspar/status", "", "", ""}, net::Duration(1));
+      const auto status =
+          caller.call_member(control, {"GET", "/pearspar/status", "", "", ""}, net::Duration(1));
       if (says == 0 && status.status == 200) says = scene_.judge.now() - from;
       reads = says > 0 &&
-              caller.ask(control, {"GET", "/pearspar/config", "", "", ""}, net::Duration(1)).status == 200;
+              caller.call_member(control, {"GET", "/pearspar/config", "", "", ""}, net::Duration(1)).status ==
+                  200;
     }
     std::printf("core%d %s: %.3f s until its status, %.3f s until it hands out the configuration\n", member,
                 how, says, scene_.judge.now() - from);
--- a/tests/processes/processes_run.cpp
+++ b/tests/processes/processes_run.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <thread>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "processes/processes_hall.h"
 #include "processes/traffic.h"
 
@@ -367,9 +367,9 @@
   // Whether it was told a snapshot since its start, and in which term it is.
   std::string transfers_of(int whom) {
     net::Loop loop;
-    carestiato::Caller caller(loop, {});
+    admin_client::AdminClient caller(loop, {});
     const auto reply =
-        caller.ask(hall_.member(whom).control, {"GET", "/pearspar/metrics", "", "", ""}, 500ms);
+        caller.call_member(hall_.member(whom).control, {"GET", "/pearspar/metrics", "", "", ""}, 500ms);
     std::string told;
     for (const char* name : {"altavia_snapshots_taken_total", "altavia_term", "altavia_voter"}) {
       const std::size_t at = reply.body.find(fmt::format("\n{}{{", name));
@@ -453,13 +453,13 @@
     std::atomic<bool> done = false;
     std::thread asks([&] {
       net::Loop loop;
-      carestiato::Caller caller(loop, {});
+      admin_client::AdminClient caller(loop, {});
       const double until = scene_.judge.now() + 10;
       for (bool all = false; !all && scene_.judge.now() < until;) {
         all = true;
         for (std::size_t i = 0; i < edges.size(); ++i) {
           const std::string check = edges[i].substr(0, edges[i].find(':')) + ":28723";
-          const auto reply = caller.ask(check, {"GET", "/pearspar/metrics", "", "", ""}, 1500ms);
+          const auto reply = caller.call_member(check, {"GET", "/pearspar/metrics", "", "", ""}, 1500ms);
           const std::size_t at = reply.body.find("\naltavia_edition{");
           if (at != reply.body.npos)
             revisions[i] = std::strtoull(reply.body.c_str() + reply.body.find("} ", at) + 2, nullptr, 10);
--- a/tests/processes/slow_senders.cpp
+++ b/tests/processes/slow_senders.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "net/loop.h"
 #include "net/socket.h"
 #include "trial/process.h"
@@ -111,16 +111,16 @@
         settings("edge", "127.78.1.2",
                  fmt::format("frontDoor = \"{}\"\nreadyCheck = \"127.78.1.2:28723\"\n", front_door), ""));
     turn(1.5);
-    carestiato::Caller caller(loop_, {control});
+    admin_client::AdminClient caller(loop_, {control});
     const auto put = caller.call({"PUT", "/pearspar/config", "If-Match: 0\r\n", configuration, ""}, 5s);
     if (put.status != 200) throw std::runtime_error("no configuration was taken");
     turn(1);
     const auto edge_serves = [&] {
-      const auto reply = caller.ask(front_door, {"GET", "/none/", "Request-Id: q\r\n", "", "h"}, 2s);
+      const auto reply = caller.call_member(front_door, {"GET", "/none/", "Request-Id: q\r\n", "", "h"}, 2s);
       return reply.status == 404;  // no such route: the edge's own word, in good time
     };
     const auto member_serves = [&] {
-      return caller.ask(control, {"GET", "/pearspar/config", "", "", ""}, 2s).status == 200;
+      return caller.call_member(control, {"GET", "/pearspar/config", "", "", ""}, 2s).status == 200;
     };
     const bool edge_holds =
         press("edge", *edge, {front_door, 1880, request("POST /s/x", 262'000), 240'000}, edge_serves);
--- a/tests/processes/traffic_servers.cpp
+++ b/tests/processes/traffic_servers.cpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <random>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "http/message.h"
 #include "net/listener.h"
 #include "net/loop.h"
@@ -270,7 +270,7 @@
     net::Loop loop;
     int sequence = 0;
     auto say = [&](const std::string& state) {
-      carestiato::Caller caller(loop, scene_.controls());
+      admin_client::AdminClient caller(loop, scene_.controls());
       return caller.call(
           {"PUT", "/pearspar/nodes/" + id(), "",
            fmt::format(R"({{"depot":"{}","address":"{}","zoneName":"a","edition":"v1","slotCount":{},)"
@@ -297,7 +297,7 @@
   }
 
   bool remove(net::Loop& loop, const std::string& server) {
-    carestiato::Caller caller(loop, scene_.controls());
+    admin_client::AdminClient caller(loop, scene_.controls());
     return caller.call({"DELETE", "/pearspar/nodes/" + server, "", "", ""}, 2s).status == 200;
   }
 
--- a/tests/system/main.cpp
+++ b/tests/system/main.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-void tell(pearspar::invariants::Promise promise, std::string_view what) {
-  std::cerr << "invariant broken: " << pearspar::invariants::name(promise) << ": " << what << "\n";
+void tell(pearspar::invariants::Invariant invariant, std::string_view what) {
+  std::cerr << "invariant broken: " << pearspar::invariants::name(invariant) << ": " << what << "\n";
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  pearspar::invariants::set_handler(tell);
+  pearspar::invariants::set_violation_handler(tell);
   CppUnit::TestResult result;
   CppUnit::TestResultCollector collected;
   CppUnit::BriefTestProgressListener progress;
--- a/tests/system/parts_test.cpp
+++ b/tests/system/parts_test.cpp
@@ -8,8 +8,8 @@
 
 #include "catalog/configuration.h"
 #include "catalog/node_list.h"
-#include "coldai/settings.h"
 #include "control_plane/replicated_state.h"
+#include "process_settings/settings.h"
 #include "protocol/messages.h"
 #include "protocol/raft_codec.h"
 #include "storage/lmdb_store.h"
@@ -335,7 +335,7 @@
         "nodeName = \"n\"\nipAddress = \"10.0.0.1\"\ninnerPortRange = [7120,7135]\n"
         "seedNodes = [\"10.0.0.1:8729\"]\nfirstStart = true\nbeatMs = 900\nsomethingNew = 3\n"
         "[listenAddrs]\nfrontDoor = \"10.0.0.1:8726\"\n[ruleBounds]\nretryRatio = 0.2\nretrySlack = 56\n";
-    auto read = coldai::read_settings_text(good, "local.toml");
+    auto read = process_settings::read_settings_text(good, "local.toml");
     CPPUNIT_ASSERT_EQUAL(std::string(), read.fault);
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:7120"), read.settings.inner_seeds()[0]);
     CPPUNIT_ASSERT_EQUAL(56.0, read.settings.retry_slack);
@@ -349,7 +349,7 @@
         {"[listenAddrs]", "[listenAddrs", "local.toml:8:"},
     };
     for (const auto& [from, to, what] : cases) {
-      std::string fault = coldai::read_settings_text(with(good, from, to), "local.toml").fault;
+      std::string fault = process_settings::read_settings_text(with(good, from, to), "local.toml").fault;
       CPPUNIT_ASSERT_MESSAGE(fault + " / " + what, fault.find(what) != std::string::npos);
     }
   }
--- a/tests/system/promises_test.cpp
+++ b/tests/system/request_guarantees_test.cpp
@@ -1,5 +1,5 @@
 // What the rules promise of a request between its client and its index server, shown on sockets: an edge's
-// door between a scripted client and a scripted server on loopback.
+// proxy between a scripted client and a scripted server on loopback.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -9,7 +9,7 @@
 #include <memory>
 #include <vector>
 
-#include "altavia/door.h"
+#include "altavia/reverse_proxy.h"
 #include "net/listener.h"
 #include "protocol/messages.h"
 
@@ -122,33 +122,33 @@
 
 }  // namespace
 
-class PromisesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PromisesTest);
-  CPPUNIT_TEST(workThatMayBeRepeatedEndsWithItsClient);
-  CPPUNIT_TEST(workThatMayNotBeRepeatedRunsOnWithoutItsClient);
-  CPPUNIT_TEST(timeThatAPipelinedRequestHasWaitedIsNotHandedOn);
-  CPPUNIT_TEST(timeThatARequestWaitedBehindALargeBodyIsNotHandedOn);
-  CPPUNIT_TEST(timeThatARequestWaitedUnreadIsNotHandedOn);
-  CPPUNIT_TEST(whoWaitsWhenItsEdgeEndsIsAnswered);
-  CPPUNIT_TEST(anAnswerWithoutALengthEndsWithItsConnection);
-  CPPUNIT_TEST(anAnswerWithoutALengthThatIsResetIsNotWhole);
+class RequestGuaranteesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RequestGuaranteesTest);
+  CPPUNIT_TEST(safeRequestIsCancelledWhenItsClientLeaves);
+  CPPUNIT_TEST(unsafeRequestIsNotCancelledWhenItsClientLeaves);
+  CPPUNIT_TEST(waitOfAPipelinedRequestIsSubtractedFromItsDeadline);
+  CPPUNIT_TEST(waitBehindALargeBodyIsSubtractedFromTheDeadline);
+  CPPUNIT_TEST(waitOfAnUnreadRequestIsSubtractedFromItsDeadline);
+  CPPUNIT_TEST(openRequestsAreAnsweredWhenTheEdgeStops);
+  CPPUNIT_TEST(responseWithoutLengthEndsWithItsConnection);
+  CPPUNIT_TEST(responseWithoutLengthIsIncompleteAfterAReset);
   CPPUNIT_TEST_SUITE_END();
 
   net::Loop loop;
   NoWire wire;
-  std::unique_ptr<altavia::Door> door;
+  std::unique_ptr<altavia::ReverseProxy> proxy;
   std::unique_ptr<QuietServer> server;
 
  public:
   void setUp() override {
     server = std::make_unique<QuietServer>(loop);
-    altavia::Door::Options options;
+    altavia::ReverseProxy::Options options;
     options.follower.incarnation = 1;
     options.allowance = {1, 100, net::Duration(10)};
     options.most_clients = 20;
     options.warn = [](std::string_view) {};
-    door = std::make_unique<altavia::Door>(loop, wire, std::move(options));
-    door->start({0x7f000001, 0});
+    proxy = std::make_unique<altavia::ReverseProxy>(loop, wire, std::move(options));
+    proxy->start({0x7f000001, 0});
     protocol::StateSnapshot standing;
     standing.at = {1, 1};
     standing.complete = true;
@@ -161,12 +161,12 @@
     node.address = server->address();
     node.slots = 10;
     standing.nodes.push_back({node, 0});
-    door->gateway().link_up(1, "127.0.0.1:1");
-    door->gateway().link_frame(loop.now(), 1, protocol::pack(standing));
-    CPPUNIT_ASSERT(door->take_configuration());
+    proxy->gateway().link_up(1, "127.0.0.1:1");
+    proxy->gateway().link_frame(loop.now(), 1, protocol::pack(standing));
+    CPPUNIT_ASSERT(proxy->take_configuration());
   }
   void tearDown() override {
-    door.reset();
+    proxy.reset();
     server.reset();
   }
 
@@ -174,36 +174,36 @@
     const net::Time end = loop.read_clock() + within;
     while (!holds() && loop.read_clock() < end) {
       loop.turn(net::Duration(0.01));
-      door->after_turn();
+      proxy->after_turn();
     }
     return holds();
   }
   std::unique_ptr<ScriptedClient> client() {
-    return std::make_unique<ScriptedClient>(door->front().address());
+    return std::make_unique<ScriptedClient>(proxy->front().address());
   }
 
-  void workThatMayBeRepeatedEndsWithItsClient() {
+  void safeRequestIsCancelledWhenItsClientLeaves() {
     auto leaves = client();
     leaves->send(request("/s/x", "a", 4000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
     leaves.reset();
     CPPUNIT_ASSERT_MESSAGE("the server hears of it",
                            until(known_within, [&] { return !server->is_open(0); }));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->gateway().dispatcher().open_requests());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, proxy->gateway().dispatcher().open_requests());
   }
 
-  void workThatMayNotBeRepeatedRunsOnWithoutItsClient() {
+  void unsafeRequestIsNotCancelledWhenItsClientLeaves() {
     auto leaves = client();
     leaves->send(request("/u/x", "a", 4000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
     leaves.reset();
     CPPUNIT_ASSERT_MESSAGE("it is not broken off", !until(known_within, [&] { return !server->is_open(0); }));
     server->say(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
-    CPPUNIT_ASSERT(until(1s, [&] { return door->gateway().dispatcher().open_requests() == 0; }));
+    CPPUNIT_ASSERT(until(1s, [&] { return proxy->gateway().dispatcher().open_requests() == 0; }));
     CPPUNIT_ASSERT_MESSAGE("its connection serves the next", server->is_open(0));
   }
 
-  void timeThatAPipelinedRequestHasWaitedIsNotHandedOn() {
+  void waitOfAPipelinedRequestIsSubtractedFromItsDeadline() {
     auto pipelines = client();
     pipelines->send(request("/s/x", "a", 3000) + request("/s/x", "b", 3000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
@@ -217,7 +217,7 @@
   }
 
   // The body is more than a connection reads ahead; it has left the buffer when the next request comes.
-  void timeThatARequestWaitedBehindALargeBodyIsNotHandedOn() {
+  void waitBehindALargeBodyIsSubtractedFromTheDeadline() {
     auto pipelines = client();
     const std::string body(100'000, 'b');
     pipelines->send(
@@ -237,7 +237,7 @@
 
   // The third stands behind more bytes than a connection reads ahead: it is read only when the second is at
   // work, and may have come at any moment since reading stopped.
-  void timeThatARequestWaitedUnreadIsNotHandedOn() {
+  void waitOfAnUnreadRequestIsSubtractedFromItsDeadline() {
     auto pipelines = client();
     const std::string body(100'000, 'b');
     pipelines->send(request("/s/x", "a", 3000) +
@@ -259,21 +259,21 @@
                            handed > 1000 && handed <= 2450);
   }
 
-  void whoWaitsWhenItsEdgeEndsIsAnswered() {
+  void openRequestsAreAnsweredWhenTheEdgeStops() {
     auto asks = client();
     asks->send(request("/u/x", "a", 3000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    door->finish_open_requests();
+    proxy->finish_open_requests();
     CPPUNIT_ASSERT(until(200ms, [&] { return !asks->seen().empty(); }));
     CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 504"), asks->seen().substr(0, 12));
     CPPUNIT_ASSERT(asks->seen().find("Request-Id: a\r\n") != std::string::npos);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, door->front().busy());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, proxy->front().busy());
     CPPUNIT_ASSERT(
-        door->gateway().dispatcher().failure_log().as_json(loop.now()).find("\"reason\":\"ending\"") !=
+        proxy->gateway().dispatcher().failure_log().as_json(loop.now()).find("\"reason\":\"ending\"") !=
         std::string::npos);
   }
 
-  void anAnswerWithoutALengthEndsWithItsConnection() {
+  void responseWithoutLengthEndsWithItsConnection() {
     auto asks = client();
     asks->send(request("/s/x", "a", 3000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
@@ -288,7 +288,7 @@
     CPPUNIT_ASSERT(asks->seen().find("Postmark: m\r\n") != std::string::npos);
   }
 
-  void anAnswerWithoutALengthThatIsResetIsNotWhole() {
+  void responseWithoutLengthIsIncompleteAfterAReset() {
     auto asks = client();
     asks->send(request("/u/x", "a", 3000));
     CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
@@ -301,6 +301,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PromisesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RequestGuaranteesTest);
 
 }  // namespace pearspar
