--- a/src/altavia/edge.cpp
+++ b/src/altavia/edge.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t other_files = 300;  // descriptors that are no client's
 
 std::size_t most_clients(const process_settings::Settings& settings) {
-  auto files = static_cast<std::size_t>(settings.files);
+  auto files = static_cast<std::size_t>(settings.open_file_limit);
   return files > 2 * other_files ? (files - other_files) / 2 : 100;
 }
 
@@ -47,9 +47,10 @@
   proxy_.set_memory_bounds(settings.memory_bytes(edge_shares.clients),
                            settings.memory_bytes(edge_shares.servers));
   links_.set_memory_bound(settings.memory_bytes(edge_shares.links));
-  proxy_.start(net::Address::of(settings.front_door));
+  proxy_.start(net::Address::of(settings.client_listen_address));
   check_.leave_heads_bare();
-  if (!settings.ready_check.empty()) check_.listen(net::Address::of(settings.ready_check));
+  if (!settings.readiness_listen_address.empty())
+    check_.listen(net::Address::of(settings.readiness_listen_address));
   each_second();
 }
 
@@ -123,7 +124,7 @@
 void Edge::stop() {
   if (stopping_) return;
   stopping_ = true;
-  net::Duration grace(settings_.grace_s);
+  net::Duration grace(settings_.shutdown_grace_s);
   stop_at_ = loop_.now() + std::min(leave_after, grace * leave_share);
   end_at_ = loop_.now() + grace - std::min(leave_before, grace * most_left_of_grace);
   proxy_.front().wind_down();
--- a/src/altavia/main.cpp
+++ b/src/altavia/main.cpp
@@ -145,9 +145,9 @@
     logging::open_log(read.settings.node_name, least_);
     allocation::set_report(STDOUT_FILENO, read.settings.node_name.c_str(), this);
     try {
-      if (!read.settings.front_door.empty())
+      if (!read.settings.client_listen_address.empty())
         edge_ = std::make_unique<altavia::Edge>(loop, read.settings, fresh_number());
-      if (!read.settings.control_port.empty() && !read.settings.data_dir.empty())
+      if (!read.settings.control_listen_address.empty() && !read.settings.data_dir.empty())
         member_ = std::make_unique<altavia::Member>(loop, read.settings, fresh_number());
     } catch (const std::system_error& error) {
       log(Level::error, "start_failed", {{"why", error.what()}});
--- a/src/altavia/member.cpp
+++ b/src/altavia/member.cpp
@@ -37,11 +37,11 @@
   control_plane::ControllerOptions options;
   options.pool = {settings.retry_slack, net::Duration(settings.retry_window_s)};
   options.inner_address = settings.inner_address();
-  options.control_address = settings.control_port;
+  options.control_address = settings.control_listen_address;
   options.incarnation = seed;
   options.name = settings.node_name;
   options.zone = settings.zone;
-  options.heartbeat_interval = control_plane::Duration(settings.beat_ms / 1000);
+  options.heartbeat_interval = control_plane::Duration(settings.heartbeat_interval_ms / 1000);
   return options;
 }
 
@@ -66,7 +66,7 @@
   front_.set_memory_bound(settings.memory_bytes(member_shares.clients));
   links_.set_memory_bound(settings.memory_bytes(member_shares.links));
   links_.listen(net::Address::of(settings.inner_address()));
-  front_.listen(net::Address::of(settings.control_port));
+  front_.listen(net::Address::of(settings.control_listen_address));
   start_core();
 }
 
@@ -229,7 +229,7 @@
   if (stopping_) return;
   stopping_ = true;
   stop_at_ = loop_.now() + stop_within;
-  grace_over_ = std::max(stop_at_, loop_.now() + net::Duration(settings_.grace_s * most_of_grace));
+  grace_over_ = std::max(stop_at_, loop_.now() + net::Duration(settings_.shutdown_grace_s * most_of_grace));
   member_.transfer_leadership(loop_.read_clock());
   log(Level::info, "member_stops", {{"term", member_.core().term()}});
 }
--- a/src/invariants/invariants.cpp
+++ b/src/invariants/invariants.cpp
@@ -11,17 +11,17 @@
     "tries_within_route",  "parts_are_of_one_set",   "nothing_sent_past_deadline", "bytes_are_accounted"};
 
 std::array<std::atomic<std::uint64_t>, invariant_count> violation_counts{};
-std::atomic<ViolationHandler> told{nullptr};
+std::atomic<ViolationHandler> violation_handler{nullptr};
 
-std::size_t place(Invariant invariant) { return static_cast<std::size_t>(invariant); }
+std::size_t index_of(Invariant invariant) { return static_cast<std::size_t>(invariant); }
 
 }  // namespace
 
-std::string_view name(Invariant invariant) { return names[place(invariant)]; }
+std::string_view name(Invariant invariant) { return names[index_of(invariant)]; }
 
-void set_violation_handler(ViolationHandler handler) { told = handler; }
+void set_violation_handler(ViolationHandler handler) { violation_handler = handler; }
 
-std::uint64_t violations(Invariant invariant) { return violation_counts[place(invariant)]; }
+std::uint64_t violations(Invariant invariant) { return violation_counts[index_of(invariant)]; }
 
 std::uint64_t violations() {
   std::uint64_t sum = 0;
@@ -30,8 +30,8 @@
 }
 
 void report_violation(Invariant invariant, std::string_view what) {
-  ++violation_counts[place(invariant)];
-  if (const ViolationHandler handler = told) handler(invariant, what);
+  ++violation_counts[index_of(invariant)];
+  if (const ViolationHandler handler = violation_handler) handler(invariant, what);
 }
 
 }  // namespace pearspar::invariants
--- a/src/process_settings/settings.cpp
+++ b/src/process_settings/settings.cpp
@@ -11,21 +11,21 @@
 namespace pearspar::process_settings {
 namespace {
 
-// Asks a table for keys, and keeps the first fault with its place.
-class Reader {
+// Reads the fields of a table and records the first error with its position.
+class TableReader {
  public:
-  Reader(const toml::table& table, std::string prefix, std::string name, std::string& fault)
+  TableReader(const toml::table& table, std::string prefix, std::string name, std::string& fault)
       : table_(table), prefix_(std::move(prefix)), name_(std::move(name)), fault_(fault) {}
 
   template <typename T>
-  void read(const char* key, T& value, bool wanted = false) {
+  void read(const char* key, T& value, bool required = false) {
     const toml::node* node = table_.get(key);
     if (!node) {
-      if (wanted) fail(key, table_, "is missing");
+      if (required) fail(key, table_, "is missing");
       return;
     }
     if constexpr (std::is_same_v<T, double>) {
-      // A whole number will do for a fraction.
+      // Integers are accepted as well.
       if (auto found = node->value<double>())
         value = *found;
       else
@@ -43,15 +43,15 @@
         fail(key, *node, std::is_same_v<T, bool> ? "is neither true nor false" : "is no text");
     }
   }
-  void texts(const char* key, std::vector<std::string>& values) {
+  void read_texts(const char* key, std::vector<std::string>& values) {
     const toml::node* node = table_.get(key);
     if (!node) return;
     const toml::array* array = node->as_array();
     if (!array) return fail(key, *node, "is no list");
     values.clear();
-    for (const toml::node& each : *array) {
-      auto text = each.value_exact<std::string>();
-      if (!text) return fail(key, each, "holds something that is no text");
+    for (const toml::node& item : *array) {
+      auto text = item.value_exact<std::string>();
+      if (!text) return fail(key, item, "holds something that is no text");
       values.push_back(*text);
     }
   }
@@ -60,11 +60,11 @@
     if (node && !node->as_table()) fail(key, *node, "is no table");
     return node ? node->as_table() : nullptr;
   }
-  void fail(const char* key, const toml::node& at, const std::string& what) {
+  void fail(const char* key, const toml::node& node, const std::string& problem) {
     if (!fault_.empty()) return;
     std::ostringstream out;
-    out << name_ << ":" << at.source().begin.line << ":" << at.source().begin.column << ": " << prefix_ << key
-        << ": " << what;
+    out << name_ << ":" << node.source().begin.line << ":" << node.source().begin.column << ": " << prefix_
+        << key << ": " << problem;
     fault_ = out.str();
   }
 
@@ -84,86 +84,87 @@
   return inner;
 }
 
-// By system calls: a C stream that is refused its memory looks like a file that cannot be opened.
+// Uses system calls: with a C stream, a failed allocation would look like a file that cannot be opened.
 SettingsResult read_settings(const std::string& path) {
-  SettingsResult read;
+  SettingsResult result;
   const int file = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (file < 0) {
-    read.fault = path + ": cannot be opened";
-    return read;
+    result.fault = path + ": cannot be opened";
+    return result;
   }
   std::string text;
-  char piece[4096];
-  ssize_t got = 0;
-  while ((got = ::read(file, piece, sizeof piece)) > 0) text.append(piece, static_cast<std::size_t>(got));
+  char chunk[4096];
+  ssize_t bytes_read = 0;
+  while ((bytes_read = ::read(file, chunk, sizeof chunk)) > 0)
+    text.append(chunk, static_cast<std::size_t>(bytes_read));
   ::close(file);
-  if (got < 0) {
-    read.fault = path + ": cannot be read";
-    return read;
+  if (bytes_read < 0) {
+    result.fault = path + ": cannot be read";
+    return result;
   }
   return read_settings_text(text, path);
 }
 
 SettingsResult read_settings_text(std::string_view text, const std::string& name) {
-  SettingsResult read;
+  SettingsResult result;
   toml::parse_result parsed = toml::parse(text, name);
   if (!parsed) {
     const auto& error = parsed.error();
     std::ostringstream out;
     out << name << ":" << error.source().begin.line << ":" << error.source().begin.column << ": "
         << error.description();
-    read.fault = out.str();
-    return read;
+    result.fault = out.str();
+    return result;
   }
   const toml::table& root = parsed.table();
-  Settings& to = read.settings;
-  Reader in(root, "", name, read.fault);
-  in.read("nodeName", to.node_name, true);
-  in.read("role", to.role);
-  in.read("ipAddress", to.ip, true);
-  in.read("zoneName", to.zone);
-  in.texts("seedNodes", to.seeds);
-  in.read("firstStart", to.first_start);
-  in.read("counted", to.counted);
-  in.read("dataDir", to.data_dir);
-  in.read("beatMs", to.beat_ms);
+  Settings& settings = result.settings;
+  TableReader root_reader(root, "", name, result.fault);
+  root_reader.read("nodeName", settings.node_name, true);
+  root_reader.read("role", settings.role);
+  root_reader.read("ipAddress", settings.ip_address, true);
+  root_reader.read("zoneName", settings.zone);
+  root_reader.read_texts("seedNodes", settings.seeds);
+  root_reader.read("firstStart", settings.first_start);
+  root_reader.read("counted", settings.counted);
+  root_reader.read("dataDir", settings.data_dir);
+  root_reader.read("beatMs", settings.heartbeat_interval_ms);
   if (const toml::node* ports = root.get("innerPortRange")) {
     const toml::array* range = ports->as_array();
     auto first = range && range->size() == 2 ? range->get(0)->value_exact<std::int64_t>() : std::nullopt;
     auto last = range && range->size() == 2 ? range->get(1)->value_exact<std::int64_t>() : std::nullopt;
     if (first && last && *first > 0 && *first <= *last && *last < 65536) {
-      to.first_inner_port = static_cast<int>(*first);
-      to.last_inner_port = static_cast<int>(*last);
+      settings.first_inner_port = static_cast<int>(*first);
+      settings.last_inner_port = static_cast<int>(*last);
     } else {
-      in.fail("innerPortRange", *ports, "is no pair of ports");
+      root_reader.fail("innerPortRange", *ports, "is no pair of ports");
     }
   } else {
-    in.fail("innerPortRange", root, "is missing");
+    root_reader.fail("innerPortRange", root, "is missing");
   }
-  auto inside = [&](const char* key, auto work) {
-    if (const toml::table* table = in.table(key)) {
-      Reader reader(*table, std::string(key) + ".", name, read.fault);
-      work(reader);
+  auto read_table = [&](const char* key, auto read_fields) {
+    if (const toml::table* table = root_reader.table(key)) {
+      TableReader reader(*table, std::string(key) + ".", name, result.fault);
+      read_fields(reader);
     }
   };
-  inside("listenAddrs", [&](Reader& listen) {
-    listen.read("frontDoor", to.front_door);
-    listen.read("readyCheck", to.ready_check);
-    listen.read("controlPort", to.control_port);
+  read_table("listenAddrs", [&](TableReader& listen) {
+    listen.read("frontDoor", settings.client_listen_address);
+    listen.read("readyCheck", settings.readiness_listen_address);
+    listen.read("controlPort", settings.control_listen_address);
   });
-  inside("limits", [&](Reader& limits) {
-    limits.read("memoryMb", to.memory_mb);
-    limits.read("fileLimit", to.files);
+  read_table("limits", [&](TableReader& limits) {
+    limits.read("memoryMb", settings.memory_limit_mb);
+    limits.read("fileLimit", settings.open_file_limit);
   });
-  inside("ruleBounds", [&](Reader& bounds) {
-    bounds.read("inTouchMs", to.in_touch_ms);
-    bounds.read("drainMs", to.drain_ms);
-    bounds.read("gracePeriodS", to.grace_s);
-    bounds.read("retryRatio", to.retry_ratio);
-    bounds.read("retryWindowS", to.retry_window_s);
-    bounds.read("retrySlack", to.retry_slack);
+  read_table("ruleBounds", [&](TableReader& bounds) {
+    bounds.read("inTouchMs", settings.in_touch_ms);
+    bounds.read("drainMs", settings.drain_ms);
+    bounds.read("gracePeriodS", settings.shutdown_grace_s);
+    bounds.read("retryRatio", settings.retry_ratio);
+    bounds.read("retryWindowS", settings.retry_window_s);
+    bounds.read("retrySlack", settings.retry_slack);
   });
-  return read;
+  return result;
 }
 
 }  // namespace pearspar::process_settings
