--- a/src/admin_client/admin_client.cpp
+++ b/src/admin_client/admin_client.cpp
@@ -12,19 +12,20 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t most_reply = std::size_t{16} << 20;
-constexpr net::Duration one_try = 1500ms;
-constexpr int most_redirects = 2;
+constexpr std::size_t max_reply_bytes = std::size_t{16} << 20;
+constexpr net::Duration attempt_timeout = 1500ms;
+constexpr int max_redirects = 2;
+constexpr std::size_t read_size = 65536;
 
 }  // namespace
 
 AdminReply AdminClient::call_member(const std::string& member, const AdminRequest& request,
-                                    net::Duration within) {
+                                    net::Duration timeout) {
   AdminReply reply;
   reply.from = member;
-  auto fail = [&](std::string why) {
+  auto fail = [&](std::string reason) {
     reply.status = 0;
-    reply.fault = member + ": " + std::move(why);
+    reply.fault = member + ": " + std::move(reason);
     return reply;
   };
   auto address = net::Address::parse(member);
@@ -32,50 +33,51 @@
   int error = 0;
   net::Fd fd = net::start_connect(*address, error);
   if (!fd) return fail(std::generic_category().message(error));
-  std::string out = fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n{}", request.method,
-                                request.path, request.host.empty() ? member : request.host, request.headers);
+  std::string output =
+      fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n{}", request.method, request.path,
+                  request.host.empty() ? member : request.host, request.headers);
   if (!request.body.empty() || request.method == "PUT")
-    out += fmt::format("Content-Type: application/json\r\nContent-Length: {}\r\n", request.body.size());
-  out += "\r\n" + request.body;
+    output += fmt::format("Content-Type: application/json\r\nContent-Length: {}\r\n", request.body.size());
+  output += "\r\n" + request.body;
   std::size_t written = 0;
-  net::Buffer in;
+  net::Buffer input;
   http::ReplyStream stream;
-  std::string why;
-  bool up = false, done = false;
-  net::Time end = loop_.read_clock() + within;
-  auto progress = [&](http::Progress now) {
-    if (now == http::Progress::failed) why = stream.failed_why();
-    done = done || now != http::Progress::more;
+  std::string error_text;
+  bool connected = false, done = false;
+  net::Time deadline = loop_.read_clock() + timeout;
+  auto handle_progress = [&](http::Progress progress) {
+    if (progress == http::Progress::failed) error_text = stream.failed_why();
+    done = done || progress != http::Progress::more;
   };
   net::Watch watch;
   watch = loop_.watch(fd.get(), POLLIN | POLLOUT, [&](short) {
-    if (!up) {
-      if (int broken = net::connect_error(fd)) {
-        why = std::generic_category().message(broken);
+    if (!connected) {
+      if (int connect_error = net::connect_error(fd)) {
+        error_text = std::generic_category().message(connect_error);
         done = true;
         return;
       }
-      up = true;
+      connected = true;
     }
-    if (written < out.size()) {
-      std::size_t now = 0;
-      net::write_from(fd, std::string_view(out).substr(written), now);
-      written += now;
-      if (written == out.size()) watch.want(POLLIN);
+    if (written < output.size()) {
+      std::size_t bytes_written = 0;
+      net::write_from(fd, std::string_view(output).substr(written), bytes_written);
+      written += bytes_written;
+      if (written == output.size()) watch.want(POLLIN);
     }
-    auto got = net::read_into(fd, in, 65536);
-    if (got == net::IoResult::some) {
-      progress(stream.advance(in, [&](std::string_view piece) {
-        reply.body += piece;
-        return reply.body.size() <= most_reply;
+    auto result = net::read_into(fd, input, read_size);
+    if (result == net::IoResult::some) {
+      handle_progress(stream.advance(input, [&](std::string_view chunk) {
+        reply.body += chunk;
+        return reply.body.size() <= max_reply_bytes;
       }));
-    } else if (got != net::IoResult::none && !done) {
-      progress(stream.ended());
+    } else if (result != net::IoResult::none && !done) {
+      handle_progress(stream.ended());
     }
   });
-  while (!done && loop_.read_clock() < end) loop_.turn(end - loop_.read_clock());
+  while (!done && loop_.read_clock() < deadline) loop_.turn(deadline - loop_.read_clock());
   if (!done) return fail("no answer in time");
-  if (!why.empty()) return fail(why);
+  if (!error_text.empty()) return fail(error_text);
   reply.status = stream.status();
   if (reply.status == 307) {
     std::string_view location = stream.header("Location");
@@ -86,29 +88,30 @@
   return reply;
 }
 
-AdminReply AdminClient::call(const AdminRequest& request, net::Duration within) {
-  net::Time end = loop_.read_clock() + within;
-  AdminReply last, said;
+AdminReply AdminClient::call(const AdminRequest& request, net::Duration timeout) {
+  net::Time deadline = loop_.read_clock() + timeout;
+  AdminReply last, last_server_error;
   last.fault = "no member is named";
-  net::Duration pause = 50ms;
-  for (std::size_t tries = 0; !members_.empty(); ++tries) {
-    net::Duration left = end - loop_.read_clock();
-    if (left <= net::Duration{}) break;
-    std::string member = members_[next_];
-    // Each is asked once before the time is over, whoever is silent.
-    std::size_t others = tries < members_.size() ? members_.size() - tries : 1;
-    last = call_member(member, request, std::min(left / others, net::Duration(one_try)));
-    for (int hop = 0; hop < most_redirects && last.status == 307; ++hop)
-      last = call_member(last.fault, request, std::min(net::Duration(one_try), end - loop_.read_clock()));
+  net::Duration retry_delay = 50ms;
+  for (std::size_t attempts = 0; !members_.empty(); ++attempts) {
+    net::Duration remaining = deadline - loop_.read_clock();
+    if (remaining <= net::Duration{}) break;
+    std::string member = members_[next_member_];
+    // Leaves time to call each member once, even if the others do not respond.
+    std::size_t members_left = attempts < members_.size() ? members_.size() - attempts : 1;
+    last = call_member(member, request, std::min(remaining / members_left, net::Duration(attempt_timeout)));
+    for (int hop = 0; hop < max_redirects && last.status == 307; ++hop)
+      last = call_member(last.fault, request,
+                         std::min(net::Duration(attempt_timeout), deadline - loop_.read_clock()));
     if (last.status != 0 && last.status < 500 && last.status != 307) return last;
-    if (last.status >= 500) said = last;
-    next_ = (next_ + 1) % members_.size();
-    if ((tries + 1) % members_.size() != 0) continue;
-    net::Time go_on = loop_.read_clock() + std::min(pause, end - loop_.read_clock());
-    while (loop_.read_clock() < go_on) loop_.turn(go_on - loop_.read_clock());
-    pause = std::min(pause * 2, net::Duration(1s));
+    if (last.status >= 500) last_server_error = last;
+    next_member_ = (next_member_ + 1) % members_.size();
+    if ((attempts + 1) % members_.size() != 0) continue;
+    net::Time resume_at = loop_.read_clock() + std::min(retry_delay, deadline - loop_.read_clock());
+    while (loop_.read_clock() < resume_at) loop_.turn(resume_at - loop_.read_clock());
+    retry_delay = std::min(retry_delay * 2, net::Duration(1s));
   }
-  return last.status == 0 && said.status != 0 ? said : last;
+  return last.status == 0 && last_server_error.status != 0 ? last_server_error : last;
 }
 
 }  // namespace pearspar::admin_client
--- a/src/admin_client/admin_client.h
+++ b/src/admin_client/admin_client.h
@@ -1,5 +1,5 @@
-// One control call by hand: to any of the members, following a 307 twice, on to the next after a failure, a
-// 5xx or a second of silence.
+// Client of the members' control API. It tries the members in turn: it follows up to two redirects (307) and
+// goes on to the next member after a connection failure, a 5xx status or a timeout.
 #pragma once
 
 #include <string>
@@ -10,37 +10,40 @@
 
 namespace pearspar::admin_client {
 
+// An HTTP request to the control API.
 struct AdminRequest {
   std::string method;
   std::string path;
-  std::string headers;  // further lines, each with its end
+  std::string headers;  // additional header lines, each ending with CRLF
   std::string body;
-  std::string host;  // empty = the member's address
+  std::string host;  // Host header; empty = the member's address
 };
 
+// The response of a member, or why there is none.
 struct AdminReply {
-  int status = 0;  // 0 = nobody has answered
+  int status = 0;  // HTTP status; 0 = no response
   std::string body;
-  std::string fault;  // why, where nobody has
-  std::string from;   // who has
+  std::string fault;  // reason if status is 0; target address of a 307
+  std::string from;   // address of the member called
 };
 
+// Blocks while it runs `loop` until the call has ended.
 class AdminClient {
  public:
   AdminClient(net::Loop& loop, std::vector<std::string> members)
       : loop_(loop), members_(std::move(members)) {}
 
-  // Asks one member after the other until one says something definite, or the time is over: then it is the
-  // last word of any that tells why, rather than the silence of another.
-  AdminReply call(const AdminRequest& request, net::Duration within);
-  // Asks that one alone.
-  AdminReply call_member(const std::string& member, const AdminRequest& request, net::Duration within);
+  // Calls the members in turn until one gives a final response (below 500, not 307) or the timeout expires.
+  // In the latter case the last 5xx response is returned in preference to a connection failure.
+  AdminReply call(const AdminRequest& request, net::Duration timeout);
+  // Calls this member only, without following redirects.
+  AdminReply call_member(const std::string& member, const AdminRequest& request, net::Duration timeout);
   const std::vector<std::string>& members() const { return members_; }
 
  private:
   net::Loop& loop_;
   std::vector<std::string> members_;
-  std::size_t next_ = 0;
+  std::size_t next_member_ = 0;
 };
 
 }  // namespace pearspar::admin_client
--- a/src/admin_client/commands.cpp
+++ b/src/admin_client/commands.cpp
@@ -19,6 +19,8 @@
 using catalog::Fault;
 using catalog::Json;
 
+constexpr double status_timeout_s = 2;  // for one member
+
 std::string text_of(const cJSON* object, const char* key) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(object, key);
   if (cJSON_IsString(item)) return item->valuestring;
@@ -27,23 +29,24 @@
   return "-";
 }
 
-// Columns as wide as what stands in them.
-std::string table(const std::vector<std::vector<std::string>>& rows) {
-  std::vector<std::size_t> width;
+// Formats rows as a table with aligned columns.
+std::string format_table(const std::vector<std::vector<std::string>>& rows) {
+  std::vector<std::size_t> widths;
   for (const auto& row : rows)
     for (std::size_t i = 0; i < row.size(); ++i) {
-      if (i >= width.size()) width.push_back(0);
-      width[i] = std::max(width[i], row[i].size());
+      if (i >= widths.size()) widths.push_back(0);
+      widths[i] = std::max(widths[i], row[i].size());
     }
   std::string out;
   for (const auto& row : rows) {
     for (std::size_t i = 0; i < row.size(); ++i)
-      out += i + 1 < row.size() ? fmt::format("{:<{}}  ", row[i], width[i]) : row[i];
+      out += i + 1 < row.size() ? fmt::format("{:<{}}  ", row[i], widths[i]) : row[i];
     out += '\n';
   }
   return out;
 }
 
+// Runs the commands on one client and one pair of output streams.
 class Session {
  public:
   Session(const Options& options, std::FILE* out, std::FILE* err)
@@ -68,15 +71,15 @@
 
  private:
   AdminReply get(const std::string& path) {
-    return caller_.call({"GET", path, "", "", ""}, net::Duration(options_.within_s));
+    return caller_.call({"GET", path, "", "", ""}, net::Duration(options_.timeout_s));
   }
   int put(const catalog::Configuration& next, catalog::Revision base);
-  // What stands, for an order to build on; 0 where nothing does.
-  int read_base(catalog::Revision& base);
-  // Says what is wrong with an answer that is not 200.
-  int complain(const AdminReply& reply);
+  // Reads the revision in force; 0 if there is none.
+  int read_current_revision(catalog::Revision& base);
+  // Prints the error of a reply whose status is not 200.
+  int report_error(const AdminReply& reply);
   int fail(int status, const std::string& what) {
-    std::fflush(out_);  // what was told before stands before it
+    std::fflush(out_);  // keeps the order where both streams go to one file
     std::fprintf(err_, "altavia: %s\n", what.c_str());
     return status;
   }
@@ -86,9 +89,9 @@
   }
   bool read_file(const std::string& file, std::string& text) {
     std::ifstream in(file, std::ios::binary);
-    std::ostringstream held;
-    if (!in || !(held << in.rdbuf())) return false;
-    text = held.str();
+    std::ostringstream contents;
+    if (!in || !(contents << in.rdbuf())) return false;
+    text = contents.str();
     return true;
   }
   catalog::ConfigurationPtr read_config(const std::string& file) {
@@ -110,7 +113,7 @@
   std::FILE* err_;
 };
 
-int Session::complain(const AdminReply& reply) {
+int Session::report_error(const AdminReply& reply) {
   if (reply.status == 0) return fail(failed, reply.fault);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -119,22 +122,22 @@
               fmt::format("{}: {} {}", reply.from, reply.status, what));
 }
 
-// What an operator should know of a member beyond its numbers.
-std::string notes_on(const cJSON* status, const std::string& control) {
+// Warnings about a member, beside its numbers.
+std::string status_notes(const cJSON* status, const std::string& control) {
   std::string notes;
   auto note = [&](const char* what) { notes += notes.empty() ? what : std::string(", ") + what; };
   if (cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(status, "diskRefuses"))) note("its disk refuses");
   if (cJSON_IsFalse(cJSON_GetObjectItemCaseSensitive(status, "readable"))) note("cannot read what stands");
   const std::string host = control.substr(0, control.find(':') + 1);
-  bool counts = false;
+  bool is_voter = false;
   const cJSON* member = nullptr;
-  cJSON_ArrayForEach(member, cJSON_GetObjectItemCaseSensitive(status, "members")) counts =
-      counts || text_of(member, "address").starts_with(host);
-  if (!counts) note("does not count");
+  cJSON_ArrayForEach(member, cJSON_GetObjectItemCaseSensitive(status, "members")) is_voter =
+      is_voter || text_of(member, "address").starts_with(host);
+  if (!is_voter) note("does not count");
   return notes;
 }
 
-// Every member is asked for itself: where they do not agree, that is what is to be seen.
+// Asks every member separately, so that disagreement between members is visible.
 int Session::status() {
   std::vector<std::vector<std::string>> rows = {
       {"member", "leads", "term", "commit", "edition", "nodes", "edges", "leader", ""}};
@@ -143,7 +146,7 @@
   std::set<std::string> revisions, leaders;
   for (const std::string& member : caller_.members()) {
     AdminReply reply = caller_.call_member(member, {"GET", "/pearspar/status", "", "", ""},
-                                           net::Duration(std::min(2.0, options_.within_s)));
+                                           net::Duration(std::min(status_timeout_s, options_.timeout_s)));
     Fault fault;
     Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
     if (!json) {
@@ -153,33 +156,33 @@
       continue;
     }
     ++answered;
-    const cJSON* o = json.get();
-    const std::string leader = text_of(o, "leader");
-    revisions.insert(text_of(o, "edition"));
+    const cJSON* root = json.get();
+    const std::string leader = text_of(root, "leader");
+    revisions.insert(text_of(root, "edition"));
     leaders.insert(leader);
     leaderless = leaderless || leader.empty();
     if (options_.json) show_json(reply.body);
-    rows.push_back({member, text_of(o, "leads"), text_of(o, "term"), text_of(o, "commit"),
-                    text_of(o, "edition"), text_of(o, "nodes"),
-                    std::to_string(cJSON_GetArraySize(cJSON_GetObjectItemCaseSensitive(o, "edges"))),
-                    leader.empty() ? "-" : leader, notes_on(o, member)});
+    rows.push_back({member, text_of(root, "leads"), text_of(root, "term"), text_of(root, "commit"),
+                    text_of(root, "edition"), text_of(root, "nodes"),
+                    std::to_string(cJSON_GetArraySize(cJSON_GetObjectItemCaseSensitive(root, "edges"))),
+                    leader.empty() ? "-" : leader, status_notes(root, member)});
   }
-  if (!options_.json) std::fprintf(out_, "%s", table(rows).c_str());
+  if (!options_.json) std::fprintf(out_, "%s", format_table(rows).c_str());
   if (answered == 0) return fail(failed, "no member has answered");
-  std::string amiss;
+  std::string problems;
   if (answered < caller_.members().size())
-    amiss = fmt::format("{} of {} have not answered", caller_.members().size() - answered,
-                        caller_.members().size());
+    problems = fmt::format("{} of {} have not answered", caller_.members().size() - answered,
+                           caller_.members().size());
   if (leaderless)
-    amiss += std::string(amiss.empty() ? "" : "; ") + "one that knows of no leader tells what it had";
+    problems += std::string(problems.empty() ? "" : "; ") + "one that knows of no leader tells what it had";
   if (revisions.size() > 1 || leaders.size() > 1)
-    amiss += std::string(amiss.empty() ? "" : "; ") + "members do not agree (yet)";
-  return amiss.empty() ? static_cast<int>(good) : fail(differs, amiss);
+    problems += std::string(problems.empty() ? "" : "; ") + "members do not agree (yet)";
+  return problems.empty() ? static_cast<int>(good) : fail(differs, problems);
 }
 
 int Session::leader() {
   AdminReply reply = get("/pearspar/status");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
   std::string leader = text_of(json.get(), "leader");
@@ -190,7 +193,7 @@
 
 int Session::members() {
   AdminReply reply = get("/pearspar/status");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -198,13 +201,13 @@
   const cJSON* member = nullptr;
   cJSON_ArrayForEach(member, cJSON_GetObjectItemCaseSensitive(json.get(), "members"))
       rows.push_back({text_of(member, "address"), text_of(member, "id"), text_of(member, "leads")});
-  std::fprintf(out_, "%s%s wanted\n", table(rows).c_str(), text_of(json.get(), "wanted").c_str());
+  std::fprintf(out_, "%s%s wanted\n", format_table(rows).c_str(), text_of(json.get(), "wanted").c_str());
   return good;
 }
 
 int Session::nodes() {
   AdminReply reply = get("/pearspar/nodes");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -214,14 +217,14 @@
   cJSON_ArrayForEach(node, cJSON_GetObjectItemCaseSensitive(json.get(), "nodes")) rows.push_back(
       {text_of(node, "id"), text_of(node, "depot"), text_of(node, "address"), text_of(node, "zoneName"),
        text_of(node, "edition"), text_of(node, "slotCount"), text_of(node, "nodeState")});
-  std::fprintf(out_, "%s", table(rows).c_str());
+  std::fprintf(out_, "%s", format_table(rows).c_str());
   return good;
 }
 
-// The node's own record once more, closing: it is asked no more for the rest of its life.
+// Registers the node's record again with the state closing_out: until it restarts it gets no new requests.
 int Session::drain(const std::string& id) {
   AdminReply reply = get("/pearspar/nodes");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
   cJSON* node = nullptr;
@@ -230,10 +233,10 @@
     cJSON_ReplaceItemInObjectCaseSensitive(node, "nodeState", cJSON_CreateString("closing_out"));
     cJSON_DeleteItemFromObjectCaseSensitive(node, "id");
     char* body = cJSON_PrintUnformatted(node);
-    AdminReply done =
-        caller_.call({"PUT", "/pearspar/nodes/" + id, "", body, ""}, net::Duration(options_.within_s));
+    AdminReply updated =
+        caller_.call({"PUT", "/pearspar/nodes/" + id, "", body, ""}, net::Duration(options_.timeout_s));
     cJSON_free(body);
-    if (done.status != 200) return complain(done);
+    if (updated.status != 200) return report_error(updated);
     std::fprintf(out_, "%s is closing: no edge in touch sends it anything new\n", id.c_str());
     return good;
   }
@@ -242,7 +245,7 @@
 
 int Session::config_get() {
   AdminReply reply = get("/pearspar/config");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   return show_json(reply.body);
 }
 
@@ -254,22 +257,22 @@
   return good;
 }
 
-int Session::read_base(catalog::Revision& base) {
+int Session::read_current_revision(catalog::Revision& base) {
   base = 0;
   AdminReply reply = get("/pearspar/config");
-  if (reply.status != 200 && reply.status != 404) return complain(reply);
+  if (reply.status != 200 && reply.status != 404) return report_error(reply);
   Fault fault;
   if (reply.status == 200)
-    if (auto now = catalog::parse_configuration(reply.body, fault)) base = now->revision;
+    if (auto current = catalog::parse_configuration(reply.body, fault)) base = current->revision;
   return good;
 }
 
 int Session::put(const catalog::Configuration& next, catalog::Revision base) {
   AdminReply reply =
       caller_.call({"PUT", "/pearspar/config", fmt::format("If-Match: {}\r\n", base), next.text, ""},
-                   net::Duration(options_.within_s));
+                   net::Duration(options_.timeout_s));
   if (reply.status == 200) return good;
-  const int result = complain(reply);
+  const int result = report_error(reply);
   if (result != failed) return result;
   return fail(failed,
               fmt::format("it is not known whether edition {} is taken; the same order again is safe: "
@@ -281,26 +284,26 @@
   auto next = read_config(file);
   if (!next) return bad_input;
   catalog::Revision base = 0;
-  if (options_.on >= 0)
-    base = static_cast<catalog::Revision>(options_.on);
-  else if (int result = read_base(base))
+  if (options_.base_revision >= 0)
+    base = static_cast<catalog::Revision>(options_.base_revision);
+  else if (int result = read_current_revision(base))
     return fail(result, "what stands could not be read; nothing was sent");
   if (int result = put(*next, base)) return result;
-  // The very text may have been taken long ago: then nothing has changed by this.
-  bool old = next->revision <= base;
-  std::fprintf(
-      out_,
-      old ? "edition %llu was taken before; %llu is in place\n" : "edition %llu is taken on top of %llu\n",
-      static_cast<unsigned long long>(next->revision), static_cast<unsigned long long>(base));
-  return old ? differs : good;
+  // The same text may have been applied before; then this command has changed nothing.
+  bool applied_before = next->revision <= base;
+  std::fprintf(out_,
+               applied_before ? "edition %llu was taken before; %llu is in place\n"
+                              : "edition %llu is taken on top of %llu\n",
+               static_cast<unsigned long long>(next->revision), static_cast<unsigned long long>(base));
+  return applied_before ? differs : good;
 }
 
-// Routes that come, go and change, as one line each.
+// Lists the routes that are added, removed and changed.
 int Session::config_diff(const std::string& file) {
   auto next = read_config(file);
   if (!next) return bad_input;
   AdminReply reply = get("/pearspar/config");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   Fault fault;
   Json before = catalog::parse_json(reply.body, fault), after = catalog::parse_json(next->text, fault);
   auto routes = [](const cJSON* json) {
@@ -328,9 +331,9 @@
 }
 
 int Session::config_watch() {
-  std::string seen;
-  net::Time end = loop_.read_clock() + net::Duration(options_.for_s);
-  while (options_.for_s <= 0 || loop_.read_clock() < end) {
+  std::string last_line;
+  net::Time end = loop_.read_clock() + net::Duration(options_.watch_duration_s);
+  while (options_.watch_duration_s <= 0 || loop_.read_clock() < end) {
     AdminReply reply = get("/pearspar/history?newest=1");
     Fault fault;
     Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
@@ -338,24 +341,24 @@
       const cJSON* taken = cJSON_GetObjectItemCaseSensitive(json.get(), "taken");
       const cJSON* last = cJSON_GetArrayItem(taken, cJSON_GetArraySize(taken) - 1);
       std::string line = last ? text_of(last, "edition") + "  " + text_of(last, "digest") : "none taken yet";
-      if (line != seen) std::fprintf(out_, "%s\n", line.c_str());
+      if (line != last_line) std::fprintf(out_, "%s\n", line.c_str());
       std::fflush(out_);
-      seen = line;
+      last_line = line;
     } else {
-      complain(reply);
+      report_error(reply);
     }
-    net::Time go_on = loop_.read_clock() + net::Duration(options_.every_s);
-    while (loop_.read_clock() < go_on) loop_.turn(go_on - loop_.read_clock());
+    net::Time next_poll = loop_.read_clock() + net::Duration(options_.watch_interval_s);
+    while (loop_.read_clock() < next_poll) loop_.turn(next_poll - loop_.read_clock());
   }
   return good;
 }
 
-// The newest 200, or as many as are asked for.
+// Lists the newest 200 revisions, or the number given.
 int Session::history(const std::string& newest) {
   if (newest.find_first_not_of("0123456789") != newest.npos || newest.size() > 9)
     return fail(bad_input, newest + ": is no number of editions");
   AdminReply reply = get(newest.empty() ? "/pearspar/history" : "/pearspar/history?newest=" + newest);
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   if (options_.json) return show_json(reply.body);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -363,14 +366,14 @@
   const cJSON* taken = nullptr;
   cJSON_ArrayForEach(taken, cJSON_GetObjectItemCaseSensitive(json.get(), "taken"))
       rows.push_back({text_of(taken, "edition"), text_of(taken, "digest")});
-  std::fprintf(out_, "%s", table(rows).c_str());
+  std::fprintf(out_, "%s", format_table(rows).c_str());
   return good;
 }
 
-// All, or what counts for one holder: itself, and the branches under it.
+// Lists all quota counts, or those of one holder and its sub-accounts.
 int Session::allowance_show(const std::string& holder) {
   AdminReply reply = get("/pearspar/allowance");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   if (options_.json && holder.empty()) return show_json(reply.body);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
@@ -387,15 +390,15 @@
   }
   if (rows.size() == 1)
     return fail(refused, holder.empty() ? "no allowance was drawn on" : holder + ": nothing drawn");
-  std::fprintf(out_, "%s", table(rows).c_str());
+  std::fprintf(out_, "%s", format_table(rows).c_str());
   return good;
 }
 
-// One JSON line for each count, oldest window first, signed off by the place in the log; the file appears
-// whole.
+// Writes one JSON line per count, oldest window first, and a last line with the log position and a digest.
+// The file is renamed into place when it is complete.
 int Session::allowance_export(const std::string& file) {
   AdminReply reply = get("/pearspar/allowance");
-  if (reply.status != 200) return complain(reply);
+  if (reply.status != 200) return report_error(reply);
   Fault fault;
   Json json = catalog::parse_json(reply.body, fault);
   const cJSON* counts = cJSON_GetObjectItemCaseSensitive(json.get(), "counts");
@@ -406,27 +409,27 @@
     lines.emplace_back(printed);
     cJSON_free(printed);
   }
-  // The newest window comes first in the answer; within one the order is by holder and kind.
+  // The reply lists the newest window first, and each window by holder and kind.
   std::stable_sort(lines.begin(), lines.end(), [](const std::string& a, const std::string& b) {
     auto window = [](const std::string& text) {
       return std::strtoull(text.c_str() + text.find(':') + 1, nullptr, 10);
     };
     return window(a) < window(b);
   });
-  std::string half = file + ".part";
-  std::ofstream out(half, std::ios::binary | std::ios::trunc);
-  std::string whole;
-  for (const std::string& each : lines) whole += each + "\n";
-  auto digest = control_plane::digest_of(whole);
-  out << whole
+  std::string temporary_file = file + ".part";
+  std::ofstream out(temporary_file, std::ios::binary | std::ios::trunc);
+  std::string contents;
+  for (const std::string& each : lines) contents += each + "\n";
+  auto digest = control_plane::digest_of(contents);
+  out << contents
       << fmt::format(R"({{"signedOff":{{"term":{},"position":{},"window":{},)"
                      R"("lines":{},"digest":"{:016x}{:016x}"}}}})",
                      text_of(json.get(), "term"), text_of(json.get(), "position"),
                      text_of(json.get(), "window"), lines.size(), digest.first, digest.second)
       << "\n";
   out.close();
-  if (!out || std::rename(half.c_str(), file.c_str()) != 0) {
-    std::remove(half.c_str());
+  if (!out || std::rename(temporary_file.c_str(), file.c_str()) != 0) {
+    std::remove(temporary_file.c_str());
     return fail(failed, file + ": cannot be written");
   }
   std::fprintf(out_, "%s: %zu counts up to position %s\n", file.c_str(), lines.size(),
@@ -436,14 +439,14 @@
 
 int Session::snapshot_save(const std::string& file) {
   AdminReply reply = get("/pearspar/snapshot");
-  if (reply.status != 200) return complain(reply);
-  // A file that is half written must not stand under its name.
-  std::string half = file + ".part";
-  std::ofstream out(half, std::ios::binary | std::ios::trunc);
+  if (reply.status != 200) return report_error(reply);
+  // Renamed into place when it is complete.
+  std::string temporary_file = file + ".part";
+  std::ofstream out(temporary_file, std::ios::binary | std::ios::trunc);
   out << reply.body << "\n";
   out.close();
-  if (!out || std::rename(half.c_str(), file.c_str()) != 0) {
-    std::remove(half.c_str());
+  if (!out || std::rename(temporary_file.c_str(), file.c_str()) != 0) {
+    std::remove(temporary_file.c_str());
     return fail(failed, file + ": cannot be written");
   }
   return snapshot_verify(file);
@@ -455,32 +458,33 @@
   Fault fault;
   Json json = catalog::parse_json(text, fault);
   if (!json) return fail(bad_input, file + ": " + fault.text());
-  const cJSON* o = json.get();
-  if (text_of(o, "format") != "1")
-    return fail(bad_input, file + ": format " + text_of(o, "format") + ", and this program reads 1");
-  const cJSON* configuration = cJSON_GetObjectItemCaseSensitive(o, "configuration");
+  const cJSON* root = json.get();
+  if (text_of(root, "format") != "1")
+    return fail(bad_input, file + ": format " + text_of(root, "format") + ", and this program reads 1");
+  const cJSON* configuration = cJSON_GetObjectItemCaseSensitive(root, "configuration");
   if (!cJSON_IsString(configuration)) return fail(bad_input, file + ": configuration: is no text");
-  std::string whole = configuration->valuestring;
-  auto digest = control_plane::digest_of(whole);
-  if (fmt::format("{:016x}{:016x}", digest.first, digest.second) != text_of(o, "digest"))
+  std::string configuration_text = configuration->valuestring;
+  auto digest = control_plane::digest_of(configuration_text);
+  if (fmt::format("{:016x}{:016x}", digest.first, digest.second) != text_of(root, "digest"))
     return fail(bad_input, file + ": digest: does not fit the configuration");
   catalog::ConfigurationPtr read;
-  if (!whole.empty() && !(read = catalog::parse_configuration(whole, fault)))
+  if (!configuration_text.empty() && !(read = catalog::parse_configuration(configuration_text, fault)))
     return fail(bad_input, file + ": configuration: " + fault.text());
-  if (std::to_string(read ? read->revision : 0) != text_of(o, "edition"))
+  if (std::to_string(read ? read->revision : 0) != text_of(root, "edition"))
     return fail(bad_input, file + ": edition: is not the configuration's");
   if (held) *held = read;
-  std::fprintf(out_, "%s: good: edition %s\n", file.c_str(), text_of(o, "edition").c_str());
+  std::fprintf(out_, "%s: good: edition %s\n", file.c_str(), text_of(root, "edition").c_str());
   return good;
 }
 
-// Into a core that has nothing, or something older.
+// Restores into a core that has no configuration, or an older one.
 int Session::snapshot_restore(const std::string& file) {
   catalog::ConfigurationPtr held;
   if (int result = snapshot_verify(file, &held)) return result;
   if (!held) return fail(refused, file + ": holds no configuration");
   catalog::Revision base = 0;
-  if (int result = read_base(base)) return fail(result, "what stands could not be read; nothing was sent");
+  if (int result = read_current_revision(base))
+    return fail(result, "what stands could not be read; nothing was sent");
   int result = put(*held, base);
   if (result == good)
     std::fprintf(out_, "edition %llu is back\n", static_cast<unsigned long long>(held->revision));
@@ -506,11 +510,12 @@
 
 namespace {
 
-int dispatch(const std::vector<std::string>& words, const Options& options, std::FILE* out, std::FILE* err) {
+int run_command(const std::vector<std::string>& words, const Options& options, std::FILE* out,
+                std::FILE* err) {
   Session session(options, out, err);
-  auto is = [&](std::initializer_list<const char*> wanted, std::size_t operands) {
-    return words.size() == wanted.size() + operands &&
-           std::equal(wanted.begin(), wanted.end(), words.begin());
+  auto is = [&](std::initializer_list<const char*> command, std::size_t operands) {
+    return words.size() == command.size() + operands &&
+           std::equal(command.begin(), command.end(), words.begin());
   };
   bool offline = is({"config", "check"}, 1) || is({"snapshot", "verify"}, 1);
   if (!offline && options.members.empty()) {
@@ -548,8 +553,8 @@
 }  // namespace
 
 int run(const std::vector<std::string>& words, const Options& options, std::FILE* out, std::FILE* err) {
-  const int result = dispatch(words, options, out, err);
-  // What went into a full file was not told.
+  const int result = run_command(words, options, out, err);
+  // A failed write, such as to a full disk, must not look like success.
   if (std::fflush(out) == 0 && !std::ferror(out)) return result;
   std::fprintf(err, "altavia: the output cannot be written\n");
   return result == good ? failed : result;
--- a/src/altavia/main.cpp
+++ b/src/altavia/main.cpp
@@ -200,13 +200,14 @@
       {"at", 'a', POPT_ARG_STRING, &at, 0,
        "control addresses of members, by commas (else the settings' seeds)", "ADDRESS,..."},
       {"json", 'j', POPT_ARG_NONE, &json, 0, "as the members say it, for programs", nullptr},
-      {"within", 0, POPT_ARG_DOUBLE, &operators.within_s, 0, "give up after so long (10)", "SECONDS"},
-      {"on", 0, POPT_ARG_LONGLONG, &operators.on, 0,
+      {"within", 0, POPT_ARG_DOUBLE, &operators.timeout_s, 0, "give up after so long (10)", "SECONDS"},
+      {"on", 0, POPT_ARG_LONGLONG, &operators.base_revision, 0,
        "config put: the edition that it builds on (else what is in place); the same again is the same order",
        "EDITION"},
-      {"every", 0, POPT_ARG_DOUBLE, &operators.every_s, 0, "config watch: look so often (1)", "SECONDS"},
-      {"for", 0, POPT_ARG_DOUBLE, &operators.for_s, 0, "config watch: end after so long (0: never)",
+      {"every", 0, POPT_ARG_DOUBLE, &operators.watch_interval_s, 0, "config watch: look so often (1)",
        "SECONDS"},
+      {"for", 0, POPT_ARG_DOUBLE, &operators.watch_duration_s, 0,
+       "config watch: end after so long (0: never)", "SECONDS"},
       POPT_AUTOHELP POPT_TABLEEND};
   std::unique_ptr<std::remove_pointer_t<poptContext>, void (*)(poptContext)> context(
       poptGetContext("altavia", argc, argv, options, 0), [](poptContext c) { poptFreeContext(c); });
