--- a/src/altavia/edge.h
+++ b/src/altavia/edge.h
@@ -1,5 +1,5 @@
-// A process that clients reach: the door with its gateway, the check of its readiness, the links to the core,
-// and how it ends.
+// The edge role of a process: the reverse proxy for clients, the readiness and metrics endpoint, the links to
+// members and other edges, and shutdown.
 #pragma once
 
 #include <string>
@@ -16,50 +16,54 @@
 
 class Edge : private transport::TransportHandler, private clients::FrontUser {
  public:
-  // Throws std::system_error where an address cannot be had.
-  Edge(net::Loop& loop, const process_settings::Settings& settings, std::uint64_t life);
+  // `incarnation` distinguishes this run of the process. Throws std::system_error if an address cannot be
+  // bound.
+  Edge(net::Loop& loop, const process_settings::Settings& settings, std::uint64_t incarnation);
 
+  // To be called after every turn of the loop.
   void after_turn();
+  // Takes over the seeds; other settings need a restart.
   void settings_changed(const process_settings::Settings& settings);
-  // No more ready; serves on while clients go elsewhere, then ends.
+  // Reports not ready, keeps serving while clients move to other edges, then stops.
   void stop();
-  bool stopped() const { return ended_; }
-  // Gives up what one connection holds; false where nothing is left to give up.
+  bool stopped() const { return stopped_; }
+  // Frees the memory of one connection or link; false if there is nothing left to free.
   bool shed() { return proxy_.front().shed() || links_.close_largest(); }
-  // Bytes that others make this process hold.
-  std::size_t client_bytes() const { return proxy_.front().held_bytes() + check_.held_bytes(); }
+  // Bytes held for clients, index servers and links.
+  std::size_t client_bytes() const { return proxy_.front().held_bytes() + readiness_.held_bytes(); }
   std::size_t server_bytes() const { return proxy_.nodes().held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
   bool ready() const { return !stopping_ && proxy_.gateway().ready(); }
 
  private:
-  // The check of our readiness.
+  // Requests to the readiness endpoint.
   void request_arrived(net::SlotId connection, const http::Message& message) override;
   void client_left(net::SlotId) override {}
   void link_up(transport::LinkId link, const std::string& address) override;
   void link_frame(transport::LinkId link, std::string_view frame) override;
   void link_down(transport::LinkId link) override;
 
-  // Where other edges may ask us; empty where the address cannot be had.
+  // The address on which other edges can reach this one; empty if it cannot be bound.
   std::string listen_to_edges();
 
-  void take_configuration();
+  void apply_configuration();
   void each_second();
+  // Carries on a shutdown that has begun.
   void wind_down();
   std::vector<metrics::Sample> samples() const;
 
   net::Loop& loop_;
   process_settings::Settings settings_;
-  clients::Front check_;
+  clients::Front readiness_;
   transport::TcpTransport links_;
   ReverseProxy proxy_;
-  net::Timer second_;
-  net::Timer due_;
+  net::Timer second_timer_;
+  net::Timer due_timer_;
   bool stopping_ = false;
-  bool ended_ = false;
-  net::Time stop_at_{};
-  net::Time end_at_{};            // open requests are answered, whatever they wait for
-  net::Time answers_taken_by_{};  // of those answers
+  bool stopped_ = false;
+  net::Time stop_listening_at_{};
+  net::Time finish_requests_at_{};    // then open requests are answered in any case
+  net::Time close_connections_at_{};  // when clients have had time to read these answers
 };
 
 }  // namespace pearspar::altavia
--- a/src/altavia/member.cpp
+++ b/src/altavia/member.cpp
@@ -14,12 +14,12 @@
 using logging::Level;
 using logging::log;
 
-constexpr std::size_t most_connections = 1024;
-constexpr std::size_t most_body = 1 << 20;
-constexpr net::Duration start_pause = 300ms;
-constexpr net::Duration stop_within = 400ms;
-constexpr double most_of_grace = 0.85;  // for a leave that needs others
-constexpr net::Duration least_wait = 2ms;
+constexpr std::size_t max_connections = 1024;
+constexpr std::size_t max_body_bytes = 1 << 20;
+constexpr net::Duration start_retry_delay = 300ms;
+constexpr net::Duration min_stop_time = 400ms;
+constexpr double max_share_of_grace = 0.85;  // while it waits for other members
+constexpr net::Duration min_timer_delay = 2ms;
 
 raft::Options core_options(const process_settings::Settings& settings, std::uint64_t seed) {
   raft::Options options;
@@ -45,7 +45,7 @@
   return options;
 }
 
-control_plane::CallerId asker_of(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
+control_plane::CallerId caller_of(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
 net::SlotId connection_of(control_plane::CallerId caller) {
   return {static_cast<std::uint32_t>(caller >> 32), static_cast<std::uint32_t>(caller)};
 }
@@ -59,7 +59,7 @@
              [](std::string_view what) {
                log(Level::warning, "control_port", {{"what", what}});
              },
-             most_connections, *this, {net::Duration(10), net::Duration(5)}, {16 * 1024, most_body}),
+             max_connections, *this, {net::Duration(10), net::Duration(5)}, {16 * 1024, max_body_bytes}),
       links_(loop, *this),
       store_(settings.data_dir),
       member_(links_, store_, core_options(settings, seed), controller_options(settings, seed)) {
@@ -72,10 +72,10 @@
 
 Member::~Member() = default;
 
-// A disk that takes nothing is met by trying again; until then every call is refused.
+// Retried after a delay if the store fails; until then every call is refused.
 void Member::start_core() {
   auto error = member_.start(loop_.read_clock());
-  start_again_ = loop_.now() + start_pause;
+  restart_at_ = loop_.now() + start_retry_delay;
   if (error) {
     log(Level::error, "store_refused", {{"folder", settings_.data_dir}, {"why", error.message()}});
     return;
@@ -107,11 +107,11 @@
     answer.retry_after_s = control_plane::unavailable_retry_after_s;
     return front_.answer(connection, answer);
   }
-  member_.call(loop_.read_clock(), asker_of(connection), message.method, message.target,
+  member_.call(loop_.read_clock(), caller_of(connection), message.method, message.target,
                message.header("If-Match").value_or(std::string_view()), message.body);
 }
 
-void Member::client_left(net::SlotId) {}  // its change may be under way; the answer finds nobody
+void Member::client_left(net::SlotId) {}  // a change may be in progress; its response is discarded
 
 void Member::link_up(transport::LinkId link, const std::string& address) {
   member_.link_up(loop_.read_clock(), link, address);
@@ -123,95 +123,98 @@
 
 std::vector<metrics::Sample> Member::samples() const {
   const raft::Core& core = member_.core();
-  auto n = [](auto value) { return static_cast<double>(value); };
+  auto number = [](auto value) { return static_cast<double>(value); };
   return {
       {"altavia_leads", "whether this member leads, its lease holding",
        core.holds_lease(loop_.read_clock()) ? 1.0 : 0.0},
       {"altavia_voter", "whether it counts", core.log().membership().has(core.self()) ? 1.0 : 0.0},
-      {"altavia_term", "term", n(core.term())},
-      {"altavia_commit", "entries that a majority has on disk", n(core.commit())},
+      {"altavia_term", "term", number(core.term())},
+      {"altavia_commit", "entries that a majority has on disk", number(core.commit())},
       {"altavia_log_entries", "entries behind the snapshot",
-       n(core.log().last() - core.log().snapshot().index)},
+       number(core.log().last() - core.log().snapshot().index)},
       {"altavia_disk_refuses", "whether the last write failed", core.store_failed() ? 1.0 : 0.0},
-      {"altavia_disk_refusals_total", "writes that the store refused", n(core.counters().refused_writes)},
-      {"altavia_log_bytes", "of the entries behind the snapshot", n(core.log().bytes())},
+      {"altavia_disk_refusals_total", "writes that the store refused",
+       number(core.counters().refused_writes)},
+      {"altavia_log_bytes", "of the entries behind the snapshot", number(core.log().bytes())},
       {"altavia_log_kept_bytes", "of folded entries that a member still lacks",
-       n(core.log().retained_bytes())},
+       number(core.log().retained_bytes())},
       {"altavia_snapshots_sent_total", "begun, to members that lack what the log begins with",
-       n(core.counters().snapshot_transfers)},
+       number(core.counters().snapshot_transfers)},
       {"altavia_snapshots_restarted_total", "whose entries outgrew their bound before they had arrived",
-       n(core.counters().snapshot_transfers_restarted)},
-      {"altavia_snapshots_taken_total", "of a leader", n(core.counters().snapshots_installed)},
+       number(core.counters().snapshot_transfers_restarted)},
+      {"altavia_snapshots_taken_total", "of a leader", number(core.counters().snapshots_installed)},
       {"altavia_snapshots_refused_total", "too large, or not what was announced",
-       n(core.counters().refused_snapshots)},
+       number(core.counters().refused_snapshots)},
       {"altavia_agreement_refused_total", "words that break the agreement's rules",
-       n(core.counters().refused_messages)},
-      {"altavia_edition", "newest configuration", n(member_.state().revision())},
+       number(core.counters().refused_messages)},
+      {"altavia_edition", "newest configuration", number(member_.state().revision())},
       {"altavia_configuration_unread", "whether this program cannot read what was taken, and leads no more",
        member_.state().may_serve() ? 0.0 : 1.0},
       {"altavia_calls_held", "control calls not answered yet",
-       n(member_.controller().call_limiter().calls())},
-      {"altavia_calls_held_bytes", "of those", n(member_.controller().call_limiter().bytes())},
+       number(member_.controller().call_limiter().calls())},
+      {"altavia_calls_held_bytes", "of those", number(member_.controller().call_limiter().bytes())},
       {"altavia_calls_without_room_total", "control calls refused since too many waited",
-       n(member_.controller().call_limiter().refused())},
-      {"altavia_nodes", "nodes known", n(member_.controller().view().nodes().all().size())},
+       number(member_.controller().call_limiter().refused())},
+      {"altavia_nodes", "nodes known", number(member_.controller().view().nodes().all().size())},
       {"altavia_edges", "edges that hold a lease here",
-       n(member_.controller().followers().edges(loop_.read_clock()))},
+       number(member_.controller().followers().edges(loop_.read_clock()))},
       {"altavia_tokens_granted_total", "of the budget that edges share",
-       n(member_.controller().pool().granted())},
-      {"altavia_tokens_refused_total", "asked for and not there", n(member_.controller().pool().refused())},
-      {"altavia_allowance_window", "of allowances, that runs", n(member_.state().accounts().window())},
+       number(member_.controller().pool().granted())},
+      {"altavia_tokens_refused_total", "asked for and not there",
+       number(member_.controller().pool().refused())},
+      {"altavia_allowance_window", "of allowances, that runs", number(member_.state().accounts().window())},
       {"altavia_allowance_entries_total", "entries of the log on allowances, proposed here",
-       n(member_.controller().bursar().counters().entries)},
+       number(member_.controller().bursar().counters().entries)},
       {"altavia_allowance_given_up_total", "edges whose tokens came back since they fell silent",
-       n(member_.controller().bursar().counters().given_up)},
-      {"altavia_links", "links to other processes", n(links_.count())},
-      {"altavia_frames_dropped_total", "frames for which there was no link, or no room", n(links_.dropped())},
+       number(member_.controller().bursar().counters().given_up)},
+      {"altavia_links", "links to other processes", number(links_.count())},
+      {"altavia_frames_dropped_total", "frames for which there was no link, or no room",
+       number(links_.dropped())},
       {"altavia_accept_failures_total", "links that waited, since no descriptor was free",
-       n(links_.accept_failures())},
-      {"altavia_link_bytes", "held for links to other processes", n(links_.held_bytes())},
+       number(links_.accept_failures())},
+      {"altavia_link_bytes", "held for links to other processes", number(links_.held_bytes())},
       {"altavia_links_closed_for_memory_total", "links cut off since their bytes had reached their bound",
-       n(links_.closed_for_memory())},
-      {"altavia_unread_total", "frames that could not be read", n(member_.unreadable_frames())},
-      {"altavia_calls_total", "control calls", n(front_.counters().requests)},
+       number(links_.closed_for_memory())},
+      {"altavia_unread_total", "frames that could not be read", number(member_.unreadable_frames())},
+      {"altavia_calls_total", "control calls", number(front_.counters().requests)},
       {"altavia_log_lines_dropped_total", "lines that would have waited, or were too many",
-       n(logging::dropped_lines())},
-      {"altavia_allocations_refused_total", "served from the reserve", n(allocation::refusals())},
-      {"altavia_violations_total", "of invariants; never to be more than none", n(invariants::violations())},
-      {"altavia_caller_bytes", "held for callers' connections", n(front_.held_bytes())},
+       number(logging::dropped_lines())},
+      {"altavia_allocations_refused_total", "served from the reserve", number(allocation::refusals())},
+      {"altavia_violations_total", "of invariants; never to be more than none",
+       number(invariants::violations())},
+      {"altavia_caller_bytes", "held for callers' connections", number(front_.held_bytes())},
       {"altavia_refused_for_memory_total", "calls answered 503 since callers' bytes had reached their bound",
-       n(front_.counters().refused_for_memory)},
+       number(front_.counters().refused_for_memory)},
   };
 }
 
-void Member::tell_role() {
-  bool unread = member_.started() && !member_.state().may_serve();
-  if (unread != unread_)
-    log(unread ? Level::error : Level::info, unread ? "configuration_not_read" : "configuration_read",
+void Member::log_role_changes() {
+  bool unreadable = member_.started() && !member_.state().may_serve();
+  if (unreadable != configuration_unreadable_)
+    log(unreadable ? Level::error : Level::info, unreadable ? "configuration_not_read" : "configuration_read",
         {{"edition", member_.state().revision()}, {"why", member_.state().fault()}});
-  unread_ = unread;
-  bool leads = member_.controller().is_active();
-  if (leads == led_) return;
-  led_ = leads;
-  log(Level::info, leads ? "leads" : "leads_no_more",
+  configuration_unreadable_ = unreadable;
+  bool is_leader = member_.controller().is_active();
+  if (is_leader == was_leader_) return;
+  was_leader_ = is_leader;
+  log(Level::info, is_leader ? "leads" : "leads_no_more",
       {{"term", member_.core().term()},
        {"edition", member_.state().revision()},
        {"nodes", member_.controller().view().nodes().all().size()}});
 }
 
-// Once as it begins, once as it is over.
-void Member::tell_disk() {
+void Member::log_store_changes() {
   const raft::Core& core = member_.core();
-  if (core.store_failed() == ill_) return;
-  ill_ = core.store_failed();
-  log(ill_ ? Level::error : Level::info, ill_ ? "store_refuses" : "store_takes_again",
+  if (core.store_failed() == store_failing_) return;
+  store_failing_ = core.store_failed();
+  log(store_failing_ ? Level::error : Level::info, store_failing_ ? "store_refuses" : "store_takes_again",
       {{"folder", settings_.data_dir}, {"refused", core.counters().refused_writes}});
 }
 
 void Member::after_turn() {
   const allocation::Activity activity("the log, its store and calls that are due");
   net::Time now = loop_.read_clock();
-  if (!member_.started() && now >= start_again_) start_core();
+  if (!member_.started() && now >= restart_at_) start_core();
   for (auto& reply : member_.advance([this] { return loop_.read_clock(); })) {
     clients::Answer answer;
     answer.status = reply.status;
@@ -219,17 +222,18 @@
     if (reply.status == 503) answer.retry_after_s = control_plane::unavailable_retry_after_s;
     front_.answer(connection_of(reply.caller), answer);
   }
-  tell_role();
-  tell_disk();
-  net::Time due = member_.started() ? member_.due() : start_again_;
-  timer_ = loop_.at(std::max(due, now + least_wait), [] {});
+  log_role_changes();
+  log_store_changes();
+  net::Time due = member_.started() ? member_.due() : restart_at_;
+  due_timer_ = loop_.at(std::max(due, now + min_timer_delay), [] {});
 }
 
 void Member::stop() {
   if (stopping_) return;
   stopping_ = true;
-  stop_at_ = loop_.now() + stop_within;
-  grace_over_ = std::max(stop_at_, loop_.now() + net::Duration(settings_.shutdown_grace_s * most_of_grace));
+  stop_earliest_at_ = loop_.now() + min_stop_time;
+  stop_latest_at_ = std::max(stop_earliest_at_,
+                             loop_.now() + net::Duration(settings_.shutdown_grace_s * max_share_of_grace));
   member_.transfer_leadership(loop_.read_clock());
   log(Level::info, "member_stops", {{"term", member_.core().term()}});
 }
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -1,5 +1,5 @@
-// A process of the core: the control port, the links to other members and to those that follow, the store,
-// around control_plane::Member, which decides.
+// The member role of a process: the control API, the links to other members and to followers, and the store,
+// around control_plane::Member, which holds the protocol logic.
 #pragma once
 
 #include <memory>
@@ -17,22 +17,24 @@
 
 class Member : private clients::FrontUser, private transport::TransportHandler {
  public:
-  // Throws std::system_error where an address cannot be had.
+  // Throws std::system_error if an address cannot be bound.
   Member(net::Loop& loop, const process_settings::Settings& settings, std::uint64_t seed);
   ~Member() override;
 
-  // After each turn of the loop.
+  // To be called after every turn of the loop.
   void after_turn();
+  // Takes over the seeds; other settings need a restart.
   void settings_changed(const process_settings::Settings& settings);
-  // Hands over what it leads, and answers what it still can. It ends when the others can do without it.
+  // Transfers leadership and answers pending calls; stops when the other members can go on without it.
   void stop();
-  // Gives up what one connection holds; false where nothing is left to give up.
+  // Frees the memory of one connection or link; false if there is nothing left to free.
   bool shed() { return front_.shed() || links_.close_largest(); }
-  // Bytes that others make this process hold.
+  // Bytes held for callers and links.
   std::size_t client_bytes() const { return front_.held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
   bool stopped() const {
-    return stopping_ && loop_.now() >= stop_at_ && (member_.may_shut_down() || loop_.now() >= grace_over_);
+    return stopping_ && loop_.now() >= stop_earliest_at_ &&
+           (member_.may_shut_down() || loop_.now() >= stop_latest_at_);
   }
 
  private:
@@ -42,9 +44,12 @@
   void link_frame(transport::LinkId link, std::string_view frame) override;
   void link_down(transport::LinkId link) override;
 
+  // Opens the store and starts Raft; retried while the store fails.
   void start_core();
-  void tell_role();
-  void tell_disk();
+  // Logs that this member has become leader, or is leader no more, and whether it can read the configuration.
+  void log_role_changes();
+  // Logs when the store begins to refuse writes and when it accepts them again.
+  void log_store_changes();
   std::vector<metrics::Sample> samples() const;
 
   net::Loop& loop_;
@@ -53,14 +58,14 @@
   transport::TcpTransport links_;
   storage::LmdbStore store_;
   control_plane::Member member_;
-  net::Time start_again_{};
-  net::Timer timer_;
-  bool led_ = false;
-  bool unread_ = false;
-  bool ill_ = false;
+  net::Time restart_at_{};
+  net::Timer due_timer_;
+  bool was_leader_ = false;
+  bool configuration_unreadable_ = false;
+  bool store_failing_ = false;
   bool stopping_ = false;
-  net::Time stop_at_{};
-  net::Time grace_over_{};
+  net::Time stop_earliest_at_{};
+  net::Time stop_latest_at_{};
 };
 
 }  // namespace pearspar::altavia
--- a/src/altavia/memory_shares.h
+++ b/src/altavia/memory_shares.h
@@ -1,25 +1,26 @@
-// How a process's memory (`memoryMb` of its settings) is divided among what others can make it hold. Each
-// share is a bound on the bytes of all connections of its kind together; the rest is for the program, its
-// state and its log (docs/memory.md).
+// Division of a process's memory limit (`memoryMb` of the settings) among connections. Each share bounds the
+// bytes held for all connections of one kind; the rest is for the program, its state and its log
+// (docs/memory.md).
 #pragma once
 
 namespace pearspar::altavia {
 
+// Fractions of the memory limit.
 struct MemoryShares {
-  double clients;  // what callers send and have not taken yet
-  double servers;  // what index servers answer
-  double links;    // frames between the system's own processes, both ways
+  double clients;  // requests received and responses not read yet
+  double servers;  // responses of index servers
+  double links;    // frames to and from other edges and members
 
   constexpr double sum() const { return clients + servers + links; }
 };
 
-// An edge takes small frames of others, and holds the few links that it dials.
+// An edge receives small frames over the few links that it opens.
 inline constexpr MemoryShares edge_shares{0.35, 0.2, 0.1};
-// A member holds a link of every edge and of every other member, and calls no index server.
+// A member has a link to every edge and every other member, and calls no index servers.
 inline constexpr MemoryShares member_shares{0.25, 0, 0.25};
 
-// Beside them: the program with its state (up to 16 MB, folded and as it is sent) and 36 MB of the log.
-inline constexpr double most_shared = 0.65;
-static_assert(edge_shares.sum() <= most_shared && member_shares.sum() <= most_shared);
+// The rest holds the program with its state (up to 16 MB, also while it is sent) and 36 MB of the log.
+inline constexpr double max_total_share = 0.65;
+static_assert(edge_shares.sum() <= max_total_share && member_shares.sum() <= max_total_share);
 
 }  // namespace pearspar::altavia
--- a/src/altavia/reverse_proxy.cpp
+++ b/src/altavia/reverse_proxy.cpp
@@ -11,11 +11,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr clients::Patience patience{3s, 10s};
-// As many lines as fit: operators bound a head by its bytes.
-constexpr std::size_t lines_in(std::size_t bytes) { return bytes / 4; }
-constexpr http::MessageLimits first_limits{16 * 1024, 256 * 1024,
-                                           lines_in(16 * 1024)};  // until a configuration names others
+constexpr clients::Patience client_timeouts{3s, 10s};
+// The number of header lines is limited only by the configured size of the header.
+constexpr std::size_t max_header_lines(std::size_t bytes) { return bytes / 4; }
+// Until the first configuration arrives.
+constexpr http::MessageLimits initial_limits{16 * 1024, 256 * 1024, max_header_lines(16 * 1024)};
 
 std::uint64_t key(net::SlotId id) { return std::uint64_t{id.index} << 32 | id.generation; }
 
@@ -24,37 +24,37 @@
                      [&](std::string_view each) { return http::same_word(each, name); });
 }
 
-// What concerns one connection only, or is said anew.
-bool stays_here(std::string_view name) {
+// Header lines that concern one connection only, or that are set anew for the call.
+bool is_hop_by_hop(std::string_view name) {
   return one_of(name, {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding",
                        "Upgrade", "Expect", "Content-Length", "Deadline-Ms", "Addressee"});
 }
 
-// Names that the Connection lines list: these lines end here too (RFC 9110, 7.6.1).
-std::vector<std::string_view> of_connection(const http::Message& message) {
+// Names listed in Connection headers; these headers are not forwarded (RFC 9110, 7.6.1).
+std::vector<std::string_view> connection_header_names(const http::Message& message) {
   std::vector<std::string_view> names;
   for (const auto& [key, list] : message.headers) {
     if (!http::same_word(key, "Connection")) continue;
-    constexpr std::string_view between = ", \t";
-    for (std::size_t at = list.find_first_not_of(between); at != list.npos;) {
-      std::size_t end = std::min(list.find_first_of(between, at), list.size());
+    constexpr std::string_view separators = ", \t";
+    for (std::size_t at = list.find_first_not_of(separators); at != list.npos;) {
+      std::size_t end = std::min(list.find_first_of(separators, at), list.size());
       names.push_back(list.substr(at, end - at));
-      at = list.find_first_not_of(between, end);
+      at = list.find_first_not_of(separators, end);
     }
   }
   return names;
 }
 
-// What a node goes by is no matter of one connection, whatever a client lists.
-bool goes_on(std::string_view name, const std::vector<std::string_view>& here) {
+// Whether a header is forwarded. Host and Request-Id always are, even if a Connection header lists them.
+bool is_forwarded(std::string_view name, const std::vector<std::string_view>& connection_names) {
   if (one_of(name, {"Host", "Request-Id"})) return true;
-  return !stays_here(name) && std::none_of(here.begin(), here.end(), [&](std::string_view each) {
-    return http::same_word(each, name);
-  });
+  return !is_hop_by_hop(name) &&
+         std::none_of(connection_names.begin(), connection_names.end(),
+                      [&](std::string_view each) { return http::same_word(each, name); });
 }
 
-// What is asked for, and of whom. Where the target names both, as one says it to a proxy, that counts and not
-// the Host line (RFC 9112, 3.2.2); a node is asked for the path.
+// Host and path of a request. A target in absolute form takes precedence over the Host header
+// (RFC 9112, 3.2.2); only the path is forwarded.
 struct Target {
   std::string_view host, path;
   bool absolute = false;
@@ -69,25 +69,25 @@
   return {message.header("Host").value_or(std::string_view()), target};
 }
 
-// A request goes by one id: of two, a node may read the other.
-std::string_view only_id(const http::Message& message) {
+// The request id; empty if there is none or more than one, since a server might read the other.
+std::string_view unique_request_id(const http::Message& message) {
   std::string_view id;
-  int lines = 0;
+  int count = 0;
   for (const auto& [name, value] : message.headers)
-    if (http::same_word(name, "Request-Id")) id = value, ++lines;
-  return lines == 1 ? id : std::string_view();
+    if (http::same_word(name, "Request-Id")) id = value, ++count;
+  return count == 1 ? id : std::string_view();
 }
 
 }  // namespace
 
-ReverseProxy::ReverseProxy(net::Loop& loop, transport::Transport& wire, Options options)
+ReverseProxy::ReverseProxy(net::Loop& loop, transport::Transport& transport, Options options)
     : loop_(loop),
-      front_(loop, std::move(options.warn), options.most_clients, *this, patience, first_limits),
+      front_(loop, std::move(options.warn), options.max_clients, *this, client_timeouts, initial_limits),
       nodes_(loop,
-             [this](dispatch::CallId call, const dispatch::CallResult& end) {
-               gateway_.dispatcher().call_ended(loop_.now(), call, end);
+             [this](dispatch::CallId call, const dispatch::CallResult& result) {
+               gateway_.dispatcher().call_ended(loop_.now(), call, result);
              }),
-      gateway_(wire, std::move(options.follower), nodes_, options.allowance) {}
+      gateway_(transport, std::move(options.follower), nodes_, options.retry_budget) {}
 
 void ReverseProxy::start(const net::Address& address) {
   front_.leave_heads_bare();
@@ -109,7 +109,7 @@
   Target target = target_of(message);
   arrival.target = target.path;
   arrival.host = target.host;
-  arrival.id = only_id(message);
+  arrival.id = unique_request_id(message);
   arrival.body = message.body;
   arrival.received_at = front_.request_began(connection);
   if (auto deadline = message.header("Deadline-Ms")) {
@@ -117,50 +117,50 @@
     auto [stop, error] = std::from_chars(deadline->data(), deadline->data() + deadline->size(), ms);
     if (error == std::errc() && stop == deadline->data() + deadline->size()) arrival.deadline_ms = ms;
   }
-  std::vector<std::string_view> here = of_connection(message);
+  std::vector<std::string_view> connection_names = connection_header_names(message);
   arrival.head = fmt::format("{} {} HTTP/1.1\r\n", message.method, target.path);
   if (target.absolute) arrival.head += fmt::format("Host: {}\r\n", target.host);
   for (const auto& [name, value] : message.headers) {
-    if (!goes_on(name, here) || (target.absolute && http::same_word(name, "Host"))) continue;
+    if (!is_forwarded(name, connection_names) || (target.absolute && http::same_word(name, "Host"))) continue;
     arrival.head.append(name).append(": ").append(value).append("\r\n");
   }
   if (message.body.empty() && (message.header("Content-Length") || message.header("Transfer-Encoding")))
     arrival.head += "Content-Length: 0\r\n";
-  dispatch::ClientResponse final;
+  dispatch::ClientResponse response;
   if (arrival.id.empty()) {
-    final.status = 400;
-    return answer(connection, std::move(final));
+    response.status = 400;
+    return answer(connection, std::move(response));
   }
   edge_gateway::QuotaIdentity quota_identity;
-  if (const catalog::QuotaRules* allowances = gateway_.quota_rules()) {
-    quota_identity.holder = message.header(allowances->holder_header).value_or(std::string_view());
-    quota_identity.key = allowances->key_header.empty()
+  if (const catalog::QuotaRules* quota_rules = gateway_.quota_rules()) {
+    quota_identity.holder = message.header(quota_rules->holder_header).value_or(std::string_view());
+    quota_identity.key = quota_rules->key_header.empty()
                              ? arrival.id
-                             : message.header(allowances->key_header).value_or(arrival.id);
+                             : message.header(quota_rules->key_header).value_or(arrival.id);
   }
-  dispatch::RequestId request = gateway_.submit(loop_.now(), arrival, quota_identity, final);
-  if (!request) return answer(connection, std::move(final));
+  dispatch::RequestId request = gateway_.submit(loop_.now(), arrival, quota_identity, response);
+  if (!request) return answer(connection, std::move(response));
   clients_[key(request)] = connection;
   requests_[key(connection)] = request;
 }
 
-void ReverseProxy::answer(net::SlotId connection, dispatch::ClientResponse final) {
+void ReverseProxy::answer(net::SlotId connection, dispatch::ClientResponse response) {
   clients::Answer answer;
-  answer.status = final.status;
-  answer.type = final.content_type;
-  answer.retry_after_s = final.retry_after_s;
-  answer.headers = std::move(final.headers);
-  answer.body = std::move(final.body);
-  answer.bare = final.no_body;
+  answer.status = response.status;
+  answer.type = response.content_type;
+  answer.retry_after_s = response.retry_after_s;
+  answer.headers = std::move(response.headers);
+  answer.body = std::move(response.body);
+  answer.bare = response.no_body;
   front_.answer(connection, answer);
 }
 
 bool ReverseProxy::take_configuration() {
-  if (gateway_.routed_revision() == routed_) return false;
-  routed_ = gateway_.routed_revision();
+  if (gateway_.routed_revision() == applied_limits_revision_) return false;
+  applied_limits_revision_ = gateway_.routed_revision();
   const catalog::Limits& limits = gateway_.follower().view().configuration()->limits;
-  front_.set_bounds({dispatch::from_ms(limits.header_wait_ms), patience.answer},
-                    {limits.header_bytes, limits.body_bytes, lines_in(limits.header_bytes)});
+  front_.set_bounds({dispatch::from_ms(limits.header_wait_ms), client_timeouts.answer},
+                    {limits.header_bytes, limits.body_bytes, max_header_lines(limits.header_bytes)});
   return true;
 }
 
@@ -173,13 +173,13 @@
 void ReverseProxy::after_turn() {
   net::Time now = loop_.now();
   gateway_.advance(now);
-  for (auto& [request, final] : gateway_.take_responses(now)) {
+  for (auto& [request, response] : gateway_.take_responses(now)) {
     auto found = clients_.find(key(request));
     if (found == clients_.end()) continue;
     net::SlotId connection = found->second;
     clients_.erase(found);
     requests_.erase(key(connection));
-    answer(connection, std::move(final));
+    answer(connection, std::move(response));
   }
 }
 
--- a/src/altavia/reverse_proxy.h
+++ b/src/altavia/reverse_proxy.h
@@ -1,5 +1,5 @@
-// What stands between clients and nodes: the front door, the connections to nodes, and edge_gateway's
-// gateway, which decides. It is given its wire to the core, and listens when it is told to.
+// The HTTP reverse proxy of an edge: connects the clients' connections, the connections to index servers and
+// the EdgeGateway, which routes the requests.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +12,29 @@
 
 namespace pearspar::altavia {
 
+// Starts to listen with start(). Uses `transport`, which its owner provides, to talk to members and edges.
 class ReverseProxy : private clients::FrontUser {
  public:
   struct Options {
     subscription::FollowerOptions follower;
-    dispatch::RetryBudgetRules allowance;
-    std::size_t most_clients = 0;
+    dispatch::RetryBudgetRules retry_budget;
+    std::size_t max_clients = 0;
     clients::Front::Warn warn;
   };
-  ReverseProxy(net::Loop& loop, transport::Transport& wire, Options options);
+  ReverseProxy(net::Loop& loop, transport::Transport& transport, Options options);
 
-  // Throws std::system_error where the address cannot be had.
+  // Throws std::system_error if the address cannot be bound.
   void start(const net::Address& address);
-  // After every turn of the loop and every frame of the core's: answers go out, limits are taken over.
+  // Sends the responses that are ready. To be called after every turn of the loop.
   void after_turn();
-  // This process ends: every request that is open is answered with the end of this turn.
+  // Answers all open requests at the next after_turn(), because this process is stopping.
   void finish_open_requests() { gateway_.finish_open_requests(loop_.now()); }
-  // True once for each revision that requests are routed by from here on.
+  // Applies the limits of a new configuration. True once per revision that takes effect.
   bool take_configuration();
-  // To be called every second: connections that have been idle for too long.
+  // Closes connections that have been idle for too long. To be called every second.
   void sweep();
 
-  // Of bytes held for all clients' connections, and for all answers of nodes that are coming.
+  // Bounds, in bytes, on the memory held for all clients' connections and for all responses being received.
   void set_memory_bounds(std::size_t clients, std::size_t nodes) {
     front_.set_memory_bound(clients);
     nodes_.set_memory_bound(nodes);
@@ -54,9 +55,9 @@
   clients::Front front_;
   upstream::NodeLinks nodes_;
   edge_gateway::EdgeGateway gateway_;
-  catalog::Revision routed_ = 0;                                     // revision whose limits hold
-  std::unordered_map<std::uint64_t, net::SlotId> clients_;           // of open requests
-  std::unordered_map<std::uint64_t, dispatch::RequestId> requests_;  // the other way
+  catalog::Revision applied_limits_revision_ = 0;                    // revision whose limits are in force
+  std::unordered_map<std::uint64_t, net::SlotId> clients_;           // connection by open request
+  std::unordered_map<std::uint64_t, dispatch::RequestId> requests_;  // open request by connection
 };
 
 }  // namespace pearspar::altavia
--- a/tests/system/request_guarantees_test.cpp
+++ b/tests/system/request_guarantees_test.cpp
@@ -144,8 +144,8 @@
     server = std::make_unique<QuietServer>(loop);
     altavia::ReverseProxy::Options options;
     options.follower.incarnation = 1;
-    options.allowance = {1, 100, net::Duration(10)};
-    options.most_clients = 20;
+    options.retry_budget = {1, 100, net::Duration(10)};
+    options.max_clients = 20;
     options.warn = [](std::string_view) {};
     proxy = std::make_unique<altavia::ReverseProxy>(loop, wire, std::move(options));
     proxy->start({0x7f000001, 0});
