--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -12,9 +12,12 @@
 namespace pearspar::log {
 namespace {
 
-constexpr std::size_t longest = 3000;  // bytes of a line's text
+constexpr std::size_t max_text_bytes = 3000;
+// In JSON an escape may take six bytes in place of one; texts with many of them are truncated further.
+constexpr std::size_t max_escape_bytes = 800;
+constexpr std::size_t max_escaped_text_bytes = 600;
 
-spdlog::level::level_enum level_of(Level level) {
+spdlog::level::level_enum spdlog_level(Level level) {
   switch (level) {
     case Level::error:
       return spdlog::level::err;
@@ -27,7 +30,7 @@
   }
 }
 
-std::string_view word(spdlog::level::level_enum level) {
+std::string_view level_name(spdlog::level::level_enum level) {
   switch (level) {
     case spdlog::level::err:
       return "error";
@@ -40,7 +43,7 @@
   }
 }
 
-double seconds_of(spdlog::log_clock::time_point time) {
+double seconds_since_epoch(spdlog::log_clock::time_point time) {
   return std::chrono::duration<double>(time.time_since_epoch()).count();
 }
 
@@ -61,8 +64,8 @@
 
 }  // namespace
 
-// A pipe that nobody empties must not stop the loop: a line that would have to wait is dropped and counted.
-// A line is shorter than PIPE_BUF, so one that poll lets through is written whole.
+// Drops and counts lines above the rate limit, and lines that would block because the pipe is full. Lines are
+// shorter than PIPE_BUF, so that a write which poll reports as possible is atomic.
 class DescriptorSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   DescriptorSink(int fd, const Options& options) : fd_(fd), options_(options) {}
@@ -71,18 +74,18 @@
  private:
   void sink_it_(const spdlog::details::log_msg& message) override {
     auto now = std::chrono::steady_clock::now();
-    double passed = std::chrono::duration<double>(now - last_).count();
-    allowance_ = std::min(options_.burst, allowance_ + options_.lines_per_s * passed);
-    last_ = now;
+    double elapsed_s = std::chrono::duration<double>(now - tokens_updated_at_).count();
+    tokens_ = std::min(options_.burst, tokens_ + options_.lines_per_s * elapsed_s);
+    tokens_updated_at_ = now;
     pollfd out{fd_, POLLOUT, 0};
-    if (allowance_ < 1 || ::poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) {
+    if (tokens_ < 1 || ::poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) {
       ++dropped_;
       return;
     }
-    allowance_ -= 1;
-    std::uint64_t dropped = dropped_ - std::exchange(dropped_told_, dropped_);
+    tokens_ -= 1;
+    std::uint64_t newly_dropped = dropped_ - std::exchange(reported_dropped_, dropped_);
     spdlog::memory_buf_t line;
-    (options_.json ? format_json(line, message, dropped) : format_plain(line, message, dropped));
+    (options_.json ? format_json(line, message, newly_dropped) : format_plain(line, message, newly_dropped));
     if (::write(fd_, line.data(), line.size()) < 0) ++dropped_;
   }
   void flush_() override {}
@@ -90,13 +93,14 @@
   static void format_plain(spdlog::memory_buf_t& line, const spdlog::details::log_msg& message,
                            std::uint64_t dropped) {
     auto out = std::back_inserter(line);
-    fmt::format_to(out, "{:.3f} {} {}: ", seconds_of(message.time),
+    fmt::format_to(out, "{:.3f} {} {}: ", seconds_since_epoch(message.time),
                    std::string_view(message.logger_name.data(), message.logger_name.size()),
-                   word(message.level));
+                   level_name(message.level));
     if (dropped > 0) fmt::format_to(out, "({} lines dropped) ", dropped);
     std::size_t start = line.size();
-    line.append(message.payload.data(), message.payload.data() + std::min(message.payload.size(), longest));
-    // What a peer sent may stand in a line: it must not begin a line of its own.
+    line.append(message.payload.data(),
+                message.payload.data() + std::min(message.payload.size(), max_text_bytes));
+    // The text may come from a peer: control characters are replaced, so that it cannot start a new line.
     std::replace_if(
         line.begin() + start, line.end(),
         [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7f; }, '?');
@@ -106,39 +110,39 @@
   static void format_json(spdlog::memory_buf_t& line, const spdlog::details::log_msg& message,
                           std::uint64_t dropped) {
     auto out = std::back_inserter(line);
-    fmt::format_to(out, "{{\"time\":{:.3f},\"name\":", seconds_of(message.time));
+    fmt::format_to(out, "{{\"time\":{:.3f},\"name\":", seconds_since_epoch(message.time));
     append_quoted(line, {message.logger_name.data(), message.logger_name.size()});
-    fmt::format_to(out, ",\"level\":\"{}\"", word(message.level));
+    fmt::format_to(out, ",\"level\":\"{}\"", level_name(message.level));
     if (dropped > 0) fmt::format_to(out, ",\"dropped\":{}", dropped);
     fmt::format_to(out, ",\"text\":");
-    // Escapes may stretch a text sixfold: what would not fit a line is cut before.
-    std::string_view text(message.payload.data(), std::min(message.payload.size(), longest));
+    std::string_view text(message.payload.data(), std::min(message.payload.size(), max_text_bytes));
     std::size_t escapes = static_cast<std::size_t>(std::count_if(text.begin(), text.end(), [](char c) {
       return static_cast<unsigned char>(c) < 0x20 || c == '"' || c == '\\';
     }));
-    append_quoted(line, text.substr(0, escapes * 5 > 800 ? 600 : text.size()));
+    append_quoted(line,
+                  text.substr(0, escapes * 5 > max_escape_bytes ? max_escaped_text_bytes : text.size()));
     fmt::format_to(out, "}}\n");
   }
 
   int fd_;
   Options options_;
-  double allowance_ = 0;
-  std::chrono::steady_clock::time_point last_{};
+  double tokens_ = 0;
+  std::chrono::steady_clock::time_point tokens_updated_at_{};
   std::uint64_t dropped_ = 0;
-  std::uint64_t dropped_told_ = 0;
+  std::uint64_t reported_dropped_ = 0;
 };
 
 Logger::Logger(int fd, Level level, std::string name, const Options& options)
     : level_(level),
       sink_(std::make_shared<DescriptorSink>(fd, options)),
       logger_(std::make_unique<spdlog::logger>(std::move(name), sink_)) {
-  logger_->set_level(level_of(level));
+  logger_->set_level(spdlog_level(level));
 }
 
 Logger::~Logger() = default;
 
 void Logger::write(Level level, std::string_view text) {
-  logger_->log(level_of(level), spdlog::string_view_t(text.data(), text.size()));
+  logger_->log(spdlog_level(level), spdlog::string_view_t(text.data(), text.size()));
 }
 
 std::uint64_t Logger::dropped() const { return sink_->dropped(); }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,5 @@
-// Log lines on one descriptor, through spdlog: levels, a plain and a JSON form, a bound on their rate, and
-// never a wait for whoever reads them.
+// Logger that writes lines to a file descriptor, through spdlog: levels, a plain and a JSON format, and a
+// rate limit. Writing never blocks; lines that cannot be written are dropped and counted.
 #pragma once
 
 #include <fmt/format.h>
@@ -18,14 +18,16 @@
 
 enum class Level { error, warning, info, debug };
 
+// Format and rate limit.
 struct Options {
-  bool json = false;        // {"time":..,"name":..,"level":..,"dropped":..,"text":..}, a line each
-  double lines_per_s = 50;  // in the long run
-  double burst = 200;       // at once
+  bool json = false;        // {"time":..,"name":..,"level":..,"dropped":..,"text":..}, one object per line
+  double lines_per_s = 50;  // sustained rate
+  double burst = 200;       // lines above the sustained rate
 };
 
 class DescriptorSink;
 
+// Does not own the descriptor. Lines carry the name given to the constructor.
 class Logger {
  public:
   Logger(int fd, Level level, std::string name, const Options& options = {});
@@ -50,6 +52,7 @@
   }
 
   void write(Level level, std::string_view text);
+  // Lines dropped since the start.
   std::uint64_t dropped() const;
 
  private:
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -1,5 +1,5 @@
-// The system's log: one JSON object a line on standard error, through easylogging++. Its time is the steady
-// clock's, in seconds since the start of the process: nothing here reads the time of day.
+// Log of altavia: one JSON object per line on standard output, through easylogging++. Timestamps are seconds
+// of the steady clock since the process started; the wall clock is never read.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 enum class Level { error, warning, info, debug };
 
-// A value as it stands in JSON.
+// A field value, encoded as JSON.
 class Value {
  public:
   Value(std::string_view text);
@@ -30,14 +30,17 @@
   std::string text_;
 };
 
-// Before the first line; once a process.
-void open_log(std::string_view node, Level least);
-// {"t":12.345,"level":"info","node":"...","event":"...", and the fields}. More than 200 lines at once, 20 a
-// second in the long run, are dropped and counted in the next line that is written.
+// Configures the log; must be called before the first line. `min_level` is the least severe level that is
+// written.
+void open_log(std::string_view node, Level min_level);
+// Writes {"t":12.345,"level":"info","node":"...","event":"...", and the fields}. Lines beyond a burst of 200
+// or a rate of 20 per second are dropped; the next line that is written holds their count.
 void log(Level level, std::string_view event,
          std::initializer_list<std::pair<std::string_view, Value>> fields = {});
-// Since the start: beyond those bounds, or since nobody read what was written before. A line never waits.
+// Lines dropped since the start, because of the rate limit or because the output pipe was full. Writing never
+// blocks.
 std::uint64_t dropped_lines();
+// Reads the name of a level; false if there is no such level.
 bool parse_level(std::string_view text, Level& level);
 
 }  // namespace pearspar::logging
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -9,8 +9,8 @@
 namespace pearspar::metrics {
 namespace {
 
-constexpr std::string_view prefix = "altavia_";
-constexpr std::string_view total = "_total";
+constexpr std::string_view name_prefix = "altavia_";
+constexpr std::string_view counter_suffix = "_total";
 
 }  // namespace
 
@@ -18,7 +18,7 @@
   prometheus::Registry registry;
   const prometheus::Labels labels = {{"node", node}, {"zone", zone}};
   for (const Sample& sample : samples) {
-    if (std::string_view(sample.name).ends_with(total))
+    if (std::string_view(sample.name).ends_with(counter_suffix))
       prometheus::BuildCounter()
           .Name(sample.name)
           .Help(sample.help)
@@ -40,8 +40,8 @@
   std::string out = "{";
   for (const Sample& sample : samples) {
     std::string_view name = sample.name;
-    if (name.starts_with(prefix)) name.remove_prefix(prefix.size());
-    if (name.ends_with(total)) name.remove_suffix(total.size());
+    if (name.starts_with(name_prefix)) name.remove_prefix(name_prefix.size());
+    if (name.ends_with(counter_suffix)) name.remove_suffix(counter_suffix.size());
     out += fmt::format("{}\"{}\":{}", out.size() > 1 ? "," : "", name, sample.value);
   }
   return out + "}";
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,4 +1,4 @@
-// Counters and gauges as others read them: one list, printed in the text form that collectors scrape (through
+// Exposition of counters and gauges: one list of samples, formatted as Prometheus text (through
 // prometheus-cpp) or as JSON.
 #pragma once
 
@@ -8,15 +8,16 @@
 
 namespace pearspar::metrics {
 
+// The current value of one metric.
 struct Sample {
-  const char* name;  // altavia_calls_total; what only rises ends in _total
+  const char* name;  // such as altavia_calls_total; counters end in _total, others are gauges
   const char* help;
   double value = 0;
 };
 
-// The text exposition format, each name once, with `node` and `zone` as labels.
+// The Prometheus text format, with `node` and `zone` as labels of every sample.
 std::string as_text(const std::vector<Sample>& samples, const std::string& node, const std::string& zone);
-// {"calls":3,...}: names without their prefix and _total.
+// {"calls":3,...}: names without the prefix altavia_ and the suffix _total.
 std::string as_json(const std::vector<Sample>& samples);
 
 }  // namespace pearspar::metrics
