--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,3 +1,4 @@
+// Tests of log::Logger on a pipe: line formats, rate limit, and behaviour when the pipe is full.
 #include "log/log.h"
 
 #include <fcntl.h>
@@ -20,15 +21,15 @@
   }
   std::string read() {
     std::string text;
-    char part[4096];
-    for (ssize_t got = 0; (got = ::read(ends[0], part, sizeof part)) > 0;)
-      text.append(part, static_cast<std::size_t>(got));
+    char chunk[4096];
+    for (ssize_t bytes_read = 0; (bytes_read = ::read(ends[0], chunk, sizeof chunk)) > 0;)
+      text.append(chunk, static_cast<std::size_t>(bytes_read));
     return text;
   }
   int ends[2] = {-1, -1};
 };
 
-TEST(Log, ALineHasALevelAndStaysOneLine) {
+TEST(Log, LineHasALevelAndNoControlCharacters) {
   Pipe pipe;
   Logger log(pipe.ends[1], Level::info, "n3");
   log.info("peer said {}", "a\nb\x01");
@@ -38,7 +39,7 @@
   EXPECT_EQ(std::count(text.begin(), text.end(), '\n'), 1);
 }
 
-TEST(Log, ItsRateIsBoundedAndWhatIsDroppedIsCounted) {
+TEST(Log, LinesAboveTheRateAreDroppedAndCounted) {
   Pipe pipe;
   Logger log(pipe.ends[1], Level::info, "n3");
   for (int i = 0; i < 5000; ++i) log.info("line {}", i);
@@ -47,8 +48,8 @@
   EXPECT_GT(log.dropped(), 3000u);
 }
 
-// Nobody reads: the writer must not wait.
-TEST(Log, AFullPipeStopsNothing) {
+// Guards against a logger that blocks when nobody reads its output.
+TEST(Log, FullPipeDoesNotBlockTheWriter) {
   Pipe pipe;
   Logger log(pipe.ends[1], Level::info, "n3");
   std::string filler(4096, 'x');
@@ -56,14 +57,14 @@
   while (::write(pipe.ends[1], filler.data(), filler.size()) > 0) {
   }
   ::fcntl(pipe.ends[1], F_SETFL, 0);
-  for (int i = 0; i < 10; ++i) log.error("nobody hears this");
+  for (int i = 0; i < 10; ++i) log.error("dropped line");
   EXPECT_EQ(log.dropped(), 10u);
   pipe.read();
-  log.error("but this");
-  EXPECT_NE(pipe.read().find("(10 lines dropped) but this"), std::string::npos);
+  log.error("next line");
+  EXPECT_NE(pipe.read().find("(10 lines dropped) next line"), std::string::npos);
 }
 
-TEST(Log, TheJsonFormIsOneObjectALineWhateverWasSaid) {
+TEST(Log, JsonFormatIsOneObjectPerLineForAnyText) {
   Pipe pipe;
   Options options;
   options.json = true;
@@ -77,7 +78,7 @@
   EXPECT_EQ(first.find("name")->raw, "n3");
   EXPECT_EQ(*first.find("text")->text(), "peer \"a\\b\" said x\ny\x01");
   EXPECT_NO_THROW(json::parse(std::string_view(text).substr(end + 1)));
-  EXPECT_LT(text.size() - end, 4096u);  // written whole or not at all
+  EXPECT_LT(text.size() - end, 4096u);  // a longer write would not be atomic
 }
 
 }  // namespace
--- a/tests/system/main.cpp
+++ b/tests/system/main.cpp
@@ -1,4 +1,5 @@
-// All tests of the system's packages: simulated time, no sleeps. Named on the command line, only those run.
+// Runs the tests of altavia's libraries, or the one named on the command line. Fails too if an invariant of
+// the code is violated during a test.
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/TestResult.h>
@@ -12,26 +13,25 @@
 
 namespace {
 
-void tell(pearspar::invariants::Invariant invariant, std::string_view what) {
+void print_violation(pearspar::invariants::Invariant invariant, std::string_view what) {
   std::cerr << "invariant broken: " << pearspar::invariants::name(invariant) << ": " << what << "\n";
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  pearspar::invariants::set_violation_handler(tell);
+  pearspar::invariants::set_violation_handler(print_violation);
   CppUnit::TestResult result;
-  CppUnit::TestResultCollector collected;
+  CppUnit::TestResultCollector collector;
   CppUnit::BriefTestProgressListener progress;
-  result.addListener(&collected);
+  result.addListener(&collector);
   result.addListener(&progress);
   CppUnit::TestRunner runner;
   runner.addTest(CppUnit::TestFactoryRegistry::getRegistry().makeTest());
   runner.run(result, argc > 1 ? argv[1] : "");
-  CppUnit::CompilerOutputter(&collected, std::cerr).write();
-  std::cout << collected.runTests() - collected.testFailuresTotal() << " passed, "
-            << collected.testFailuresTotal() << " failed\n";
-  // Whatever the cases ask for, the code's own invariants held all the while.
-  const bool held = pearspar::invariants::violations() == 0;
-  return held && collected.wasSuccessful() && collected.runTests() > 0 ? 0 : 1;
+  CppUnit::CompilerOutputter(&collector, std::cerr).write();
+  std::cout << collector.runTests() - collector.testFailuresTotal() << " passed, "
+            << collector.testFailuresTotal() << " failed\n";
+  const bool no_violations = pearspar::invariants::violations() == 0;
+  return no_violations && collector.wasSuccessful() && collector.runTests() > 0 ? 0 : 1;
 }
--- a/tests/system/request_guarantees_test.cpp
+++ b/tests/system/request_guarantees_test.cpp
@@ -1,5 +1,6 @@
-// What the rules promise of a request between its client and its index server, shown on sockets: an edge's
-// proxy between a scripted client and a scripted server on loopback.
+// Guarantees for a request between its client and its index server: cancellation, deadlines, shutdown and
+// truncated responses, tested with a reverse proxy between a scripted client and a scripted server on
+// loopback.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 #include <sys/socket.h>
@@ -18,27 +19,27 @@
 
 using namespace std::chrono_literals;
 
-constexpr net::Duration known_within = 500ms;  // of a client's departure
+constexpr net::Duration cancellation_timeout = 500ms;  // after its client has left
 constexpr const char* configuration =
     R"({"edition":1,"postalRoutes":[{"name":"s","hostName":"h","pathPrefix":"/s/","lineKind":"safe",)"
     R"("deadlineMs":4000,"depot":"p","tries":2},{"name":"u","hostName":"h","pathPrefix":"/u/",)"
     R"("lineKind":"unsafe","deadlineMs":4000,"depot":"p","tries":2}],)"
     R"("depots":[{"name":"p","connLimit":20}]})";
 
-struct NoWire : transport::Transport {
+struct NullTransport : transport::Transport {
   void set_targets(const std::vector<std::string>&) override {}
   bool send_to(const std::string&, std::string_view) override { return true; }
   bool send(transport::LinkId, std::string_view) override { return true; }
 };
 
-// Takes each request and says nothing until it is told to.
-class QuietServer {
+// Records each request and sends only what a test tells it to.
+class ScriptedServer {
  public:
-  struct Taken {
+  struct ReceivedRequest {
     std::string text;
     net::SlotId connection;
   };
-  explicit QuietServer(net::Loop& loop)
+  explicit ScriptedServer(net::Loop& loop)
       : loop_(loop), listener_(loop, {0x7f000001, 0}, [this](net::Fd fd) {
           const net::SlotId id = connections_.add();
           Connection& connection = *connections_.find(id);
@@ -46,51 +47,51 @@
           connection.watch = loop_.watch(connection.fd.get(), POLLIN, [this, id](short) { read(id); });
         }) {}
   std::string address() const { return listener_.address().text(); }
-  bool is_open(std::size_t request) { return connections_.find(taken[request].connection) != nullptr; }
+  bool is_open(std::size_t request) { return connections_.find(requests[request].connection) != nullptr; }
   std::string header(std::size_t request, const std::string& name) const {
-    const std::string& text = taken[request].text;
+    const std::string& text = requests[request].text;
     const std::size_t at = text.find(name + ": ");
     if (at == text.npos) return {};
     const std::size_t from = at + name.size() + 2;
     return text.substr(from, text.find("\r\n", from) - from);
   }
-  void say(std::size_t request, const std::string& bytes) {
-    Connection* connection = connections_.find(taken[request].connection);
+  void send(std::size_t request, const std::string& bytes) {
+    Connection* connection = connections_.find(requests[request].connection);
     std::size_t written = 0;
     if (connection) net::write_from(connection->fd, bytes, written);
   }
-  void close(std::size_t request, bool resets) {
-    Connection* connection = connections_.find(taken[request].connection);
+  void close(std::size_t request, bool reset) {
+    Connection* connection = connections_.find(requests[request].connection);
     if (!connection) return;
-    if (resets) {
-      const linger at_once{1, 0};
-      ::setsockopt(connection->fd.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    if (reset) {
+      const linger reset_on_close{1, 0};
+      ::setsockopt(connection->fd.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     }
-    connections_.release(taken[request].connection);
+    connections_.release(requests[request].connection);
   }
-  std::vector<Taken> taken;
+  std::vector<ReceivedRequest> requests;
 
  private:
   struct Connection {
     net::Fd fd;
     net::Watch watch;
-    net::Buffer in;
+    net::Buffer input;
   };
   void read(net::SlotId id) {
     Connection& connection = *connections_.find(id);
-    const net::IoResult result = net::read_into(connection.fd, connection.in, 65536);
+    const net::IoResult result = net::read_into(connection.fd, connection.input, 65536);
     if (result == net::IoResult::none) return;
     if (result != net::IoResult::some) return connections_.release(id);
-    if (connection.in.view().find("\r\n\r\n") == std::string_view::npos) return;
-    taken.push_back({std::string(connection.in.view()), id});
-    connection.in.consume(connection.in.size());
+    if (connection.input.view().find("\r\n\r\n") == std::string_view::npos) return;
+    requests.push_back({std::string(connection.input.view()), id});
+    connection.input.consume(connection.input.size());
   }
   net::Loop& loop_;
   net::SlotTable<Connection> connections_;
   net::Listener listener_;
 };
 
-// Its connection closes with it.
+// A client connection that is closed by the destructor.
 class ScriptedClient {
  public:
   explicit ScriptedClient(const net::Address& to) {
@@ -102,17 +103,17 @@
     net::write_from(fd_, bytes, written);
     CPPUNIT_ASSERT_EQUAL(bytes.size(), written);
   }
-  const std::string& seen() {
-    while (net::read_into(fd_, in_, 4096) == net::IoResult::some) {
+  const std::string& received() {
+    while (net::read_into(fd_, input_, 4096) == net::IoResult::some) {
     }
-    seen_ = in_.view();
-    return seen_;
+    received_ = input_.view();
+    return received_;
   }
 
  private:
   net::Fd fd_;
-  net::Buffer in_;
-  std::string seen_;
+  net::Buffer input_;
+  std::string received_;
 };
 
 std::string request(const std::string& path, const std::string& id, int deadline_ms) {
@@ -135,34 +136,34 @@
   CPPUNIT_TEST_SUITE_END();
 
   net::Loop loop;
-  NoWire wire;
+  NullTransport null_transport;
   std::unique_ptr<altavia::ReverseProxy> proxy;
-  std::unique_ptr<QuietServer> server;
+  std::unique_ptr<ScriptedServer> server;
 
  public:
   void setUp() override {
-    server = std::make_unique<QuietServer>(loop);
+    server = std::make_unique<ScriptedServer>(loop);
     altavia::ReverseProxy::Options options;
     options.follower.incarnation = 1;
     options.retry_budget = {1, 100, net::Duration(10)};
     options.max_clients = 20;
     options.warn = [](std::string_view) {};
-    proxy = std::make_unique<altavia::ReverseProxy>(loop, wire, std::move(options));
+    proxy = std::make_unique<altavia::ReverseProxy>(loop, null_transport, std::move(options));
     proxy->start({0x7f000001, 0});
-    protocol::StateSnapshot standing;
-    standing.at = {1, 1};
-    standing.complete = true;
-    standing.edges = 1;
-    standing.revision = 1;
-    standing.configuration = configuration;
+    protocol::StateSnapshot snapshot;
+    snapshot.at = {1, 1};
+    snapshot.complete = true;
+    snapshot.edges = 1;
+    snapshot.revision = 1;
+    snapshot.configuration = configuration;
     catalog::Node node;
     node.id = "i-1";
     node.service = "p";
     node.address = server->address();
     node.slots = 10;
-    standing.nodes.push_back({node, 0});
+    snapshot.nodes.push_back({node, 0});
     proxy->gateway().link_up(1, "127.0.0.1:1");
-    proxy->gateway().link_frame(loop.now(), 1, protocol::pack(standing));
+    proxy->gateway().link_frame(loop.now(), 1, protocol::pack(snapshot));
     CPPUNIT_ASSERT(proxy->take_configuration());
   }
   void tearDown() override {
@@ -170,103 +171,106 @@
     server.reset();
   }
 
-  bool until(net::Duration within, const std::function<bool()>& holds) {
-    const net::Time end = loop.read_clock() + within;
-    while (!holds() && loop.read_clock() < end) {
+  bool wait_until(net::Duration timeout, const std::function<bool()>& condition) {
+    const net::Time end = loop.read_clock() + timeout;
+    while (!condition() && loop.read_clock() < end) {
       loop.turn(net::Duration(0.01));
       proxy->after_turn();
     }
-    return holds();
+    return condition();
   }
   std::unique_ptr<ScriptedClient> client() {
     return std::make_unique<ScriptedClient>(proxy->front().address());
   }
 
   void safeRequestIsCancelledWhenItsClientLeaves() {
-    auto leaves = client();
-    leaves->send(request("/s/x", "a", 4000));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    leaves.reset();
-    CPPUNIT_ASSERT_MESSAGE("the server hears of it",
-                           until(known_within, [&] { return !server->is_open(0); }));
+    auto leaving_client = client();
+    leaving_client->send(request("/s/x", "a", 4000));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
+    leaving_client.reset();
+    CPPUNIT_ASSERT_MESSAGE("the call is cancelled at the server",
+                           wait_until(cancellation_timeout, [&] { return !server->is_open(0); }));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, proxy->gateway().dispatcher().open_requests());
   }
 
   void unsafeRequestIsNotCancelledWhenItsClientLeaves() {
-    auto leaves = client();
-    leaves->send(request("/u/x", "a", 4000));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    leaves.reset();
-    CPPUNIT_ASSERT_MESSAGE("it is not broken off", !until(known_within, [&] { return !server->is_open(0); }));
-    server->say(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
-    CPPUNIT_ASSERT(until(1s, [&] { return proxy->gateway().dispatcher().open_requests() == 0; }));
-    CPPUNIT_ASSERT_MESSAGE("its connection serves the next", server->is_open(0));
+    auto leaving_client = client();
+    leaving_client->send(request("/u/x", "a", 4000));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
+    leaving_client.reset();
+    CPPUNIT_ASSERT_MESSAGE("the call is not cancelled",
+                           !wait_until(cancellation_timeout, [&] { return !server->is_open(0); }));
+    server->send(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return proxy->gateway().dispatcher().open_requests() == 0; }));
+    CPPUNIT_ASSERT_MESSAGE("the server connection stays open", server->is_open(0));
   }
 
   void waitOfAPipelinedRequestIsSubtractedFromItsDeadline() {
-    auto pipelines = client();
-    pipelines->send(request("/s/x", "a", 3000) + request("/s/x", "b", 3000));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    until(600ms, [] { return false; });
-    server->say(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 2; }));
+    auto pipelining_client = client();
+    pipelining_client->send(request("/s/x", "a", 3000) + request("/s/x", "b", 3000));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
+    wait_until(600ms, [] { return false; });
+    server->send(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 2; }));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), server->header(1, "Request-Id"));
-    const int handed = std::atoi(server->header(1, "Deadline-Ms").c_str());
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms of 3000 were handed on after 600", handed),
-                           handed > 1000 && handed <= 2450);
+    const int forwarded_ms = std::atoi(server->header(1, "Deadline-Ms").c_str());
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms of 3000 were forwarded after 600", forwarded_ms),
+                           forwarded_ms > 1000 && forwarded_ms <= 2450);
   }
 
-  // The body is more than a connection reads ahead; it has left the buffer when the next request comes.
+  // The body exceeds the read-ahead of a connection and has left the buffer when the next request arrives.
   void waitBehindALargeBodyIsSubtractedFromTheDeadline() {
-    auto pipelines = client();
+    auto pipelining_client = client();
     const std::string body(100'000, 'b');
-    pipelines->send(
+    pipelining_client->send(
         fmt::format("POST /u/x HTTP/1.1\r\nHost: h\r\nRequest-Id: a\r\nDeadline-Ms: 3000\r\n"
                     "Content-Length: {}\r\n\r\n{}",
                     body.size(), body));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    pipelines->send(request("/s/x", "b", 3000));
-    until(600ms, [] { return false; });
-    server->say(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 2; }));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
+    pipelining_client->send(request("/s/x", "b", 3000));
+    wait_until(600ms, [] { return false; });
+    server->send(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: a\r\nPostmark: m\r\n\r\n");
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 2; }));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), server->header(1, "Request-Id"));
-    const int handed = std::atoi(server->header(1, "Deadline-Ms").c_str());
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms of 3000 were handed on after 600", handed),
-                           handed > 1000 && handed <= 2450);
+    const int forwarded_ms = std::atoi(server->header(1, "Deadline-Ms").c_str());
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms of 3000 were forwarded after 600", forwarded_ms),
+                           forwarded_ms > 1000 && forwarded_ms <= 2450);
   }
 
-  // The third stands behind more bytes than a connection reads ahead: it is read only when the second is at
-  // work, and may have come at any moment since reading stopped.
+  // The third request follows more bytes than the read-ahead of a connection: it is read only when the second
+  // is being served, and may have arrived at any time since reading stopped.
   void waitOfAnUnreadRequestIsSubtractedFromItsDeadline() {
-    auto pipelines = client();
+    auto pipelining_client = client();
     const std::string body(100'000, 'b');
-    pipelines->send(request("/s/x", "a", 3000) +
-                    fmt::format("POST /u/x HTTP/1.1\r\nHost: h\r\nRequest-Id: b\r\nDeadline-Ms: 3000\r\n"
-                                "Content-Length: {}\r\n\r\n{}",
-                                body.size(), body) +
-                    request("/s/x", "c", 3000));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    until(600ms, [] { return false; });
+    pipelining_client->send(
+        request("/s/x", "a", 3000) +
+        fmt::format("POST /u/x HTTP/1.1\r\nHost: h\r\nRequest-Id: b\r\nDeadline-Ms: 3000\r\n"
+                    "Content-Length: {}\r\n\r\n{}",
+                    body.size(), body) +
+        request("/s/x", "c", 3000));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
+    wait_until(600ms, [] { return false; });
     for (std::size_t i : {0, 1}) {
-      CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == i + 1; }));
+      CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == i + 1; }));
       const std::string id = server->header(i, "Request-Id");
-      server->say(i, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: " + id + "\r\nPostmark: m\r\n\r\n");
+      server->send(i,
+                   "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nRequest-Id: " + id + "\r\nPostmark: m\r\n\r\n");
     }
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 3; }));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 3; }));
     CPPUNIT_ASSERT_EQUAL(std::string("c"), server->header(2, "Request-Id"));
-    const int handed = std::atoi(server->header(2, "Deadline-Ms").c_str());
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms of 3000 were handed on after 600", handed),
-                           handed > 1000 && handed <= 2450);
+    const int forwarded_ms = std::atoi(server->header(2, "Deadline-Ms").c_str());
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} ms of 3000 were forwarded after 600", forwarded_ms),
+                           forwarded_ms > 1000 && forwarded_ms <= 2450);
   }
 
   void openRequestsAreAnsweredWhenTheEdgeStops() {
-    auto asks = client();
-    asks->send(request("/u/x", "a", 3000));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
+    auto waiting_client = client();
+    waiting_client->send(request("/u/x", "a", 3000));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
     proxy->finish_open_requests();
-    CPPUNIT_ASSERT(until(200ms, [&] { return !asks->seen().empty(); }));
-    CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 504"), asks->seen().substr(0, 12));
-    CPPUNIT_ASSERT(asks->seen().find("Request-Id: a\r\n") != std::string::npos);
+    CPPUNIT_ASSERT(wait_until(200ms, [&] { return !waiting_client->received().empty(); }));
+    CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 504"), waiting_client->received().substr(0, 12));
+    CPPUNIT_ASSERT(waiting_client->received().find("Request-Id: a\r\n") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, proxy->front().busy());
     CPPUNIT_ASSERT(
         proxy->gateway().dispatcher().failure_log().as_json(loop.now()).find("\"reason\":\"ending\"") !=
@@ -274,30 +278,31 @@
   }
 
   void responseWithoutLengthEndsWithItsConnection() {
-    auto asks = client();
-    asks->send(request("/s/x", "a", 3000));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    server->say(0, "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nPostmark: m\r\n\r\nthe whole ");
-    until(50ms, [] { return false; });
-    CPPUNIT_ASSERT_EQUAL(std::string(), asks->seen());
-    server->say(0, "body");
+    auto waiting_client = client();
+    waiting_client->send(request("/s/x", "a", 3000));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
+    server->send(0, "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nPostmark: m\r\n\r\nthe whole ");
+    wait_until(50ms, [] { return false; });
+    CPPUNIT_ASSERT_EQUAL(std::string(), waiting_client->received());
+    server->send(0, "body");
     server->close(0, false);
-    CPPUNIT_ASSERT(until(1s, [&] { return asks->seen().find("the whole body") != std::string::npos; }));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asks->seen().find("HTTP/1.1 200"));
-    CPPUNIT_ASSERT(asks->seen().find("Content-Length: 14\r\n") != std::string::npos);
-    CPPUNIT_ASSERT(asks->seen().find("Postmark: m\r\n") != std::string::npos);
+    CPPUNIT_ASSERT(wait_until(
+        1s, [&] { return waiting_client->received().find("the whole body") != std::string::npos; }));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, waiting_client->received().find("HTTP/1.1 200"));
+    CPPUNIT_ASSERT(waiting_client->received().find("Content-Length: 14\r\n") != std::string::npos);
+    CPPUNIT_ASSERT(waiting_client->received().find("Postmark: m\r\n") != std::string::npos);
   }
 
   void responseWithoutLengthIsIncompleteAfterAReset() {
-    auto asks = client();
-    asks->send(request("/u/x", "a", 3000));
-    CPPUNIT_ASSERT(until(1s, [&] { return server->taken.size() == 1; }));
-    server->say(0, "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nPostmark: m\r\n\r\nhalf");
-    until(50ms, [] { return false; });
+    auto waiting_client = client();
+    waiting_client->send(request("/u/x", "a", 3000));
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return server->requests.size() == 1; }));
+    server->send(0, "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nPostmark: m\r\n\r\nhalf");
+    wait_until(50ms, [] { return false; });
     server->close(0, true);
-    CPPUNIT_ASSERT(until(1s, [&] { return !asks->seen().empty(); }));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, asks->seen().find("HTTP/1.1 502"));
-    CPPUNIT_ASSERT(asks->seen().find("half") == std::string::npos);
+    CPPUNIT_ASSERT(wait_until(1s, [&] { return !waiting_client->received().empty(); }));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, waiting_client->received().find("HTTP/1.1 502"));
+    CPPUNIT_ASSERT(waiting_client->received().find("half") == std::string::npos);
   }
 };
 
