--- a/src/admin_client/commands.cpp
+++ b/src/admin_client/commands.cpp
@@ -145,8 +145,9 @@
   bool leaderless = false;
   std::set<std::string> revisions, leaders;
   for (const std::string& member : caller_.members()) {
-    AdminReply reply = caller_.call_member(member, {"GET", "/pearspar/status", "", "", ""},
-                                           net::Duration(std::min(status_timeout_s, options_.timeout_s)));
+    AdminReply reply =
+        caller_.call_member(member, {"GET", "/pearspar/status", "", "", ""},
+                            net::Duration(std::min(double{status_timeout_s}, options_.timeout_s)));
     Fault fault;
     Json json = reply.status == 200 ? catalog::parse_json(reply.body, fault) : nullptr;
     if (!json) {
