--- a/src/admin_client/commands.cpp
+++ b/src/admin_client/commands.cpp
@@ -420,7 +420,7 @@
   std::string temporary_file = file + ".part";
   std::ofstream out(temporary_file, std::ios::binary | std::ios::trunc);
   std::string contents;
-  for (const std::string& each : lines) contents += each + "\n";
+  for (const std::string& count : lines) contents += count + "\n";
   auto digest = control_plane::digest_of(contents);
   out << contents
       << fmt::format(R"({{"signedOff":{{"term":{},"position":{},"window":{},)"
--- a/src/altavia/edge.h
+++ b/src/altavia/edge.h
@@ -28,7 +28,7 @@
   void stop();
   bool stopped() const { return stopped_; }
   // Frees the memory of one connection or link; false if there is nothing left to free.
-  bool shed() { return proxy_.front().shed() || links_.close_largest(); }
+  bool free_memory() { return proxy_.front().shed() || links_.close_largest(); }
   // Bytes held for clients, index servers and links.
   std::size_t client_bytes() const { return proxy_.front().held_bytes() + readiness_.held_bytes(); }
   std::size_t server_bytes() const { return proxy_.nodes().held_bytes(); }
--- a/src/altavia/main.cpp
+++ b/src/altavia/main.cpp
@@ -114,7 +114,8 @@
     if (allocation::reserve_is_whole()) return;
     const std::uint64_t refusals = allocation::refusals();
     int closed = 0;
-    while (!allocation::fill_reserve() && ((edge_ && edge_->shed()) || (member_ && member_->shed())))
+    while (!allocation::fill_reserve() &&
+           ((edge_ && edge_->free_memory()) || (member_ && member_->free_memory())))
       ++closed;
     log(Level::warning, "short_of_memory",
         {{"refusals", refusals}, {"given_up", closed}, {"reserve_whole", allocation::reserve_is_whole()}});
@@ -194,7 +195,7 @@
 
 int main(int argc, const char** argv) {
   char* settings = nullptr;
-  char* at = nullptr;
+  char* member_addresses = nullptr;
   char* level = nullptr;
   int json = 0;
   admin_client::Options admin_options;
@@ -202,7 +203,7 @@
       {"settings", 's', POPT_ARG_STRING, &settings, 0,
        "the platform's settings file (else PEARSPAR_CONFIG in the environment)", "FILE"},
       {"log-level", 0, POPT_ARG_STRING, &level, 0, "serve: error, warning, info or debug", "LEVEL"},
-      {"at", 'a', POPT_ARG_STRING, &at, 0,
+      {"at", 'a', POPT_ARG_STRING, &member_addresses, 0,
        "control addresses of members, by commas (else the settings' seeds)", "ADDRESS,..."},
       {"json", 'j', POPT_ARG_NONE, &json, 0, "as the members say it, for programs", nullptr},
       {"within", 0, POPT_ARG_DOUBLE, &admin_options.timeout_s, 0, "give up after so long (10)", "SECONDS"},
@@ -230,11 +231,11 @@
   std::string path = settings_path ? settings_path : "";
   Level min_level = Level::info;
   bool level_valid = !level || logging::parse_level(level, min_level);
-  std::istringstream addresses(at ? at : "");
+  std::istringstream addresses(member_addresses ? member_addresses : "");
   for (std::string address; std::getline(addresses, address, ',');) admin_options.members.push_back(address);
   admin_options.json = json != 0;
   std::free(settings);
-  std::free(at);
+  std::free(member_addresses);
   std::free(level);
   if (!level_valid) {
     std::fprintf(stderr, "altavia: --log-level: error, warning, info or debug is wanted\n");
--- a/src/altavia/member.h
+++ b/src/altavia/member.h
@@ -28,7 +28,7 @@
   // Transfers leadership and answers pending calls; stops when the other members can go on without it.
   void stop();
   // Frees the memory of one connection or link; false if there is nothing left to free.
-  bool shed() { return front_.shed() || links_.close_largest(); }
+  bool free_memory() { return front_.shed() || links_.close_largest(); }
   // Bytes held for callers and links.
   std::size_t client_bytes() const { return front_.held_bytes(); }
   std::size_t link_bytes() const { return links_.held_bytes(); }
--- a/src/altavia/reverse_proxy.cpp
+++ b/src/altavia/reverse_proxy.cpp
@@ -21,7 +21,7 @@
 
 bool one_of(std::string_view name, std::initializer_list<std::string_view> names) {
   return std::any_of(names.begin(), names.end(),
-                     [&](std::string_view each) { return http::same_word(each, name); });
+                     [&](std::string_view listed) { return http::same_word(listed, name); });
 }
 
 // Header lines that concern one connection only, or that are set anew for the call.
@@ -50,7 +50,7 @@
   if (one_of(name, {"Host", "Request-Id"})) return true;
   return !is_hop_by_hop(name) &&
          std::none_of(connection_names.begin(), connection_names.end(),
-                      [&](std::string_view each) { return http::same_word(each, name); });
+                      [&](std::string_view listed) { return http::same_word(listed, name); });
 }
 
 // Host and path of a request. A target in absolute form takes precedence over the Host header
