--- a/src/altavia/reverse_proxy.cpp
+++ b/src/altavia/reverse_proxy.cpp
@@ -104,30 +104,30 @@
 }
 
 void ReverseProxy::request_arrived(net::SlotId connection, const http::Message& message) {
-  dispatch::ClientRequest arrival;
-  arrival.method = message.method;
+  dispatch::ClientRequest client_request;
+  client_request.method = message.method;
   Target target = target_of(message);
-  arrival.target = target.path;
-  arrival.host = target.host;
-  arrival.id = unique_request_id(message);
-  arrival.body = message.body;
-  arrival.received_at = front_.request_began(connection);
+  client_request.target = target.path;
+  client_request.host = target.host;
+  client_request.id = unique_request_id(message);
+  client_request.body = message.body;
+  client_request.received_at = front_.request_began(connection);
   if (auto deadline = message.header("Deadline-Ms")) {
     double ms = 0;
     auto [stop, error] = std::from_chars(deadline->data(), deadline->data() + deadline->size(), ms);
-    if (error == std::errc() && stop == deadline->data() + deadline->size()) arrival.deadline_ms = ms;
+    if (error == std::errc() && stop == deadline->data() + deadline->size()) client_request.deadline_ms = ms;
   }
   std::vector<std::string_view> connection_names = connection_header_names(message);
-  arrival.head = fmt::format("{} {} HTTP/1.1\r\n", message.method, target.path);
-  if (target.absolute) arrival.head += fmt::format("Host: {}\r\n", target.host);
+  client_request.head = fmt::format("{} {} HTTP/1.1\r\n", message.method, target.path);
+  if (target.absolute) client_request.head += fmt::format("Host: {}\r\n", target.host);
   for (const auto& [name, value] : message.headers) {
     if (!is_forwarded(name, connection_names) || (target.absolute && http::same_word(name, "Host"))) continue;
-    arrival.head.append(name).append(": ").append(value).append("\r\n");
+    client_request.head.append(name).append(": ").append(value).append("\r\n");
   }
   if (message.body.empty() && (message.header("Content-Length") || message.header("Transfer-Encoding")))
-    arrival.head += "Content-Length: 0\r\n";
+    client_request.head += "Content-Length: 0\r\n";
   dispatch::ClientResponse response;
-  if (arrival.id.empty()) {
+  if (client_request.id.empty()) {
     response.status = 400;
     return answer(connection, std::move(response));
   }
@@ -135,10 +135,10 @@
   if (const catalog::QuotaRules* quota_rules = gateway_.quota_rules()) {
     quota_identity.holder = message.header(quota_rules->holder_header).value_or(std::string_view());
     quota_identity.key = quota_rules->key_header.empty()
-                             ? arrival.id
-                             : message.header(quota_rules->key_header).value_or(arrival.id);
+                             ? client_request.id
+                             : message.header(quota_rules->key_header).value_or(client_request.id);
   }
-  dispatch::RequestId request = gateway_.submit(loop_.now(), arrival, quota_identity, response);
+  dispatch::RequestId request = gateway_.submit(loop_.now(), client_request, quota_identity, response);
   if (!request) return answer(connection, std::move(response));
   clients_[key(request)] = connection;
   requests_[key(connection)] = request;
