--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -284,11 +284,11 @@
 }
 
 void Broker::attempt_ended(const nodelink::AttemptEnd& end) {
-  engine_.attempt_ended(end, nodelink::read_report(end.report, config_.broker.report_fields));
+  engine_.attempt_ended(end, nodelink::parse_report(end.report, config_.broker.report_fields));
 }
 
 void Broker::probe_ended(const nodelink::ProbeEnd& end) {
-  engine_.probe_ended(end, nodelink::read_report(end.report, config_.broker.report_fields));
+  engine_.probe_ended(end, nodelink::parse_report(end.report, config_.broker.report_fields));
 }
 
 void Broker::numbered(NodeId node, std::string_view id, const net::Address& address) {
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -14,7 +14,7 @@
 #include "config/config.h"
 #include "engine/engine.h"
 #include "log/log.h"
-#include "membership/switch.h"
+#include "membership/source_switch.h"
 #include "net/loop.h"
 #include "net/slots.h"
 #include "nodelink/links.h"
@@ -27,8 +27,8 @@
 namespace pearspar::broker {
 
 class Broker : clients::FrontUser,
-               nodelink::LinkUser,
-               membership::MembersUser,
+               nodelink::LinkHandler,
+               membership::MembersHandler,
                engine::Clients,
                engine::Nodes,
                engine::Members,
@@ -94,7 +94,7 @@
   options::Options options_;  // of the start
   clients::Front front_;
   nodelink::Links links_;
-  membership::Switch members_;
+  membership::SourceSwitch members_;
   engine::Engine engine_;
   net::Timer engine_timer_;
   std::map<std::string, int, std::less<>> classes_;
--- a/src/broker/sources.cpp
+++ b/src/broker/sources.cpp
@@ -1,7 +1,7 @@
 #include "broker/sources.h"
 
 #include "discovery/client.h"
-#include "membership/fixed.h"
+#include "membership/fixed_source.h"
 #include "registry/source.h"
 
 namespace pearspar::broker {
@@ -10,17 +10,18 @@
                                  const options::Options& options) {
   switch (options.membership) {
     case options::MembershipKind::registry:
-      return [&loop, &log, registry = *options.registry, seed = config.seed](membership::MembersUser& user) {
-        return std::make_unique<registry::RegistrySource>(loop, log, registry, seed, user);
-      };
+      return
+          [&loop, &log, registry = *options.registry, seed = config.seed](membership::MembersHandler& user) {
+            return std::make_unique<registry::RegistrySource>(loop, log, registry, seed, user);
+          };
     case options::MembershipKind::fixed:
-      return [list = options.fixed](membership::MembersUser& user) {
+      return [list = options.fixed](membership::MembersHandler& user) {
         return std::make_unique<membership::FixedSource>(list, user);
       };
     case options::MembershipKind::agent:
       break;
   }
-  return [&loop, &log, address = config.discovery](membership::MembersUser& user) {
+  return [&loop, &log, address = config.discovery](membership::MembersHandler& user) {
     return std::make_unique<discovery::Client>(loop, log, address, user);
   };
 }
--- a/src/broker/sources.h
+++ b/src/broker/sources.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "config/config.h"
-#include "membership/switch.h"
+#include "membership/source_switch.h"
 #include "net/loop.h"
 #include "options/options.h"
 
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -216,7 +216,7 @@
 }
 
 // Follows the prefix as a broker does, and prints what a broker would be told.
-class Printer final : public membership::MembersUser {
+class Printer final : public membership::MembersHandler {
  public:
   explicit Printer(bool json) : json_(json) {}
   void members_told(const membership::MemberList& list) override {
--- a/src/discovery/client.h
+++ b/src/discovery/client.h
@@ -13,11 +13,11 @@
 
 namespace pearspar::discovery {
 
-using membership::MembersUser;
+using membership::MembersHandler;
 
 class Client final : public membership::Source {
  public:
-  Client(net::Loop& loop, log::Logger& log, const net::Address& address, MembersUser& user)
+  Client(net::Loop& loop, log::Logger& log, const net::Address& address, MembersHandler& user)
       : loop_(loop), log_(log), address_(address), where_("discovery at " + address.text()), user_(user) {}
 
   const std::string& where() const override { return where_; }
@@ -25,7 +25,7 @@
   void stop() override;
   void fetch() override;
   // The connection that stands is the last one: once it ends, no other is made.
-  void make_last() override { last_ = true; }
+  void stop_reconnecting() override { last_ = true; }
   std::int64_t revision() const override { return revision_; }
   membership::SourceCounters counters() const override { return counters_; }
 
@@ -45,7 +45,7 @@
   log::Logger& log_;
   net::Address address_;
   std::string where_;
-  MembersUser& user_;
+  MembersHandler& user_;
   bool started_ = false;
   bool last_ = false;
   bool want_whole_ = true;
--- a/src/measure/registry_measure.cpp
+++ b/src/measure/registry_measure.cpp
@@ -98,7 +98,7 @@
   return registry::write_record(entry);
 }
 
-struct Listener final : membership::MembersUser {
+struct Listener final : membership::MembersHandler {
   void members_told(const membership::MemberList& list) override {
     double now = steady_s();
     if (list.complete) nodes = list.entries.size();
--- a/src/measure/view_bench.cpp
+++ b/src/measure/view_bench.cpp
@@ -13,7 +13,7 @@
 struct Bench {
   std::unique_ptr<Core> core;
   net::Time now{net::Duration(1'700'000'000)};
-  Sealer sealer{"bench"};
+  DatagramCodec codec{"bench"};
   net::Address peer{0x0a000002, 7000};
   std::uint64_t cookie = 0;
   std::uint64_t number = 0;
@@ -29,7 +29,7 @@
     body.set_echo(cookie);
     return body;
   }
-  void take(wire::Body body) { core->receive(now, peer, sealer.seal(body)); }
+  void take(wire::Body body) { core->receive(now, peer, codec.encode(body)); }
   static wire::News news(const std::string& name, const net::Address& address) {
     wire::News news;
     news.set_name(name);
@@ -53,9 +53,9 @@
     hello.mutable_ping()->set_probe(1);
     hello.mutable_padding()->resize(300);
     take(hello);
-    for (const Datagram& datagram : core->take_out()) {
+    for (const Datagram& datagram : core->take_datagrams()) {
       wire::Body answer;
-      if (sealer.open(datagram.bytes, answer) == Opened::good) cookie = answer.cookie();
+      if (codec.decode(datagram.bytes, answer) == DecodeResult::good) cookie = answer.cookie();
     }
     wire::Body first = body();
     *first.add_news() = news("peer", peer);
@@ -65,8 +65,8 @@
       wire::Body page = body();
       *page.add_news() = news(fmt::format("b{:04}", i), {0x0a000100u + static_cast<std::uint32_t>(i), 7000});
       take(page);
-      core->take_out();
-      core->take_notes();
+      core->take_datagrams();
+      core->take_events();
     }
     quiet();
   }
@@ -74,8 +74,8 @@
     for (int i = 0; i < 2000 && core->due() < now + net::Duration(60); ++i) {
       now = std::max(now, core->due());
       core->tick(now);
-      core->take_out();
-      core->take_notes();
+      core->take_datagrams();
+      core->take_events();
       if (i > 50) break;
     }
   }
@@ -97,10 +97,10 @@
     ping.mutable_ping()->set_probe(5);
     ping.mutable_ping()->set_target("self");
     ping.set_members(bench.core->digest());
-    const std::string bytes = bench.sealer.seal(ping);
+    const std::string bytes = bench.codec.encode(ping);
     state.ResumeTiming();
     bench.core->receive(bench.now, bench.peer, bytes);
-    answers += bench.core->take_out().size();
+    answers += bench.core->take_datagrams().size();
   }
   state.counters["answers_each"] =
       benchmark::Counter(static_cast<double>(answers), benchmark::Counter::kAvgIterations);
@@ -116,7 +116,7 @@
     while (bench.core->due() <= until) {
       bench.now = std::max(bench.now, bench.core->due());
       bench.core->tick(bench.now);
-      benchmark::DoNotOptimize(bench.core->take_out());
+      benchmark::DoNotOptimize(bench.core->take_datagrams());
     }
     bench.now = until;
   }
--- a/src/membership/fixed.h
+++ b/src/membership/fixed_source.h
@@ -11,7 +11,7 @@
 class FixedSource final : public Source {
  public:
   // `list` must be whole. Two fixed lists are the same where their text form is.
-  FixedSource(MemberList list, MembersUser& user) : list_(std::move(list)), user_(user) {
+  FixedSource(MemberList list, MembersHandler& user) : list_(std::move(list)), user_(user) {
     list_.complete = true;
     where_ = "a fixed list of " + std::to_string(list_.entries.size()) + " nodes (" + mark() + ")";
   }
@@ -27,7 +27,7 @@
     ++counters_.lists;
     user_.members_told(list_);
   }
-  void make_last() override {}
+  void stop_reconnecting() override {}
   std::int64_t revision() const override { return told_ ? list_.revision : -1; }
   SourceCounters counters() const override { return counters_; }
 
@@ -42,7 +42,7 @@
   }
 
   MemberList list_;
-  MembersUser& user_;
+  MembersHandler& user_;
   std::string where_;
   bool started_ = false;
   bool told_ = false;
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -32,9 +32,9 @@
   std::vector<Entry> entries;
 };
 
-class MembersUser {
+class MembersHandler {
  public:
-  virtual ~MembersUser() = default;
+  virtual ~MembersHandler() = default;
   virtual void members_told(const MemberList& list) = 0;
   virtual void members_failed() = 0;
 };
@@ -66,7 +66,7 @@
   // Asks for the whole list again.
   virtual void fetch() = 0;
   // Goes on telling for as long as it can without a new connection.
-  virtual void make_last() = 0;
+  virtual void stop_reconnecting() = 0;
   // Of the list that stands; -1 where there is none yet.
   virtual std::int64_t revision() const = 0;
   virtual SourceCounters counters() const = 0;
--- a/src/membership/switch.h
+++ b/src/membership/source_switch.h
@@ -10,11 +10,11 @@
 
 namespace pearspar::membership {
 
-using MakeSource = std::function<std::unique_ptr<Source>(MembersUser&)>;
+using MakeSource = std::function<std::unique_ptr<Source>(MembersHandler&)>;
 
-class Switch : MembersUser {
+class SourceSwitch : MembersHandler {
  public:
-  Switch(log::Logger& log, const MakeSource& make, MembersUser& user)
+  SourceSwitch(log::Logger& log, const MakeSource& make, MembersHandler& user)
       : log_(log), user_(user), current_(make(*this)) {}
 
   void start();  // does nothing where it has started already
@@ -25,8 +25,8 @@
   // themselves.
   void move(const MakeSource& make);
 
-  const std::string& where() const { return (coming_ ? *coming_ : *current_).where(); }
-  bool moving() const { return coming_ != nullptr; }
+  const std::string& where() const { return (pending_ ? *pending_ : *current_).where(); }
+  bool moving() const { return pending_ != nullptr; }
   // Of the list that stands; -1 where there is none yet.
   std::int64_t revision() const { return current_->revision(); }
   SourceCounters counters() const;
@@ -37,11 +37,11 @@
   void members_failed() override { user_.members_failed(); }
 
   log::Logger& log_;
-  MembersUser& user_;
+  MembersHandler& user_;
   bool started_ = false;
   std::unique_ptr<Source> current_;
-  std::unique_ptr<Source> coming_;
-  SourceCounters past_;  // of sources that have been left
+  std::unique_ptr<Source> pending_;
+  SourceCounters retired_counters_;  // of sources that have been left
 };
 
 }  // namespace pearspar::membership
--- a/src/nodelink/frames.cpp
+++ b/src/nodelink/frames.cpp
@@ -11,14 +11,14 @@
 std::string frame(char letter, std::string_view rest) {
   std::size_t size = rest.size() + 1;
   std::string out;
-  out.reserve(frame_header + size);
+  out.reserve(frame_header_bytes + size);
   for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(size >> shift & 255));
   out.push_back(letter);
   out += rest;
   return out;
 }
 
-std::string_view take_word(std::string_view& line, char mark) {
+std::string_view next_token(std::string_view& line, char mark) {
   std::size_t end = line.find(mark);
   std::string_view word = line.substr(0, end);
   line.remove_prefix(end == line.npos ? line.size() : end + 1);
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-std::string call_frame(std::span<const PartToSend> parts) {
+std::string call_frame(std::span<const OutgoingPart> parts) {
   std::string rest;
-  for (const PartToSend& part : parts) {
+  for (const OutgoingPart& part : parts) {
     rest += part.id;
     rest += ' ' + std::to_string(part.shard) + " d=" + std::to_string(part.wait_ms) + ' ' +
             std::to_string(part.text.size()) + '\n';
@@ -59,45 +59,46 @@
 std::string probe_frame(bool for_load) { return frame(for_load ? load_probe_letter : probe_letter, {}); }
 
 FrameResult next_frame(std::string_view bytes, FrameView& frame) {
-  if (bytes.size() < frame_header) return FrameResult::more;
+  if (bytes.size() < frame_header_bytes) return FrameResult::more;
   std::size_t size = 0;
-  for (std::size_t i = 0; i < frame_header; ++i) size = size << 8 | static_cast<unsigned char>(bytes[i]);
-  if (size == 0 || size > largest_frame) return FrameResult::broken;
-  if (bytes.size() < frame_header + size) return FrameResult::more;
-  frame.letter = bytes[frame_header];
-  frame.rest = bytes.substr(frame_header + 1, size - 1);
-  frame.size = frame_header + size;
+  for (std::size_t i = 0; i < frame_header_bytes; ++i)
+    size = size << 8 | static_cast<unsigned char>(bytes[i]);
+  if (size == 0 || size > max_frame_bytes) return FrameResult::broken;
+  if (bytes.size() < frame_header_bytes + size) return FrameResult::more;
+  frame.letter = bytes[frame_header_bytes];
+  frame.rest = bytes.substr(frame_header_bytes + 1, size - 1);
+  frame.size = frame_header_bytes + size;
   return FrameResult::whole;
 }
 
-std::optional<PartAnswer> read_answer(std::string_view rest) {
+std::optional<PartAnswer> parse_answer(std::string_view rest) {
   std::size_t line_end = rest.find('\n');
   if (line_end == rest.npos) return std::nullopt;
   std::string_view line = rest.substr(0, line_end);
   PartAnswer answer;
-  answer.id = take_word(line, ' ');
-  std::string_view end = take_word(line, ' ');
-  take_word(line, ' ');  // a score, which nothing here goes by
+  answer.id = next_token(line, ' ');
+  std::string_view end = next_token(line, ' ');
+  next_token(line, ' ');  // a score, which nothing here goes by
   answer.report = line == "-" ? std::string_view{} : line;
   answer.value = rest.substr(line_end + 1);
   if (answer.id.empty()) return std::nullopt;
   if (end == "good")
-    answer.end = End::served;
+    answer.end = PartOutcome::served;
   else if (end == "bad")
-    answer.end = End::error;
+    answer.end = PartOutcome::error;
   else if (end == "later")
-    answer.end = End::turned_away;
+    answer.end = PartOutcome::refused;
   else
     return std::nullopt;
   return answer;
 }
 
-std::vector<double> read_report(std::string_view report, std::span<const std::string> fields) {
+std::vector<double> parse_report(std::string_view report, std::span<const std::string> fields) {
   std::vector<double> values(fields.size());
   bool any = false;
   while (!report.empty()) {
-    std::string_view item = take_word(report, ',');
-    std::string_view word = take_word(item, '=');
+    std::string_view item = next_token(report, ',');
+    std::string_view word = next_token(item, '=');
     double value = 0;
     auto [stop, error] = std::from_chars(item.data(), item.data() + item.size(), value);
     if (error != std::errc() || stop != item.data() + item.size() || !std::isfinite(value)) continue;
--- a/src/nodelink/frames.h
+++ b/src/nodelink/frames.h
@@ -12,18 +12,18 @@
 
 namespace pearspar::nodelink {
 
-inline constexpr std::size_t frame_header = 4;
+inline constexpr std::size_t frame_header_bytes = 4;
 // A reply to a client holds 64 KiB at most, so no value in it can be larger.
-inline constexpr std::size_t largest_frame = 66 * 1024;
+inline constexpr std::size_t max_frame_bytes = 66 * 1024;
 
-struct PartToSend {
+struct OutgoingPart {
   std::string_view id;
   int shard = 0;
   std::int64_t wait_ms = 0;
   std::string_view text;
 };
 
-std::string call_frame(std::span<const PartToSend> parts);
+std::string call_frame(std::span<const OutgoingPart> parts);
 std::string give_up_frame(std::string_view id);
 std::string probe_frame(bool for_load);
 
@@ -35,18 +35,18 @@
 enum class FrameResult { more, whole, broken };
 FrameResult next_frame(std::string_view bytes, FrameView& frame);
 
-enum class End { served, error, turned_away };
+enum class PartOutcome { served, error, refused };
 struct PartAnswer {
   std::string_view id;
-  End end = End::error;
+  PartOutcome end = PartOutcome::error;
   std::string_view report;  // empty where there is none
   std::string_view value;
 };
 // Nothing where the text is no answer.
-std::optional<PartAnswer> read_answer(std::string_view rest);
+std::optional<PartAnswer> parse_answer(std::string_view rest);
 
 // "inflight=7,util=0.61": the values in the order of `fields`, 0 for those that are not in it; empty where no
 // known one is.
-std::vector<double> read_report(std::string_view report, std::span<const std::string> fields);
+std::vector<double> parse_report(std::string_view report, std::span<const std::string> fields);
 
 }  // namespace pearspar::nodelink
--- a/src/nodelink/links.cpp
+++ b/src/nodelink/links.cpp
@@ -88,7 +88,7 @@
 // ---- sending ----
 
 void Links::send(NodeId node, std::span<const Call> call) {
-  for (const Call& part : call) doubt_earlier(part.part, part.attempt);
+  for (const Call& part : call) mark_earlier_silent(part.part, part.attempt);
   net::SlotId id = connection_for(node, call);
   std::uint64_t number = ++last_call_;
   Frame frame;
@@ -119,7 +119,7 @@
 }
 
 void Links::build(Frame& frame) {
-  std::vector<PartToSend> parts;
+  std::vector<OutgoingPart> parts;
   for (const QueuedPart& part : frame.parts) {
     double wait_ms = std::ceil(net::Duration(part.give_up_at - loop_.now()).count() * 1000);
     parts.push_back({attempts_.find(part.attempt)->id, part.shard,
@@ -134,7 +134,7 @@
 // and nothing has been read since it went out, the connection gets nothing new until something is read, and
 // ends once no answer can come any more. When a whole node hangs, each attempt taken for lost may so cost one
 // connection more, until its query's deadline.
-void Links::doubt(const Attempt& attempt) {
+void Links::mark_silent(const Attempt& attempt) {
   Connection* connection = connections_.find(attempt.connection);
   if (!connection || connection->silent || !attempt.written || connection->last_read > attempt.written_at)
     return;
@@ -143,7 +143,7 @@
 }
 
 // Closes it where nothing can come of it any more; true where it did.
-bool Links::end_silent(net::SlotId id) {
+bool Links::end_silent_attempts(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   if (!connection.silent || !connection.attempts.empty() || !connection.abandoned.empty() ||
       !connection.probes.empty())
@@ -153,9 +153,9 @@
   return true;
 }
 
-void Links::doubt_earlier(PartId part, int number) {
+void Links::mark_earlier_silent(PartId part, int number) {
   auto end = by_part_.lower_bound({part, number});
-  for (auto it = by_part_.lower_bound({part, 0}); it != end; ++it) doubt(*attempts_.find(it->second));
+  for (auto it = by_part_.lower_bound({part, 0}); it != end; ++it) mark_silent(*attempts_.find(it->second));
 }
 
 // One with a free place on which none of these ids is still awaited: two answers under one id could not be
@@ -167,7 +167,7 @@
   for (net::SlotId id : std::vector(known->second.connections)) {
     Connection& connection = *connections_.find(id);
     forget_old(connection);
-    if (end_silent(id)) continue;
+    if (end_silent_attempts(id)) continue;
     // Behind a frame that stands half read nothing else may ever come.
     if (connection.retired || connection.silent || connection.in.size() > 0 ||
         connection.calls.size() >= static_cast<std::size_t>(limits_.calls_per_connection))
@@ -240,10 +240,10 @@
     connection->out.pop_front();
     connection->front_written = 0;
   }
-  if (connection) want(*connection);
+  if (connection) update_watch(*connection);
 }
 
-void Links::want(Connection& connection) {
+void Links::update_watch(Connection& connection) {
   connection.watch.want(static_cast<short>(POLLIN | (connection.out.empty() ? 0 : POLLOUT)));
 }
 
@@ -257,14 +257,14 @@
 void Links::abandon(net::SlotId slot, Outcome outcome) {
   Attempt* attempt = attempts_.find(slot);
   if (!attempt) return;
-  doubt(*attempt);
+  mark_silent(*attempt);
   net::SlotId id = attempt->connection;
   Connection* connection = connections_.find(id);
   bool tell = false;
   std::string wire_id = attempt->id;
   if (connection) {
     // What has not begun to go out need not go out at all.
-    if (!take_back(*connection, slot)) {
+    if (!unqueue(*connection, slot)) {
       connection->abandoned[wire_id] = {attempt->call, attempt->forget_at};
       tell = limits_.may_cancel;
     }
@@ -279,12 +279,12 @@
 }
 
 // False where its frame has begun to go out.
-bool Links::take_back(Connection& connection, net::SlotId slot) {
+bool Links::unqueue(Connection& connection, net::SlotId slot) {
   for (auto frame = connection.out.begin(); frame != connection.out.end(); ++frame) {
     if (!frame->bytes.empty()) continue;
     auto is_it = [&](const QueuedPart& part) { return part.attempt == slot; };
     if (std::erase_if(frame->parts, is_it) == 0) continue;
-    release_place(connection, attempts_.find(slot)->call);
+    release_call_part(connection, attempts_.find(slot)->call);
     if (frame->parts.empty()) connection.out.erase(frame);
     return true;
   }
@@ -298,17 +298,17 @@
     net::SlotId slot = it->second;
     ++it;
     Connection* connection = connections_.find(attempts_.find(slot)->connection);
-    if (connection && take_back(*connection, slot)) end(slot, Outcome::not_sent);
+    if (connection && unqueue(*connection, slot)) end(slot, Outcome::not_sent);
   }
 }
 
-void Links::release_place(Connection& connection, std::uint64_t call) {
+void Links::release_call_part(Connection& connection, std::uint64_t call) {
   auto found = connection.calls.find(call);
   if (found != connection.calls.end() && --found->second <= 0) connection.calls.erase(found);
 }
 
 // So many that an answer that comes again, or long after its query, is told from one that is spoilt.
-void Links::settle(Connection& connection, std::string_view wire_id) {
+void Links::remember_settled(Connection& connection, std::string_view wire_id) {
   connection.settled.push_back(std::hash<std::string_view>{}(wire_id));
   if (connection.settled.size() > 4 * static_cast<std::size_t>(limits_.calls_per_connection))
     connection.settled.pop_front();
@@ -320,8 +320,8 @@
       ++it;
       continue;
     }
-    release_place(connection, it->second.call);
-    settle(connection, it->first);
+    release_call_part(connection, it->second.call);
+    remember_settled(connection, it->first);
     it = connection.abandoned.erase(it);
   }
 }
@@ -343,18 +343,18 @@
 void Links::on_ready(net::SlotId id, short events) {
   Connection* connection = connections_.find(id);
   if (!connection) return;
-  if (!connection->up) return come_up(id);
+  if (!connection->up) return on_connected(id);
   if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && !read(id)) return;
   if ((events & POLLOUT) != 0) write(id);
 }
 
-void Links::come_up(net::SlotId id) {
+void Links::on_connected(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   if (int error = net::connect_error(connection.fd)) return close(id, std::strerror(error));
   connection.up = true;
   connection.last_used = connection.last_read = loop_.now();
-  want(connection);
-  arm_idle(id);
+  update_watch(connection);
+  arm_idle_timer(id);
   write(id);
 }
 
@@ -374,7 +374,7 @@
     FrameView frame;
     FrameResult found = FrameResult::more;
     while ((found = next_frame(connection->in.view(), frame)) == FrameResult::whole) {
-      take_frame(id, frame);
+      handle_frame(id, frame);
       connection = connections_.find(id);
       if (!connection) return false;
       connection->in.consume(frame.size);
@@ -390,16 +390,16 @@
   return true;
 }
 
-void Links::take_frame(net::SlotId id, const FrameView& frame) {
+void Links::handle_frame(net::SlotId id, const FrameView& frame) {
   switch (frame.letter) {
     case 'q': {
-      auto answer = read_answer(frame.rest);
-      if (answer) return take_answer(id, *answer);
+      auto answer = parse_answer(frame.rest);
+      if (answer) return handle_answer(id, *answer);
       break;
     }
     case 'o':
     case 'p':
-      return take_probe_answer(id, frame);
+      return handle_probe_answer(id, frame);
     case 'r':
       ++counters_.complaints;
       log_.warning("a node could not use a frame: {}", frame.rest.substr(0, 200));
@@ -411,15 +411,15 @@
   close(id, "a frame that cannot be read");
 }
 
-void Links::take_answer(net::SlotId id, const PartAnswer& answer) {
+void Links::handle_answer(net::SlotId id, const PartAnswer& answer) {
   Connection& connection = *connections_.find(id);
   auto found = connection.attempts.find(answer.id);
   if (found == connection.attempts.end()) {
     auto late = connection.abandoned.find(answer.id);
     if (late != connection.abandoned.end()) {
       ++counters_.late_answers;
-      release_place(connection, late->second.call);
-      settle(connection, answer.id);
+      release_call_part(connection, late->second.call);
+      remember_settled(connection, answer.id);
       connection.abandoned.erase(late);
       return;
     }
@@ -435,31 +435,31 @@
   }
   net::SlotId slot = found->second;
   note_answer(connection.node);
-  settle(connection, answer.id);
-  release_place(connection, attempts_.find(slot)->call);
-  Outcome outcome = answer.end == End::served  ? Outcome::ok
-                    : answer.end == End::error ? Outcome::error
-                                               : Outcome::refused;
-  end(slot, outcome, answer.end == End::served ? answer.value : std::string_view{}, answer.report);
+  remember_settled(connection, answer.id);
+  release_call_part(connection, attempts_.find(slot)->call);
+  Outcome outcome = answer.end == PartOutcome::served  ? Outcome::ok
+                    : answer.end == PartOutcome::error ? Outcome::error
+                                                       : Outcome::refused;
+  end(slot, outcome, answer.end == PartOutcome::served ? answer.value : std::string_view{}, answer.report);
   if (connection.retired) retire_connection(id);
 }
 
-void Links::arm_idle(net::SlotId id) {
+void Links::arm_idle_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   // A request must not cross the node's own close: what needs longer than a connect may take is not of this
   // network.
   net::Duration keep = std::max(limits_.idle_close - 2 * limits_.connect_timeout, limits_.idle_close / 2);
   net::Time due = std::max(connection.last_used + keep, loop_.now() + keep / 100);
-  connection.timer = loop_.at(due, [this, id] { idle_due(id); });
+  connection.timer = loop_.at(due, [this, id] { on_idle_timer(id); });
 }
 
-void Links::idle_due(net::SlotId id) {
+void Links::on_idle_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   forget_old(connection);
-  if (end_silent(id)) return;
+  if (end_silent_attempts(id)) return;
   net::Duration keep = std::max(limits_.idle_close - 2 * limits_.connect_timeout, limits_.idle_close / 2);
   if (!connection.attempts.empty() || !connection.probes.empty() || loop_.now() < connection.last_used + keep)
-    return arm_idle(id);
+    return arm_idle_timer(id);
   ++counters_.closed_idle;
   close(id, "idle");
 }
@@ -500,21 +500,22 @@
     return;
   }
   connection->probes.push_back({loop_.now(), false});
-  if (!connection->probe_timer.pending()) arm_probe(id);
+  if (!connection->probe_timer.pending()) arm_probe_timer(id);
   enqueue(id, {probe_frame(for_load), {}});
 }
 
-void Links::arm_probe(net::SlotId id) {
+void Links::arm_probe_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   connection.probe_timer.reset();
   for (const Probe& probe : connection.probes) {
     if (probe.ended) continue;
-    connection.probe_timer = loop_.at(probe.sent + limits_.connect_timeout, [this, id] { probe_due(id); });
+    connection.probe_timer =
+        loop_.at(probe.sent + limits_.connect_timeout, [this, id] { on_probe_timer(id); });
     return;
   }
 }
 
-void Links::probe_due(net::SlotId id) {
+void Links::on_probe_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   std::vector<ProbeEnd> ended;
   for (Probe& probe : connection.probes) {
@@ -522,11 +523,11 @@
     probe.ended = true;
     ended.push_back({connection.node, Outcome::timeout, loop_.now() - probe.sent, {}});
   }
-  arm_probe(id);
+  arm_probe_timer(id);
   for (const ProbeEnd& end : ended) user_.probe_ended(end);
 }
 
-void Links::take_probe_answer(net::SlotId id, const FrameView& frame) {
+void Links::handle_probe_answer(net::SlotId id, const FrameView& frame) {
   Connection& connection = *connections_.find(id);
   if (connection.probes.empty()) {
     ++counters_.unknown_answers;
@@ -534,7 +535,7 @@
   }
   Probe probe = connection.probes.front();
   connection.probes.pop_front();
-  arm_probe(id);
+  arm_probe_timer(id);
   if (probe.ended) return;
   bool passed = frame.letter == 'o' ? frame.rest == "good" : frame.rest != "bad";
   std::string_view report =
--- a/src/nodelink/links.h
+++ b/src/nodelink/links.h
@@ -48,9 +48,9 @@
 using engine::Call;
 using engine::ProbeEnd;
 
-class LinkUser {
+class LinkHandler {
  public:
-  virtual ~LinkUser() = default;
+  virtual ~LinkHandler() = default;
   virtual void attempt_ended(const AttemptEnd& end) = 0;
   virtual void probe_ended(const ProbeEnd& end) = 0;
   // A descriptor is needed for a node: make room where there is none. False where that is impossible.
@@ -59,7 +59,7 @@
 
 class Links {
  public:
-  Links(net::Loop& loop, log::Logger& log, const LinkLimits& limits, LinkUser& user)
+  Links(net::Loop& loop, log::Logger& log, const LinkLimits& limits, LinkHandler& user)
       : loop_(loop), log_(log), limits_(limits), user_(user) {}
 
   // Where a node listens and when it last started; connections to another place or an earlier life are used
@@ -152,26 +152,26 @@
   net::SlotId connection_for(NodeId node, std::span<const Call> call);
   net::SlotId open(NodeId node);
   void on_ready(net::SlotId id, short events);
-  void come_up(net::SlotId id);
+  void on_connected(net::SlotId id);
   bool read(net::SlotId id);
-  void take_frame(net::SlotId id, const FrameView& frame);
-  void take_answer(net::SlotId id, const PartAnswer& answer);
-  void take_probe_answer(net::SlotId id, const FrameView& frame);
+  void handle_frame(net::SlotId id, const FrameView& frame);
+  void handle_answer(net::SlotId id, const PartAnswer& answer);
+  void handle_probe_answer(net::SlotId id, const FrameView& frame);
   void write(net::SlotId id);
-  void want(Connection& connection);
+  void update_watch(Connection& connection);
   void enqueue(net::SlotId id, Frame frame);
   void build(Frame& frame);
-  bool take_back(Connection& connection, net::SlotId attempt);
-  void arm_idle(net::SlotId id);
-  void idle_due(net::SlotId id);
-  void probe_due(net::SlotId id);
-  void arm_probe(net::SlotId id);
+  bool unqueue(Connection& connection, net::SlotId attempt);
+  void arm_idle_timer(net::SlotId id);
+  void on_idle_timer(net::SlotId id);
+  void on_probe_timer(net::SlotId id);
+  void arm_probe_timer(net::SlotId id);
   void forget_old(Connection& connection);
-  void doubt(const Attempt& attempt);
-  bool end_silent(net::SlotId id);
-  void doubt_earlier(PartId part, int attempt);
-  void settle(Connection& connection, std::string_view wire_id);
-  void release_place(Connection& connection, std::uint64_t call);
+  void mark_silent(const Attempt& attempt);
+  bool end_silent_attempts(net::SlotId id);
+  void mark_earlier_silent(PartId part, int attempt);
+  void remember_settled(Connection& connection, std::string_view wire_id);
+  void release_call_part(Connection& connection, std::uint64_t call);
   void retire_connection(net::SlotId id);
   // The one place where a connection ends: what is out on it gets its outcome.
   void close(net::SlotId id, const char* why);
@@ -182,7 +182,7 @@
   net::Loop& loop_;
   log::Logger& log_;
   LinkLimits limits_;
-  LinkUser& user_;
+  LinkHandler& user_;
   std::map<NodeId, Node> nodes_;
   net::SlotTable<Connection> connections_;
   net::SlotTable<Attempt> attempts_;
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -258,7 +258,7 @@
 
 FleetOptions read_fleet(const Fleet& file, const Reader& at, const Options& options) {
   FleetOptions read;
-  read.core.fleet = read_word(file.name(), "name", peers::longest_fleet, at);
+  read.core.fleet = read_word(file.name(), "name", peers::max_fleet_bytes, at);
   if (file.name().empty()) at.fault("name", "is missing");
   if (file.listen().empty()) {
     at.fault("listen", "is missing: an address for datagrams, like 10.0.0.5:7400");
--- a/src/peerlink/fleet.cpp
+++ b/src/peerlink/fleet.cpp
@@ -13,7 +13,7 @@
 
 // One turn takes so many datagrams; what more has come waits for the next, so that clients are served
 // between.
-constexpr int most_in_a_turn = 64;
+constexpr int max_datagrams_per_turn = 64;
 
 // Rises with each start: milliseconds, and the process's number for two starts in one.
 std::uint64_t run_of(net::Time now) {
@@ -45,25 +45,25 @@
       watch_(loop.watch(fd_.get(), POLLIN, [this](short) { readable(); })) {
   log_.info("fleet: {} run {} takes part in {} at {}, {} seeds", name, core_.self().run, options.core.fleet,
             core_.self().address.text(), options.core.seeds.size());
-  after();
+  flush();
 }
 
 void Fleet::readable() {
   std::array<char, 2048> bytes;
   net::Address from;
   bool more = true;
-  for (int i = 0; i < most_in_a_turn && more; ++i) {
+  for (int i = 0; i < max_datagrams_per_turn && more; ++i) {
     const std::size_t got = net::receive_datagram(fd_, bytes.data(), bytes.size(), from, more);
     if (more && got > 0) core_.receive(loop_.now(), from, {bytes.data(), got});
   }
-  after();
+  flush();
 }
 
-void Fleet::after() {
-  for (const peers::Datagram& datagram : core_.take_out())
+void Fleet::flush() {
+  for (const peers::Datagram& datagram : core_.take_datagrams())
     if (!net::send_datagram(fd_, datagram.to, datagram.bytes)) ++unsent_;
-  for (const peers::Note& note : core_.take_notes()) say(note);
-  say_view();
+  for (const peers::MemberEvent& note : core_.take_events()) log_event(note);
+  log_view();
   const net::Time due = core_.due();
   if (due == net::Time::max()) {
     timer_.reset();
@@ -71,11 +71,11 @@
   }
   timer_ = loop_.at(due, [this] {
     core_.tick(loop_.now());
-    after();
+    flush();
   });
 }
 
-void Fleet::say(const peers::Note& note) {
+void Fleet::log_event(const peers::MemberEvent& note) {
   const std::string who = fmt::format("{} run {} incarnation {}", note.name, note.run, note.incarnation);
   if (note.name == core_.self().name) {
     if (core_.yields())
@@ -97,29 +97,29 @@
 }
 
 // Whether the view has settled, on what, and whether we have to think ourselves cut off.
-void Fleet::say_view() {
+void Fleet::log_view() {
   const net::Time now = loop_.now();
   const bool settled = core_.settled(now);
   const std::uint64_t digest = core_.digest();
-  if (settled != said_settled_ || (settled && digest != said_digest_)) {
+  if (settled != logged_settled_ || (settled && digest != logged_digest_)) {
     if (settled)
       log_.info("fleet: settled, digest {:016x}, {} in force", digest, core_.in_force());
     else
       log_.info("fleet: not settled, digest {:016x}, {} in force", digest, core_.in_force());
-    said_settled_ = settled;
-    said_digest_ = digest;
+    logged_settled_ = settled;
+    logged_digest_ = digest;
     const bool smaller = core_.smaller_part();
-    if (settled && smaller != said_smaller_) {
-      said_smaller_ = smaller;
+    if (settled && smaller != logged_smaller_part_) {
+      logged_smaller_part_ = smaller;
       if (smaller)
         log_.warning("fleet: we may be in the smaller part of a split, {} in force here", core_.in_force());
       else
         log_.info("fleet: no longer in the smaller part of a split");
     }
   }
-  if (core_.counters().held_up != said_held_up_) {
-    said_held_up_ = core_.counters().held_up;
-    log_.warning("fleet: our own loop was held up, {} times by now; health {}", said_held_up_,
+  if (core_.counters().held_up != logged_stalls_) {
+    logged_stalls_ = core_.counters().held_up;
+    log_.warning("fleet: our own loop was held up, {} times by now; health {}", logged_stalls_,
                  core_.health());
   }
 }
@@ -128,30 +128,30 @@
   if (ready_) return;
   ready_ = true;
   core_.ready(loop_.now());
-  after();
+  flush();
 }
 
 void Fleet::leave() {
   core_.leave(loop_.now());
-  after();
+  flush();
 }
 
 void Fleet::finish() {
   core_.finish(loop_.now());
-  after();
+  flush();
 }
 
 bool Fleet::done() const { return core_.finished(loop_.now()); }
 
 bool Fleet::publish(const std::string& key, const std::string& value) {
   const bool fits = core_.publish(loop_.now(), key, value);
-  after();
+  flush();
   return fits;
 }
 
-void Fleet::found_seeds(std::vector<net::Address> seeds) {
-  core_.found_seeds(std::move(seeds));
-  after();
+void Fleet::set_discovered_seeds(std::vector<net::Address> seeds) {
+  core_.set_discovered_seeds(std::move(seeds));
+  flush();
 }
 
 std::string Fleet::view_json() {
--- a/src/peerlink/fleet.h
+++ b/src/peerlink/fleet.h
@@ -26,7 +26,7 @@
   bool done() const;
 
   bool publish(const std::string& key, const std::string& value);
-  void found_seeds(std::vector<net::Address> seeds);
+  void set_discovered_seeds(std::vector<net::Address> seeds);
   std::shared_ptr<const peers::Snapshot> snapshot() { return core_.snapshot(loop_.now()); }
   const net::Address& address() const { return core_.self().address; }
 
@@ -35,9 +35,9 @@
 
  private:
   void readable();
-  void after();  // takes what the core has to say, and asks to be called when it is due
-  void say(const peers::Note& note);
-  void say_view();
+  void flush();  // takes what the core has to log_event, and asks to be called when it is due
+  void log_event(const peers::MemberEvent& note);
+  void log_view();
 
   net::Loop& loop_;
   log::Logger& log_;
@@ -48,10 +48,10 @@
   bool ready_ = false;
   std::uint64_t unsent_ = 0;  // the kernel would not take them
   // What was last said of the whole view.
-  bool said_settled_ = false;
-  std::uint64_t said_digest_ = 0;
-  bool said_smaller_ = false;
-  std::uint64_t said_held_up_ = 0;
+  bool logged_settled_ = false;
+  std::uint64_t logged_digest_ = 0;
+  bool logged_smaller_part_ = false;
+  std::uint64_t logged_stalls_ = 0;
 };
 
 }  // namespace pearspar::peerlink
--- a/src/peerlink/seeds.cpp
+++ b/src/peerlink/seeds.cpp
@@ -46,7 +46,7 @@
   }
   std::vector<net::Address> seeds;
   for (const auto& [name, address] : found_) seeds.push_back(address);
-  fleet_.found_seeds(std::move(seeds));
+  fleet_.set_discovered_seeds(std::move(seeds));
 }
 
 }  // namespace pearspar::peerlink
--- a/src/peerlink/seeds.h
+++ b/src/peerlink/seeds.h
@@ -13,7 +13,7 @@
 
 namespace pearspar::peerlink {
 
-class RegistrySeeds : membership::MembersUser {
+class RegistrySeeds : membership::MembersHandler {
  public:
   RegistrySeeds(net::Loop& loop, log::Logger& log, const options::RegistrationOptions& where,
                 const std::string& prefix, const std::string& name, std::uint64_t seed, Fleet& fleet);
--- a/src/peers/core.cpp
+++ b/src/peers/core.cpp
@@ -10,19 +10,19 @@
 using net::Duration;
 using net::Time;
 
-constexpr int worst_health = 8;
+constexpr int max_health = 8;
 constexpr int helpers_asked = 3;
-constexpr int accusers_enough = 3;    // beside the first: with so many a suspicion is shortest
+constexpr int max_confirmations = 3;  // beside the first: with so many a suspicion is shortest
 constexpr int tries_for_trusted = 8;  // before news go to a suspect
-constexpr int spread_to = 2;          // members that a tick of news goes to
-constexpr double spreads_a_period = 4;
+constexpr int gossip_fanout = 2;      // members that a tick of news goes to
+constexpr double gossips_per_period = 4;
 constexpr double checks_of_suspect = 6;  // brokers that look after a suspect in each period
 constexpr int checks_a_period = 8;       // of ours, of all suspects
 constexpr double direct_share = 0.5;     // of a period, before others are asked
 constexpr double helper_share = 0.3;     // of a period, before a helper says that it got no answer
 constexpr double settled_periods = 5;
 constexpr double joining_periods = 10;  // that seeds have to answer before a broker is content with itself
-constexpr double differ_periods = 3;    // that news may take before tables are compared
+constexpr double differ_periods = 3;    // that news may take before tables are compared_at
 constexpr double records_differ_periods = 25;  // the same for records
 constexpr std::size_t greeting_padding = 260;  // room for the answer's news
 constexpr int pages_at_once = 16;
@@ -35,8 +35,10 @@
 
 std::uint32_t accuser_of(std::string_view name) { return static_cast<std::uint32_t>(hash_of(name, 2)); }
 
-Place place_of(const Address& theirs, const Address& ours) {
-  return theirs == ours ? Place::ours : AddressOrder()(theirs, ours) ? Place::lower : Place::higher;
+AddressMatch match_address(const Address& theirs, const Address& ours) {
+  return theirs == ours                 ? AddressMatch::same
+         : AddressOrder()(theirs, ours) ? AddressMatch::lower
+                                        : AddressMatch::higher;
 }
 
 }  // namespace
@@ -52,23 +54,23 @@
     : options_(std::move(options)),
       self_(std::move(self)),
       own_{self_.run, 1},
-      sealer_(options_.fleet),
+      codec_(options_.fleet),
       random_(seed ^ hash_of(self_.name, self_.run)),
       secret_(random_()),
       table_(options_.max_members),
       next_period_(now + options_.period * std::uniform_real_distribution<double>(0, 1)(random_)),
-      next_spread_(Time::max()),
-      last_spread_(now - options_.period),
+      next_gossip_(Time::max()),
+      last_gossip_(now - options_.period),
       next_reconnect_(now),
       next_forget_(now + options_.remember_gone / 16),
       tokens_(static_cast<double>(options_.bytes_per_s)),
       tokens_at_(now),
-      unproven_allowed_(unproven_a_period * burst_periods),
-      unproven_at_(now),
+      unverified_tokens_(unproven_a_period * burst_periods),
+      unverified_tokens_at_(now),
       changed_at_(now),
-      disputed_at_(now),
-      joined_by_(now + options_.period * joining_periods) {
-  rewrite_word();
+      disagreed_at_(now),
+      join_deadline_(now + options_.period * joining_periods) {
+  encode_own_word();
 }
 
 // ---- the host's words ----
@@ -76,20 +78,20 @@
 void Core::ready(Time now) {
   if (phase_ != Phase::joining) return;
   phase_ = Phase::alive;
-  raise_own(now, 0);
+  raise_incarnation(now, 0);
 }
 
 void Core::leave(Time now) {
   if (phase_ == Phase::leaving || phase_ == Phase::left) return;
   phase_ = Phase::leaving;
-  raise_own(now, 0);
+  raise_incarnation(now, 0);
 }
 
 void Core::finish(Time now) {
   if (phase_ == Phase::left) return;
-  const bool spoke = speaks();
+  const bool spoke = participates();
   phase_ = Phase::left;
-  raise_own(now, 0);
+  raise_incarnation(now, 0);
   finish_by_ = now;
   if (!spoke || table_.in_force().empty()) return;
   finish_by_ = now + options_.period;
@@ -101,32 +103,32 @@
   for (Member* member : some) {
     wire::Body body = body_for(member->address, member);
     *body.add_news() = own_news();
-    send(now, member->address, body, Pay::always);
+    send(now, member->address, body, SendBudget::always);
   }
 }
 
 bool Core::publish(Time now, const std::string& key, const std::string& value) {
-  if (key.empty() || key.size() > longest_key || value.size() > longest_value) return false;
-  auto found = shelf_.find(key);
-  if (found != shelf_.end() && found->second.value == value) return true;
-  Shelf next = shelf_;
-  next[key] = {value, shelf_version_ + 1};
-  if (next.size() > static_cast<std::size_t>(most_records) || bytes_of(next) > largest_shelf) return false;
-  ++shelf_version_;
-  shelf_ = std::move(next);
-  tell_all(now, self_.name, Worth::record);
+  if (key.empty() || key.size() > max_key_bytes || value.size() > max_value_bytes) return false;
+  auto found = own_records_.find(key);
+  if (found != own_records_.end() && found->second.value == value) return true;
+  RecordMap next = own_records_;
+  next[key] = {value, records_version_ + 1};
+  if (next.size() > static_cast<std::size_t>(max_records) || bytes_of(next) > max_records_bytes) return false;
+  ++records_version_;
+  own_records_ = std::move(next);
+  disseminate(now, self_.name, Priority::record);
   snapshot_.reset();
   return true;
 }
 
-void Core::found_seeds(std::vector<Address> seeds) {
+void Core::set_discovered_seeds(std::vector<Address> seeds) {
   if (seeds.size() > most_seeds) seeds.resize(most_seeds);
-  found_ = std::move(seeds);
+  discovered_seeds_ = std::move(seeds);
 }
 
 // ---- ourselves ----
 
-void Core::rewrite_word() {
+void Core::encode_own_word() {
   wire::Word word;
   word.set_host(self_.address.host);
   word.set_port(self_.address.port);
@@ -139,116 +141,116 @@
   word_ = word.SerializeAsString();
 }
 
-void Core::raise_own(Time now, std::uint64_t above) {
-  own_ = raised(own_, above);
+void Core::raise_incarnation(Time now, std::uint64_t above) {
+  own_ = next_incarnation(own_, above);
   self_.run = own_.run;
-  rewrite_word();
+  encode_own_word();
   changed(now);
-  rumours_.add(self_.name, Worth::verdict);
-  if (!shelf_.empty()) tell_all(now, self_.name, Worth::record);
+  updates_.add(self_.name, Priority::verdict);
+  if (!own_records_.empty()) disseminate(now, self_.name, Priority::record);
 }
 
-void Core::take_own_news(Time now, const wire::News& news) {
+void Core::apply_own_news(Time now, const wire::News& news) {
   Member heard;
-  if (!Table::read_word(news.word(), heard)) heard.address = self_.address;
-  heard.standing.run = news.run();
-  heard.standing.incarnation = news.incarnation();
-  heard.standing.verdict = static_cast<Verdict>(news.verdict());
-  if (news.word().empty()) heard.standing.phase = phase_;
+  if (!MemberTable::read_word(news.word(), heard)) heard.address = self_.address;
+  heard.status.run = news.run();
+  heard.status.incarnation = news.incarnation();
+  heard.status.verdict = static_cast<Verdict>(news.verdict());
+  if (news.word().empty()) heard.status.phase = phase_;
   // Our own end is no news to us.
-  if (phase_ == Phase::left && heard.standing.run == own_.run) return;
-  const Place place = place_of(heard.address, self_.address);
-  const OwnWeighed weighed = weigh_own(own_, heard.standing, place);
-  switch (weighed.effect) {
+  if (phase_ == Phase::left && heard.status.run == own_.run) return;
+  const AddressMatch place = match_address(heard.address, self_.address);
+  const OwnMergeResult merged = merge_own_status(own_, heard.status, place);
+  switch (merged.effect) {
     case OwnEffect::none:
       return;
     case OwnEffect::refute:
       ++counters_.refuted;
-      if (heard.standing.verdict != Verdict::trusted) worse(1);
+      if (heard.status.verdict != Verdict::trusted) degrade_health(1);
       break;
     case OwnEffect::outrun:
       ++counters_.outruns;
-      if (heard.standing.run >= greatest_run) return;
+      if (heard.status.run >= max_run) return;
       break;
     case OwnEffect::yield:
       if (yields_) return;
       yields_ = true;
       namesake_ = heard.address;
       namesake_tries_ = 0;
-      namesake_run_ = heard.standing.run;
+      namesake_run_ = heard.status.run;
       probes_.clear();
-      notes_.push_back({self_.name, heard.standing.run, heard.standing.incarnation, State::alive, true,
-                        State::gone, Cause::address_taken, heard.address.text(), 0});
+      events_.push_back({self_.name, heard.status.run, heard.status.incarnation, State::alive, true,
+                         State::gone, Cause::address_taken, heard.address.text(), 0});
       next_period_ = now;
       changed(now);
       return;
   }
-  own_ = {weighed.next.run, weighed.next.incarnation - (weighed.effect == OwnEffect::refute ? 1 : 0)};
-  raise_own(now, 0);
+  own_ = {merged.next.run, merged.next.incarnation - (merged.effect == OwnEffect::refute ? 1 : 0)};
+  raise_incarnation(now, 0);
 }
 
 // A silent namesake's name is ours again; one that answers keeps it.
-void Core::look_up_namesake(Time now) {
+void Core::probe_namesake(Time now) {
   next_period_ = now + options_.period * 5;
   if (++namesake_tries_ > name_tries) {
     yields_ = false;
     ++counters_.outruns;
     own_ = {std::max(own_.run, namesake_run_) + 1, 0};
-    notes_.push_back({self_.name, own_.run, own_.incarnation, State::gone, true, State::alive, Cause::silence,
-                      namesake_.text(), 0});
-    raise_own(now, 0);
+    events_.push_back({self_.name, own_.run, own_.incarnation, State::gone, true, State::alive,
+                       Cause::silence, namesake_.text(), 0});
+    raise_incarnation(now, 0);
     return;
   }
   ping(now, namesake_, nullptr, 0, true);
 }
 
-void Core::start_over(Time now) {
+void Core::reset_membership(Time now) {
   ++counters_.startovers;
-  former_.clear();
+  former_addresses_.clear();
   for (const Member* member : table_.in_force())
-    if (former_.size() < most_seeds) former_.push_back(member->address);
+    if (former_addresses_.size() < most_seeds) former_addresses_.push_back(member->address);
   std::vector<std::string> names;
   for (const auto& [name, member] : table_.all()) names.push_back(name);
   for (const std::string& name : names) {
-    rumours_.drop(name);
+    updates_.drop(name);
     table_.erase(name);
   }
-  judgements_.clear();
+  suspicion_deadlines_.clear();
   round_.clear();
-  joined_by_ = now + options_.period * joining_periods;
-  raise_own(now, 0);
+  join_deadline_ = now + options_.period * joining_periods;
+  raise_incarnation(now, 0);
 }
 
-void Core::worse(int by) {
-  if (options_.local_health) health_ = std::min(worst_health, health_ + by);
+void Core::degrade_health(int by) {
+  if (options_.local_health) health_ = std::min(max_health, health_ + by);
 }
-void Core::better() { health_ = std::max(0, health_ - 1); }
+void Core::improve_health() { health_ = std::max(0, health_ - 1); }
 
 Duration Core::scaled_period() const { return options_.period * (1 + health_); }
 
-void Core::note_hold(Time now) {
+void Core::detect_stall(Time now) {
   const Time wanted = due();
   if (wanted == Time::max() || now - wanted <= options_.period / 2) return;
   const Duration gap = now - wanted;
   ++counters_.held_up;
-  worse(gap > options_.period * 2 ? 2 : 1);
+  degrade_health(gap > options_.period * 2 ? 2 : 1);
   // What was not answered while we did not listen says nothing about others.
   probes_.clear();
   relays_.clear();
   std::set<std::pair<Time, std::string>> moved;
-  for (const auto& [at, name] : judgements_) {
+  for (const auto& [at, name] : suspicion_deadlines_) {
     moved.insert({at + gap, name});
     if (Member* member = table_.find(name)) {
-      member->judged += gap;
-      member->suspected += gap;
+      member->suspicion_deadline += gap;
+      member->suspected_at += gap;
     }
   }
-  judgements_ = std::move(moved);
+  suspicion_deadlines_ = std::move(moved);
   // Once for each hold, however many datagrams are read before the next tick.
-  for (Time* each : {&next_period_, &next_reconnect_, &next_forget_, &next_spread_})
+  for (Time* each : {&next_period_, &next_reconnect_, &next_forget_, &next_gossip_})
     if (*each < now) *each = now;
   if (finish_by_ < now) finish_by_ = now;
-  if (gap > options_.remember_gone / 2) start_over(now);
+  if (gap > options_.remember_gone / 2) reset_membership(now);
 }
 
 // ---- members ----
@@ -258,121 +260,124 @@
   snapshot_.reset();
 }
 
-int Core::accusers_wanted() const { return std::clamp(static_cast<int>(in_force()) - 2, 0, accusers_enough); }
+int Core::confirmations_wanted() const {
+  return std::clamp(static_cast<int>(in_force()) - 2, 0, max_confirmations);
+}
 
-Time Core::judgement_of(const Member& member) const {
-  const int wanted = accusers_wanted();
+Time Core::suspicion_deadline_of(const Member& member) const {
+  const int wanted = confirmations_wanted();
   const double others = std::max<double>(0, static_cast<double>(member.accusers.size()) - 1);
   const double share = wanted == 0 ? 1 : std::min(1.0, std::log(others + 1) / std::log(wanted + 1.0));
-  return member.suspected + member.at_most - (member.at_most - member.at_least) * share;
+  return member.suspected_at + member.suspicion_max - (member.suspicion_max - member.suspicion_min) * share;
 }
 
-void Core::set_standing(Time now, Member& member, const Standing& standing, Cause cause,
-                        const std::string& by) {
-  const Standing held = member.standing;
+void Core::set_status(Time now, Member& member, const MemberStatus& status, Cause cause,
+                      const std::string& by) {
+  const MemberStatus held = member.status;
   const bool known = held.run != 0;
-  const State before = member.standing.state();
-  judgements_.erase({member.judged, member.name});
+  const State before = member.status.state();
+  suspicion_deadlines_.erase({member.suspicion_deadline, member.name});
   table_.change(member, [&](Member& each) {
-    if (each.standing.run != standing.run) {
+    if (each.status.run != status.run) {
       each.shelf.clear();
       each.seen = {};
       each.cookie = 0;
     }
-    each.standing = standing;
+    each.status = status;
   });
-  const State after = standing.state();
+  const State after = status.state();
   const int accusers = static_cast<int>(member.accusers.size());
   if (after != State::suspect) member.accusers.clear();
-  if (!known || before != after || held.run != standing.run) {
+  if (!known || before != after || held.run != status.run) {
     member.since = now;
-    notes_.push_back(
-        {member.name, standing.run, standing.incarnation, before, known, after, cause, by, accusers});
+    events_.push_back(
+        {member.name, status.run, status.incarnation, before, known, after, cause, by, accusers});
   }
   changed(now);
 }
 
-void Core::tell_all(Time now, const std::string& name, Worth worth) {
-  rumours_.add(name, worth);
+void Core::disseminate(Time now, const std::string& name, Priority priority) {
+  updates_.add(name, priority);
   // News that come together go together.
-  const Time soon = now + options_.period / (spreads_a_period * 8);
-  next_spread_ = std::max(std::min(next_spread_, soon), last_spread_ + options_.period / spreads_a_period);
+  const Time soon = now + options_.period / (gossips_per_period * 8);
+  next_gossip_ = std::max(std::min(next_gossip_, soon), last_gossip_ + options_.period / gossips_per_period);
 }
 
-void Core::suspect(Time now, Member& member, const Standing& next, Cause cause, const std::string& by,
+void Core::suspect(Time now, Member& member, const MemberStatus& next, Cause cause, const std::string& by,
                    std::vector<std::uint32_t> accusers) {
   member.accusers = std::move(accusers);
-  set_standing(now, member, next, cause, by);
+  set_status(now, member, next, cause, by);
   const double size = std::max(1.0, std::log10(static_cast<double>(in_force())));
-  member.suspected = now;
-  member.at_least = options_.period * (options_.suspicion_periods * size * (1 + health_ / 3.0));
-  member.at_most = member.at_least * options_.suspicion_stretch;
-  if (!options_.suspicion) member.at_least = member.at_most = Duration(0);
-  member.judged = judgement_of(member);
-  judgements_.insert({member.judged, member.name});
-  tell_all(now, member.name, Worth::verdict);
-  disputed_at_ = now;
-}
-
-void Core::accuse_ourselves(Time now, Member& member, Cause cause) {
-  Standing next = member.standing;
+  member.suspected_at = now;
+  member.suspicion_min = options_.period * (options_.suspicion_periods * size * (1 + health_ / 3.0));
+  member.suspicion_max = member.suspicion_min * options_.suspicion_stretch;
+  if (!options_.suspicion) member.suspicion_min = member.suspicion_max = Duration(0);
+  member.suspicion_deadline = suspicion_deadline_of(member);
+  suspicion_deadlines_.insert({member.suspicion_deadline, member.name});
+  disseminate(now, member.name, Priority::verdict);
+  disagreed_at_ = now;
+}
+
+void Core::suspect_locally(Time now, Member& member, Cause cause) {
+  MemberStatus next = member.status;
   next.verdict = Verdict::suspect;
   suspect(now, member, next, cause, self_.name, {accuser_of(self_.name)});
 }
 
-void Core::accuse(Time now, Member& member, std::uint32_t accuser) {
-  if (member.standing.state() != State::suspect ||
+void Core::confirm_suspicion(Time now, Member& member, std::uint32_t accuser) {
+  if (member.status.state() != State::suspect ||
       std::find(member.accusers.begin(), member.accusers.end(), accuser) != member.accusers.end())
     return;
-  if (static_cast<int>(member.accusers.size()) >= accusers_enough + 1) return;
+  if (static_cast<int>(member.accusers.size()) >= max_confirmations + 1) return;
   member.accusers.push_back(accuser);
-  judgements_.erase({member.judged, member.name});
-  member.judged = judgement_of(member);
-  judgements_.insert({member.judged, member.name});
-  tell_all(now, member.name, Worth::verdict);
+  suspicion_deadlines_.erase({member.suspicion_deadline, member.name});
+  member.suspicion_deadline = suspicion_deadline_of(member);
+  suspicion_deadlines_.insert({member.suspicion_deadline, member.name});
+  disseminate(now, member.name, Priority::verdict);
 }
 
-void Core::judge(Time now, Member& member) {
-  Standing next = member.standing;
+void Core::declare_gone(Time now, Member& member) {
+  MemberStatus next = member.status;
   next.verdict = Verdict::gone;
   ++counters_.removed;
-  set_standing(now, member, next, member.accusers.size() > 1 ? Cause::accusers : Cause::alone, self_.name);
-  tell_all(now, member.name, Worth::verdict);
+  set_status(now, member, next, member.accusers.size() > 1 ? Cause::accusers : Cause::suspicion_expired,
+             self_.name);
+  disseminate(now, member.name, Priority::verdict);
 }
 
 void Core::forget_old(Time now) {
   next_forget_ = now + options_.remember_gone / 16;
   std::vector<std::string> old;
   for (const auto& [name, member] : table_.all())
-    if (!member.standing.in_force() && now - member.since > options_.remember_gone) old.push_back(name);
+    if (!member.status.in_force() && now - member.since > options_.remember_gone) old.push_back(name);
   for (const std::string& name : old) {
-    rumours_.drop(name);
+    updates_.drop(name);
     table_.erase(name);
   }
   if (!old.empty()) snapshot_.reset();
 }
 
 // Makes room for one in force: the one gone longest goes. False where all are in force.
-bool Core::forget_oldest() {
+bool Core::evict_oldest() {
   const Member* oldest = nullptr;
   for (const auto& [name, member] : table_.all())
-    if (!member.standing.in_force() && (!oldest || member.since < oldest->since)) oldest = &member;
+    if (!member.status.in_force() && (!oldest || member.since < oldest->since)) oldest = &member;
   if (!oldest) return false;
   const std::string name = oldest->name;
-  rumours_.drop(name);
+  updates_.drop(name);
   table_.erase(name);
   return true;
 }
 
-void Core::take_news(Time now, const wire::News& news, const std::string& teller) {
-  if (news.run() > greatest_run) {
+void Core::apply_news(Time now, const wire::News& news, const std::string& teller) {
+  if (news.run() > max_run) {
     ++counters_.malformed;
     return;
   }
-  if (news.name() == self_.name) return take_own_news(now, news);
+  if (news.name() == self_.name) return apply_own_news(now, news);
   Member* member = table_.find(news.name());
-  std::optional<Standing> held;
-  if (member) held = member->standing;
+  std::optional<MemberStatus> held;
+  if (member) held = member->status;
   Member read;
   const bool same_word = held && held->run == news.run() && held->incarnation == news.incarnation();
   if (!same_word || !news.word().empty()) {
@@ -382,128 +387,129 @@
       if (!old) ++counters_.wordless;
       return;
     }
-    if (!Table::read_word(news.word(), read)) {
+    if (!MemberTable::read_word(news.word(), read)) {
       ++counters_.malformed;
       return;
     }
   } else {
-    read.standing.phase = held->phase;
+    read.status.phase = held->phase;
   }
-  read.standing.run = news.run();
-  read.standing.incarnation = news.incarnation();
-  read.standing.verdict = static_cast<Verdict>(news.verdict());
-  const Weighed weighed = weigh(held, read.standing);
-  if (weighed.effect == Effect::none) return;
-  if (weighed.effect == Effect::accused) {
-    for (std::uint32_t accuser : news.accusers()) accuse(now, *member, accuser);
-    if (read.standing.verdict == Verdict::gone) accuse(now, *member, accuser_of(teller));
+  read.status.run = news.run();
+  read.status.incarnation = news.incarnation();
+  read.status.verdict = static_cast<Verdict>(news.verdict());
+  const MergeResult merged = merge_status(held, read.status);
+  if (merged.effect == MergeEffect::none) return;
+  if (merged.effect == MergeEffect::confirmed) {
+    for (std::uint32_t accuser : news.accusers()) confirm_suspicion(now, *member, accuser);
+    if (read.status.verdict == Verdict::gone) confirm_suspicion(now, *member, accuser_of(teller));
     return;
   }
   if (!member) member = table_.add(news.name());
-  if (!member && weighed.next.in_force() && forget_oldest()) member = table_.add(news.name());
+  if (!member && merged.next.in_force() && evict_oldest()) member = table_.add(news.name());
   if (!member) {
     ++counters_.table_full;
     return;
   }
   if (!news.word().empty()) {
-    Member* there = weighed.next.in_force() ? table_.at(read.address) : nullptr;
-    if (there == member || (there && !there->standing.in_force())) there = nullptr;
+    Member* there = merged.next.in_force() ? table_.at(read.address) : nullptr;
+    if (there == member || (there && !there->status.in_force())) there = nullptr;
     const bool moved = !(member->address == read.address);
     table_.change(*member, [&](Member& each) {
-      const Standing before = each.standing;
-      Table::read_word(news.word(), each);
-      each.standing = before;
+      const MemberStatus before = each.status;
+      MemberTable::read_word(news.word(), each);
+      each.status = before;
       if (moved) each.cookie = 0;
     });
-    if (there && there->standing.verdict == Verdict::trusted)
-      accuse_ourselves(now, *there, Cause::address_taken);
+    if (there && there->status.verdict == Verdict::trusted)
+      suspect_locally(now, *there, Cause::address_taken);
   }
-  if (weighed.effect == Effect::suspected) {
+  if (merged.effect == MergeEffect::suspected) {
     std::vector<std::uint32_t> accusers;
     auto add = [&](std::uint32_t accuser) {
       if (std::find(accusers.begin(), accusers.end(), accuser) == accusers.end()) accusers.push_back(accuser);
     };
     for (std::uint32_t accuser : news.accusers()) add(accuser);
-    // Who says gone has judged for itself.
-    if (accusers.empty() || read.standing.verdict == Verdict::gone) add(accuser_of(teller));
-    return suspect(now, *member, weighed.next, Cause::told, teller, std::move(accusers));
+    // Who says gone has suspicion_deadline for itself.
+    if (accusers.empty() || read.status.verdict == Verdict::gone) add(accuser_of(teller));
+    return suspect(now, *member, merged.next, Cause::reported, teller, std::move(accusers));
   }
-  set_standing(now, *member, weighed.next, weighed.effect == Effect::kept ? Cause::told : Cause::word,
-               teller);
-  if (weighed.effect == Effect::kept && !held) {
+  set_status(now, *member, merged.next,
+             merged.effect == MergeEffect::recorded ? Cause::reported : Cause::own_update, teller);
+  if (merged.effect == MergeEffect::recorded && !held) {
     // Hearsay about one we never knew: kept half as long and not passed on, or the gone would be handed from
     // joiner to joiner for ever.
     member->since = now - options_.remember_gone / 2;
     return;
   }
-  tell_all(now, member->name, weighed.effect == Effect::entered ? Worth::coming : Worth::verdict);
+  disseminate(now, member->name,
+              merged.effect == MergeEffect::joined ? Priority::joining : Priority::verdict);
 }
 
-void Core::take_shelf(Time now, const wire::Shelf& shelf) {
+void Core::apply_shelf(Time now, const wire::Shelf& shelf) {
   Member* member = table_.find(shelf.name());
-  if (!member || member->standing.run != shelf.run() || !member->standing.in_force()) return;
+  if (!member || member->status.run != shelf.run() || !member->status.in_force()) return;
   bool news = false, fits = true;
-  table_.change(*member, [&](Member& each) { fits = merge_shelf(each.shelf, shelf, news); });
+  table_.change(*member, [&](Member& each) { fits = merge_records(each.shelf, shelf, news); });
   if (!fits) ++counters_.shelf_full;
   if (!news) return;
   snapshot_.reset();
-  tell_all(now, member->name, Worth::record);
+  disseminate(now, member->name, Priority::record);
 }
 
 // ---- what comes in ----
 
 void Core::receive(Time now, const Address& from, std::string_view bytes) {
-  note_hold(now);
+  detect_stall(now);
   ++counters_.received;
   counters_.received_bytes += bytes.size();
   if (phase_ == Phase::left) return;
   wire::Body body;
-  switch (sealer_.open(bytes, body)) {
-    case Opened::good:
+  switch (codec_.decode(bytes, body)) {
+    case DecodeResult::good:
       break;
-    case Opened::oversized:
+    case DecodeResult::oversized:
       ++counters_.oversized;
       return;
-    case Opened::malformed:
+    case DecodeResult::malformed:
       ++counters_.malformed;
       return;
-    case Opened::foreign:
+    case DecodeResult::foreign:
       ++counters_.foreign;
       return;
-    case Opened::other_format:
+    case DecodeResult::other_format:
       ++counters_.other_format;
       return;
-    case Opened::spoilt:
+    case DecodeResult::checksum_mismatch:
       ++counters_.spoilt;
       return;
   }
-  if (!(Address{body.host(), static_cast<std::uint16_t>(body.port())} == from) || body.run() > greatest_run) {
+  if (!(Address{body.host(), static_cast<std::uint16_t>(body.port())} == from) || body.run() > max_run) {
     ++counters_.wrong_source;
     return;
   }
   if (body.name() == self_.name) {
-    if (!(from == self_.address)) take_namesake(now, from, body, bytes.size());
+    if (!(from == self_.address)) handle_namesake(now, from, body, bytes.size());
     return;
   }
   if (yields_) return;
   if (body.echo() == cookie_for(from))
-    take_proven(now, from, body, bytes.size());
+    handle_verified(now, from, body, bytes.size());
   else
-    take_unproven(now, from, body, bytes.size());
+    handle_unverified(now, from, body, bytes.size());
 }
 
 // Believed nothing; answered so that it can prove its address, with no more than it sent.
-void Core::take_unproven(Time now, const Address& from, const wire::Body& body, std::size_t size) {
+void Core::handle_unverified(Time now, const Address& from, const wire::Body& body, std::size_t size) {
   ++counters_.unproven;
-  const Duration passed = now - unproven_at_;
-  unproven_at_ = now;
-  unproven_allowed_ = std::min(unproven_a_period * burst_periods,
-                               unproven_allowed_ + passed / options_.period * unproven_a_period);
-  if (unproven_allowed_ < 1) {
+  const Duration passed = now - unverified_tokens_at_;
+  unverified_tokens_at_ = now;
+  unverified_tokens_ = std::min(unproven_a_period * burst_periods,
+                                unverified_tokens_ + passed / options_.period * unproven_a_period);
+  if (unverified_tokens_ < 1) {
     ++counters_.too_many;
     return;
   }
-  unproven_allowed_ -= 1;
+  unverified_tokens_ -= 1;
   if (body.has_answer()) return;  // or two that know each other no longer would answer for ever
   if (body.has_ping() && !body.ping().target().empty() && body.ping().target() != self_.name) {
     ++counters_.not_for_us;
@@ -513,23 +519,23 @@
   answer.set_echo(body.cookie());
   answer.mutable_answer()->set_probe(body.has_ping() ? body.ping().probe() : 0);
   auto fits = [&](const wire::News& news) {
-    return answer.ByteSizeLong() + size_of(news) + sealer_.around() <= size;
+    return answer.ByteSizeLong() + size_of(news) + codec_.envelope_bytes() <= size;
   };
   // What it should know of itself comes before what we are.
   const Member* member = table_.find(body.name());
-  const bool against = member && (member->standing.run > body.run() ||
-                                  (member->standing.run == body.run() && !member->standing.in_force()));
+  const bool against = member && (member->status.run > body.run() ||
+                                  (member->status.run == body.run() && !member->status.in_force()));
   if (against) {
     wire::News news = news_of(*member, true);
     if (fits(news)) *answer.add_news() = std::move(news);
   }
   wire::News own = own_news();
   if (fits(own)) *answer.add_news() = std::move(own);
-  if (answer.ByteSizeLong() + sealer_.around() <= size) send(now, from, answer, Pay::if_any);
+  if (answer.ByteSizeLong() + codec_.envelope_bytes() <= size) send(now, from, answer, SendBudget::if_any);
 }
 
 // A datagram under our own name from another address.
-void Core::take_namesake(Time now, const Address& from, const wire::Body& body, std::size_t size) {
+void Core::handle_namesake(Time now, const Address& from, const wire::Body& body, std::size_t size) {
   ++counters_.namesakes;
   const bool proven = body.echo() == cookie_for(from);
   if (yields_) {
@@ -547,33 +553,33 @@
     word.set_port(from.port);
     word.set_phase(wire::ALIVE);
     word.SerializeToString(news.mutable_word());
-    return take_own_news(now, news);
+    return apply_own_news(now, news);
   }
-  if (!body.has_answer()) take_unproven(now, from, body, size);
+  if (!body.has_answer()) handle_unverified(now, from, body, size);
 }
 
-bool Core::allowed(Time now, Member& member) {
+bool Core::within_rate_limit(Time now, Member& member) {
   const double most = datagrams_a_period * burst_periods;
-  if (member.allowed_at == Time{}) {
-    member.allowance = most;
+  if (member.tokens_at == Time{}) {
+    member.datagram_tokens = most;
   } else {
-    member.allowance =
-        std::min(most, member.allowance + (now - member.allowed_at) / options_.period * datagrams_a_period);
+    member.datagram_tokens = std::min(
+        most, member.datagram_tokens + (now - member.tokens_at) / options_.period * datagrams_a_period);
   }
-  member.allowed_at = now;
-  if (member.allowance < 1) return false;
-  member.allowance -= 1;
+  member.tokens_at = now;
+  if (member.datagram_tokens < 1) return false;
+  member.datagram_tokens -= 1;
   return true;
 }
 
-void Core::take_proven(Time now, const Address& from, const wire::Body& body, std::size_t size) {
+void Core::handle_verified(Time now, const Address& from, const wire::Body& body, std::size_t size) {
   Member* member = table_.find(body.name());
   auto admit = [&](Member& each) {
     if (!(each.address == from)) {
       ++counters_.wrong_source;
-    } else if (!allowed(now, each)) {
+    } else if (!within_rate_limit(now, each)) {
       ++counters_.too_many;
-    } else if (!each.seen.take(body.number())) {
+    } else if (!each.seen.accept(body.number())) {
       ++counters_.repeated;
     } else {
       each.cookie = body.cookie();
@@ -582,39 +588,39 @@
     }
     return false;
   };
-  if (member && body.run() < member->standing.run) {
+  if (member && body.run() < member->status.run) {
     ++counters_.old_run;
     wire::Body answer = body_for(from, nullptr);
     answer.set_echo(body.cookie());
     *answer.add_news() = news_of(*member, true);
-    if (answer.ByteSizeLong() + sealer_.around() <= std::max(size, std::size_t{256}))
-      send(now, from, answer, Pay::if_any);
+    if (answer.ByteSizeLong() + codec_.envelope_bytes() <= std::max(size, std::size_t{256}))
+      send(now, from, answer, SendBudget::if_any);
     return;
   }
-  const bool known = member && member->standing.run == body.run();
+  const bool known = member && member->status.run == body.run();
   if (known && !admit(*member)) return;
-  for (const wire::News& news : body.news()) take_news(now, news, body.name());
-  for (const wire::Shelf& shelf : body.shelves()) take_shelf(now, shelf);
+  for (const wire::News& news : body.news()) apply_news(now, news, body.name());
+  for (const wire::Shelf& shelf : body.shelves()) apply_shelf(now, shelf);
   if (yields_) return;
   member = table_.find(body.name());
-  if (!member || member->standing.run != body.run()) {
+  if (!member || member->status.run != body.run()) {
     // Proven, but its word is still to come.
-    if (body.has_ping()) return take_unproven(now, from, body, size);
+    if (body.has_ping()) return handle_unverified(now, from, body, size);
     if (!body.has_answer()) ping(now, from, nullptr, 0, true);
     return;
   }
   if (!known && !admit(*member)) return;
 
   const bool agrees = body.members() == digest();
-  if (!agrees) disputed_at_ = now;
+  if (!agrees) disagreed_at_ = now;
   auto mark = [&](Time& since, bool alike) {
     if (alike)
       since = Time::max();
     else if (since == Time::max())
       since = now;
   };
-  mark(member->differs, agrees);
-  mark(member->records_differ, body.records() == records_digest());
+  mark(member->digest_differs_since, agrees);
+  mark(member->records_differ_since, body.records() == records_digest());
 
   bool told = false;
   switch (body.kind_case()) {
@@ -626,37 +632,37 @@
       wire::Body answer = body_for(from, member);
       answer.mutable_answer()->set_probe(body.ping().probe());
       if (!agrees) *answer.add_news() = own_news();
-      fill(now, answer, member, room_in(answer));
-      send(now, from, answer, Pay::always);
+      piggyback(now, answer, member, room_in(answer));
+      send(now, from, answer, SendBudget::always);
       told = true;
       break;
     }
     case wire::Body::kAnswer:
-      take_answer(now, body);
+      handle_ack(now, body);
       break;
     case wire::Body::kAsk:
-      take_ask(now, *member, body.ask());
+      handle_ping_request(now, *member, body.ask());
       break;
     case wire::Body::kSummary:
-      take_summary(now, *member, body.summary());
+      handle_summary(now, *member, body.summary());
       break;
     case wire::Body::KIND_NOT_SET:
       break;
   }
-  const bool against = member->standing.verdict != Verdict::trusted && member->standing.phase != Phase::left;
-  if (against && !told) tell_off(now, *member);
-  const bool eager = member->standing.verdict == Verdict::gone ||
-                     (now < joined_by_ && member->compared == Time{} && !agrees);
+  const bool against = member->status.verdict != Verdict::trusted && member->status.phase != Phase::left;
+  if (against && !told) send_verdict(now, *member);
+  const bool eager = member->status.verdict == Verdict::gone ||
+                     (now < join_deadline_ && member->compared_at == Time{} && !agrees);
   auto stands_out = [&](Time since, double periods) {
     return since != Time::max() && now - since > options_.period * periods;
   };
   // Records change all the time, and come by themselves; only what stays different was missed.
-  if (eager || stands_out(member->differs, differ_periods) ||
-      stands_out(member->records_differ, records_differ_periods))
-    compare(now, *member, eager);
+  if (eager || stands_out(member->digest_differs_since, differ_periods) ||
+      stands_out(member->records_differ_since, records_differ_periods))
+    start_sync(now, *member, eager);
 }
 
-void Core::take_answer(Time now, const wire::Body& body) {
+void Core::handle_ack(Time now, const wire::Body& body) {
   const wire::Answer& answer = body.answer();
   if (answer.probe() == 0) return;
   auto probe = std::find_if(probes_.begin(), probes_.end(),
@@ -668,7 +674,7 @@
     }
     // From itself only under the run that was asked; from a helper who has checked that.
     if (body.name() == probe->target && body.run() != probe->run) return;
-    if (!probe->check) better();
+    if (!probe->check) improve_health();
     probes_.erase(probe);
     return;
   }
@@ -680,10 +686,10 @@
   const Member* asker = table_.find(found.asker_name);
   wire::Body said = body_for(found.asker, asker);
   said.mutable_answer()->set_probe(found.asked);
-  send(now, found.asker, said, Pay::always);
+  send(now, found.asker, said, SendBudget::always);
 }
 
-void Core::take_ask(Time now, const Member& asker, const wire::Ask& ask) {
+void Core::handle_ping_request(Time now, const Member& asker, const wire::Ask& ask) {
   const Member* target = table_.find(ask.target());
   if (!target || relays_.size() >= most_relays) return;
   Relay relay{random_() | 1, ask.probe(), asker.address, asker.name, now + options_.period * helper_share};
@@ -691,23 +697,23 @@
   ping(now, target->address, target, relay.id, false);
 }
 
-void Core::take_summary(Time now, const Member& member, const wire::Summary& summary) {
+void Core::handle_summary(Time now, const Member& member, const wire::Summary& summary) {
   const auto mine = sums();
-  std::array<bool, sums_in_summary> differs{};
+  std::array<bool, summary_buckets> differs{};
   bool any = false;
-  for (int i = 0; i < sums_in_summary; ++i)
+  for (int i = 0; i < summary_buckets; ++i)
     any |= differs[static_cast<std::size_t>(i)] = mine[static_cast<std::size_t>(i)] != summary.sums(i);
   if (!any) return;
   if (!summary.answer()) {
     wire::Body body = body_for(member.address, &member);
     for (std::uint64_t sum : mine) body.mutable_summary()->add_sums(sum);
     body.mutable_summary()->set_answer(true);
-    send(now, member.address, body, Pay::if_plenty);
+    send(now, member.address, body, SendBudget::if_plenty);
   }
   std::vector<const Member*> entries;
   for (const auto& [name, each] : table_.all())
-    if (differs[Table::bucket(name)] &&
-        (each.standing.in_force() || now - each.since < options_.remember_gone / 2))
+    if (differs[MemberTable::bucket(name)] &&
+        (each.status.in_force() || now - each.since < options_.remember_gone / 2))
       entries.push_back(&each);
   // Whoever is left out this time comes another time.
   std::shuffle(entries.begin(), entries.end(), random_);
@@ -717,28 +723,27 @@
   auto turn_page = [&] {
     if (page.news_size() == 0 && page.shelves_size() == 0) return;
     ++counters_.pages;
-    full = !send(now, member.address, page, Pay::if_plenty) || ++pages >= pages_at_once;
+    full = !send(now, member.address, page, SendBudget::if_plenty) || ++pages >= pages_at_once;
     page = body_for(member.address, &member);
   };
-  auto put = [&](const std::string& name, std::uint64_t run, wire::News&& news, const Shelf* shelf) {
+  auto put = [&](const std::string& name, std::uint64_t run, wire::News&& news, const RecordMap* shelf) {
     if (size_of(news) > room_in(page)) turn_page();
     if (full) return;
     *page.add_news() = std::move(news);
     wire::Shelf item;
     if (!shelf || shelf->empty()) return;
-    if (!shelf_items(name, run, *shelf, room_in(page), item) ||
+    if (!pack_records(name, run, *shelf, room_in(page), item) ||
         item.records_size() < static_cast<int>(shelf->size())) {
       turn_page();
       if (full) return;
-      shelf_items(name, run, *shelf, room_in(page), item);
+      pack_records(name, run, *shelf, room_in(page), item);
     }
     if (item.records_size() > 0) *page.add_shelves() = std::move(item);
   };
-  if (differs[Table::bucket(self_.name)]) put(self_.name, own_.run, own_news(), &shelf_);
+  if (differs[MemberTable::bucket(self_.name)]) put(self_.name, own_.run, own_news(), &own_records_);
   for (const Member* each : entries) {
     if (full) break;
-    put(each->name, each->standing.run, news_of(*each, true),
-        each->standing.in_force() ? &each->shelf : nullptr);
+    put(each->name, each->status.run, news_of(*each, true), each->status.in_force() ? &each->shelf : nullptr);
   }
   if (!full) turn_page();
 }
@@ -752,7 +757,7 @@
       const std::string name = std::move(round_.back());
       round_.pop_back();
       Member* member = table_.find(name);
-      if (member && member->standing.in_force()) return member;
+      if (member && member->status.in_force()) return member;
     }
     for (const Member* member : table_.in_force()) round_.push_back(member->name);
     std::sort(round_.begin(), round_.end());
@@ -761,32 +766,32 @@
   return nullptr;
 }
 
-Member* Core::any_member() {
+Member* Core::random_member() {
   const auto& all = table_.in_force();
   if (all.empty()) return nullptr;
   std::uniform_int_distribution<std::size_t> any(0, all.size() - 1);
   Member* member = all[any(random_)];
   // Suspects are told directly what is held against them; news told to the dead are lost.
-  for (int i = 0; i < tries_for_trusted && member->standing.verdict != Verdict::trusted; ++i)
+  for (int i = 0; i < tries_for_trusted && member->status.verdict != Verdict::trusted; ++i)
     member = all[any(random_)];
   return member;
 }
 
 void Core::begin_period(Time now) {
-  if (yields_) return look_up_namesake(now);
+  if (yields_) return probe_namesake(now);
   next_period_ = now + scaled_period();
-  check_suspects(now);
+  probe_suspects(now);
   if (const Member* target = next_target()) begin_probe(now, *target, false);
 }
 
 // Others' suspects that we have not tried ourselves: of all brokers a few look after each in every period, so
 // that its fate is soon plain, be it alive or gone.
-void Core::check_suspects(Time now) {
+void Core::probe_suspects(Time now) {
   const double share = checks_of_suspect / static_cast<double>(in_force());
   int checks = 0;
-  for (const auto& [at, name] : judgements_) {
+  for (const auto& [at, name] : suspicion_deadlines_) {
     const Member* member = table_.find(name);
-    if (!member || static_cast<int>(member->accusers.size()) > accusers_enough) continue;
+    if (!member || static_cast<int>(member->accusers.size()) > max_confirmations) continue;
     const auto own = std::find(member->accusers.begin(), member->accusers.end(), accuser_of(self_.name));
     const bool out =
         std::any_of(probes_.begin(), probes_.end(), [&](const Probe& each) { return each.target == name; });
@@ -803,7 +808,7 @@
               check,
               random_() | 1,
               target.name,
-              target.standing.run,
+              target.status.run,
               now + scaled_period() * direct_share,
               0,
               0};
@@ -812,15 +817,15 @@
 }
 
 // Goes one stage on; false where the probe has ended.
-bool Core::probe_step(Time now, Probe& probe) {
+bool Core::advance_probe(Time now, Probe& probe) {
   Member* target = table_.find(probe.target);
-  if (!target || !target->standing.in_force() || target->standing.run != probe.run) return false;
+  if (!target || !target->status.in_force() || target->status.run != probe.run) return false;
   if (probe.stage == Stage::direct) {
     probe.stage = Stage::indirect;
     probe.due = now + scaled_period() * (1 - direct_share) * 0.96;
     std::vector<Member*> others;
     for (Member* each : table_.in_force())
-      if (each != target && each->cookie != 0 && each->standing.verdict == Verdict::trusted)
+      if (each != target && each->cookie != 0 && each->status.verdict == Verdict::trusted)
         others.push_back(each);
     for (int i = 0; i < helpers_asked && !others.empty(); ++i) {
       const std::size_t at = std::uniform_int_distribution<std::size_t>(0, others.size() - 1)(random_);
@@ -829,19 +834,19 @@
       wire::Body body = body_for(helper->address, helper);
       body.mutable_ask()->set_probe(probe.id);
       body.mutable_ask()->set_target(probe.target);
-      if (send(now, helper->address, body, Pay::always)) ++probe.helpers;
+      if (send(now, helper->address, body, SendBudget::always)) ++probe.helpers;
       ++counters_.asked_others;
     }
     return true;
   }
   ++counters_.probes_failed;
   // One helper that says it tried shows that we do hear and are heard; the others may be gone themselves.
-  if (!probe.check && probe.missed == 0) worse(1);
-  if (target->standing.verdict == Verdict::trusted) {
-    accuse_ourselves(now, *target, Cause::own_probe);
-    tell_off(now, *target);
+  if (!probe.check && probe.missed == 0) degrade_health(1);
+  if (target->status.verdict == Verdict::trusted) {
+    suspect_locally(now, *target, Cause::own_probe);
+    send_verdict(now, *target);
   } else {
-    accuse(now, *target, accuser_of(self_.name));
+    confirm_suspicion(now, *target, accuser_of(self_.name));
   }
   return false;
 }
@@ -853,12 +858,12 @@
   const double n = static_cast<double>(in_force());
   next_reconnect_ = now + options_.period * (alone ? 0.5 : std::max(2.0, n / 8));
   std::vector<Address> seeds;
-  for (const auto* from : {&options_.seeds, &found_, &former_})
+  for (const auto* from : {&options_.seeds, &discovered_seeds_, &former_addresses_})
     for (const Address& seed : *from)
       if (!(seed == self_.address) && !table_.at(seed)) seeds.push_back(seed);
   std::vector<const Member*> gone;
   for (const auto& [name, member] : table_.all())
-    if (member.standing.run != 0 && member.standing.state() == State::gone) gone.push_back(&member);
+    if (member.status.run != 0 && member.status.state() == State::gone) gone.push_back(&member);
   for (int i = 0; i < (alone ? 3 : 1); ++i) {
     const std::size_t choices = seeds.size() + gone.size();
     if (choices == 0) return;
@@ -871,12 +876,12 @@
 }
 
 void Core::tick(Time now) {
-  note_hold(now);
-  while (!judgements_.empty() && judgements_.begin()->first <= now) {
-    const std::string name = judgements_.begin()->second;
-    judgements_.erase(judgements_.begin());
+  detect_stall(now);
+  while (!suspicion_deadlines_.empty() && suspicion_deadlines_.begin()->first <= now) {
+    const std::string name = suspicion_deadlines_.begin()->second;
+    suspicion_deadlines_.erase(suspicion_deadlines_.begin());
     Member* member = table_.find(name);
-    if (member && member->standing.state() == State::suspect) judge(now, *member);
+    if (member && member->status.state() == State::suspect) declare_gone(now, *member);
   }
   for (std::size_t i = 0; i < relays_.size();) {
     if (relays_[i].due > now) {
@@ -889,11 +894,11 @@
     wire::Body said = body_for(relay.asker, asker);
     said.mutable_answer()->set_probe(relay.asked);
     said.mutable_answer()->set_missed(true);
-    send(now, relay.asker, said, Pay::always);
+    send(now, relay.asker, said, SendBudget::always);
   }
   if (phase_ != Phase::left) {
     for (std::size_t i = 0; i < probes_.size();) {
-      if (probes_[i].due > now || probe_step(now, probes_[i]))
+      if (probes_[i].due > now || advance_probe(now, probes_[i]))
         ++i;
       else
         probes_.erase(probes_.begin() + static_cast<std::ptrdiff_t>(i));
@@ -902,12 +907,12 @@
     if (!yields_ && next_reconnect_ <= now) reconnect(now);
     if (next_forget_ <= now) forget_old(now);
   }
-  if (next_spread_ <= now) spread(now);
+  if (next_gossip_ <= now) gossip(now);
 }
 
 Time Core::due() const {
-  Time due = next_spread_;
-  if (!judgements_.empty()) due = std::min(due, judgements_.begin()->first);
+  Time due = next_gossip_;
+  if (!suspicion_deadlines_.empty()) due = std::min(due, suspicion_deadlines_.begin()->first);
   for (const Relay& relay : relays_) due = std::min(due, relay.due);
   if (finish_by_ != Time::max()) return std::min(due, finish_by_);
   for (const Probe& probe : probes_) due = std::min(due, probe.due);
@@ -918,16 +923,18 @@
 // ---- what goes out ----
 
 std::uint64_t Core::digest() const {
-  return table_.digest() + (speaks() ? Table::weight(self_.name, {own_.run, own_.incarnation, {}, {}}) : 0);
+  return table_.digest() +
+         (participates() ? MemberTable::weight(self_.name, {own_.run, own_.incarnation, {}, {}}) : 0);
 }
 std::uint64_t Core::records_digest() const {
-  return table_.records() + (speaks() ? Table::weight(self_.name, own_.run, shelf_) : 0);
+  return table_.records() + (participates() ? MemberTable::weight(self_.name, own_.run, own_records_) : 0);
 }
-std::array<std::uint64_t, sums_in_summary> Core::sums() const {
+std::array<std::uint64_t, summary_buckets> Core::sums() const {
   auto all = table_.sums();
-  if (speaks())
-    all[Table::bucket(self_.name)] += Table::weight(self_.name, {own_.run, own_.incarnation, {}, {}}) +
-                                      Table::weight(self_.name, own_.run, shelf_);
+  if (participates())
+    all[MemberTable::bucket(self_.name)] +=
+        MemberTable::weight(self_.name, {own_.run, own_.incarnation, {}, {}}) +
+        MemberTable::weight(self_.name, own_.run, own_records_);
   return all;
 }
 
@@ -958,17 +965,17 @@
   tokens_at_ = now;
 }
 
-// Probes and answers may overdraw the budget by one second's worth; nothing else may.
-bool Core::send(Time now, const Address& to, const wire::Body& body, Pay pay) {
+// Probes and answers may overdraw the budget by one second's priority; nothing else may.
+bool Core::send(Time now, const Address& to, const wire::Body& body, SendBudget budget) {
   refill(now);
   const double most = static_cast<double>(options_.bytes_per_s);
-  const double least = pay == Pay::always ? -most : pay == Pay::if_any ? 0 : most / 4;
+  const double least = budget == SendBudget::always ? -most : budget == SendBudget::if_any ? 0 : most / 4;
   if (tokens_ <= least) {
     ++counters_.unpaid;
     return false;
   }
-  std::string bytes = sealer_.seal(body);
-  if (bytes.size() > largest_datagram) {
+  std::string bytes = codec_.encode(body);
+  if (bytes.size() > max_datagram_bytes) {
     ++counters_.oversized;
     return false;
   }
@@ -980,19 +987,19 @@
 }
 
 std::size_t Core::room_in(const wire::Body& body) const {
-  const std::size_t used = body.ByteSizeLong() + sealer_.around();
-  return used >= largest_datagram ? 0 : largest_datagram - used;
+  const std::size_t used = body.ByteSizeLong() + codec_.envelope_bytes();
+  return used >= max_datagram_bytes ? 0 : max_datagram_bytes - used;
 }
 
 wire::News Core::news_of(const Member& member, bool with_word) const {
   wire::News news;
   news.set_name(member.name);
-  news.set_run(member.standing.run);
-  news.set_incarnation(member.standing.incarnation);
-  news.set_verdict(static_cast<wire::Verdict>(member.standing.verdict));
+  news.set_run(member.status.run);
+  news.set_incarnation(member.status.incarnation);
+  news.set_verdict(static_cast<wire::Verdict>(member.status.verdict));
   if (with_word) news.set_word(member.word);
   for (std::uint32_t accuser : member.accusers)
-    if (news.accusers_size() < most_accusers) news.add_accusers(accuser);
+    if (news.accusers_size() < max_accusers) news.add_accusers(accuser);
   return news;
 }
 
@@ -1006,16 +1013,16 @@
 }
 
 // As many records as fit, the newest first; false where none does.
-bool Core::shelf_items(const std::string& name, std::uint64_t run, const Shelf& shelf, std::size_t room,
-                       wire::Shelf& into) const {
+bool Core::pack_records(const std::string& name, std::uint64_t run, const RecordMap& shelf, std::size_t room,
+                        wire::Shelf& into) const {
   into.Clear();
   into.set_name(name);
   into.set_run(run);
-  std::vector<const Shelf::value_type*> newest;
+  std::vector<const RecordMap::value_type*> newest;
   for (const auto& each : shelf) newest.push_back(&each);
   std::sort(newest.begin(), newest.end(),
             [](const auto* a, const auto* b) { return a->second.version > b->second.version; });
-  for (const Shelf::value_type* each : newest) {
+  for (const RecordMap::value_type* each : newest) {
     wire::Record* record = into.add_records();
     record->set_key(each->first);
     record->set_value(each->second.value);
@@ -1028,36 +1035,37 @@
   return into.records_size() > 0;
 }
 
-int Core::times_told() const {
+int Core::transmit_limit() const {
   return 4 * std::max(1, static_cast<int>(std::ceil(std::log10(static_cast<double>(in_force()) + 1))));
 }
 
 // News for one datagram: what concerns its receiver first, then what is to be told to all.
-void Core::fill(Time now, wire::Body& body, const Member* member, std::size_t room) {
+void Core::piggyback(Time now, wire::Body& body, const Member* member, std::size_t room) {
   refill(now);
-  if (member && member->standing.verdict != Verdict::trusted && member->standing.phase != Phase::left) {
+  if (member && member->status.verdict != Verdict::trusted && member->status.phase != Phase::left) {
     wire::News news = news_of(*member, false);
     if (size_of(news) <= room) {
       room -= size_of(news);
       *body.add_news() = std::move(news);
     }
   }
-  if (tokens_ <= 0 || rumours_.empty()) return;
-  rumours_.offer(times_told(), [&](const std::string& name, Worth worth) {
+  if (tokens_ <= 0 || updates_.empty()) return;
+  updates_.offer(transmit_limit(), [&](const std::string& name, Priority priority) {
     if (room < 48) return -1;
     const bool own = name == self_.name;
     const Member* about = own ? nullptr : table_.find(name);
     if (!own && !about) return 1;
     if (about == member && about) return 0;  // it knows, or was told above
-    if (worth == Worth::record) {
+    if (priority == Priority::record) {
       wire::Shelf item;
-      if (!shelf_items(name, own ? own_.run : about->standing.run, own ? shelf_ : about->shelf, room, item))
+      if (!pack_records(name, own ? own_.run : about->status.run, own ? own_records_ : about->shelf, room,
+                        item))
         return room > 400 ? 1 : 0;
       room -= std::min(room, size_of(item));
       *body.add_shelves() = std::move(item);
       return 1;
     }
-    wire::News news = own ? own_news() : news_of(*about, about->standing.verdict == Verdict::trusted);
+    wire::News news = own ? own_news() : news_of(*about, about->status.verdict == Verdict::trusted);
     if (size_of(news) > room) return 0;
     room -= size_of(news);
     *body.add_news() = std::move(news);
@@ -1072,66 +1080,66 @@
   if (greet)
     body.mutable_padding()->resize(greeting_padding);
   else
-    fill(now, body, member, room_in(body));
-  send(now, to, body, id == 0 ? Pay::if_any : Pay::always);
+    piggyback(now, body, member, room_in(body));
+  send(now, to, body, id == 0 ? SendBudget::if_any : SendBudget::always);
 }
 
-void Core::tell_off(Time now, Member& member) {
-  if (member.told_off != Time{} && now - member.told_off < options_.period / 2) return;
-  member.told_off = now;
+void Core::send_verdict(Time now, Member& member) {
+  if (member.verdict_sent_at != Time{} && now - member.verdict_sent_at < options_.period / 2) return;
+  member.verdict_sent_at = now;
   wire::Body body = body_for(member.address, &member);
   *body.add_news() = news_of(member, true);
-  send(now, member.address, body, Pay::if_any);
+  send(now, member.address, body, SendBudget::if_any);
 }
 
 // A tick of news: to a few members drawn by chance, as long as there is any that was not told often enough.
-void Core::spread(Time now) {
-  next_spread_ = Time::max();
-  last_spread_ = now;
-  if (yields_ || rumours_.empty() || table_.in_force().empty()) return;
-  next_spread_ = now + options_.period / spreads_a_period;
-  for (int i = 0; i < spread_to && !rumours_.empty(); ++i) {
-    Member* member = any_member();
+void Core::gossip(Time now) {
+  next_gossip_ = Time::max();
+  last_gossip_ = now;
+  if (yields_ || updates_.empty() || table_.in_force().empty()) return;
+  next_gossip_ = now + options_.period / gossips_per_period;
+  for (int i = 0; i < gossip_fanout && !updates_.empty(); ++i) {
+    Member* member = random_member();
     if (member->cookie == 0) {
       ping(now, member->address, member, 0, true);
       continue;
     }
     wire::Body body = body_for(member->address, member);
-    fill(now, body, member, room_in(body));
-    if (body.news_size() + body.shelves_size() > 0) send(now, member->address, body, Pay::if_any);
+    piggyback(now, body, member, room_in(body));
+    if (body.news_size() + body.shelves_size() > 0) send(now, member->address, body, SendBudget::if_any);
   }
 }
 
-void Core::compare(Time now, Member& member, bool eager) {
-  if (member.compared != Time{} && now - member.compared < options_.period / 2) return;
+void Core::start_sync(Time now, Member& member, bool eager) {
+  if (member.compared_at != Time{} && now - member.compared_at < options_.period / 2) return;
   // One after the other: what one comparison mends, the next need not find.
   if (!eager && now - last_compared_ < options_.period) return;
-  member.compared = last_compared_ = now;
+  member.compared_at = last_compared_ = now;
   ++counters_.summaries;
   wire::Body body = body_for(member.address, &member);
   for (std::uint64_t sum : sums()) body.mutable_summary()->add_sums(sum);
   *body.add_news() = own_news();
-  send(now, member.address, body, Pay::if_plenty);
+  send(now, member.address, body, SendBudget::if_plenty);
 }
 
 // ---- the view ----
 
 bool Core::settled(Time now) const {
-  if (!speaks() || !judgements_.empty()) return false;
+  if (!participates() || !suspicion_deadlines_.empty()) return false;
   const Duration quiet = options_.period * settled_periods;
-  if (now - std::max(changed_at_, disputed_at_) < quiet) return false;
-  if (table_.in_force().empty()) return now >= joined_by_;
+  if (now - std::max(changed_at_, disagreed_at_) < quiet) return false;
+  if (table_.in_force().empty()) return now >= join_deadline_;
   return now - heard_at_ < quiet * (1 + health_);
 }
 
 // Of those in force and those gone without a word: the smaller part, or the half without the lowest name.
 bool Core::smaller_part() const {
-  std::size_t here = speaks() ? 1 : 0, gone = 0;
+  std::size_t here = participates() ? 1 : 0, gone = 0;
   const std::string* lowest = &self_.name;
   bool lowest_here = true;
   for (const auto& [name, member] : table_.all()) {
-    const bool in_force = member.standing.in_force();
-    if (!in_force && member.standing.state() != State::gone) continue;
+    const bool in_force = member.status.in_force();
+    if (!in_force && member.status.state() != State::gone) continue;
     ++(in_force ? here : gone);
     if (name < *lowest) {
       lowest = &name;
@@ -1150,27 +1158,18 @@
   next->digest = digest();
   next->in_force = in_force();
   next->settled = is_settled;
-  next->settled_since = std::max(changed_at_, disputed_at_) + options_.period * settled_periods;
+  next->settled_since = std::max(changed_at_, disagreed_at_) + options_.period * settled_periods;
   next->smaller_part = smaller_part();
   next->yields = yields_;
   auto by_name = [](const MemberView& a, const MemberView& b) { return a.name < b.name; };
   for (const auto& [name, member] : table_.all())
-    if (member.standing.run != 0)
-      next->members.push_back({name, member.standing.run, member.standing.incarnation,
-                               member.standing.state(), member.since, member.address, member.serves,
-                               member.zone, member.region, member.version,
-                               member.standing.in_force() ? member.shelf : Shelf{}});
-  MemberView self{self_.name,
-                  own_.run,
-                  own_.incarnation,
-                  Standing{0, 0, {}, phase_}.state(),
-                  {},
-                  self_.address,
-                  self_.serves,
-                  self_.zone,
-                  self_.region,
-                  self_.version,
-                  shelf_};
+    if (member.status.run != 0)
+      next->members.push_back({name, member.status.run, member.status.incarnation, member.status.state(),
+                               member.since, member.address, member.serves, member.zone, member.region,
+                               member.version, member.status.in_force() ? member.shelf : RecordMap{}});
+  MemberView self{self_.name,   own_.run,      own_.incarnation, MemberStatus{0, 0, {}, phase_}.state(),
+                  {},           self_.address, self_.serves,     self_.zone,
+                  self_.region, self_.version, own_records_};
   next->members.insert(std::lower_bound(next->members.begin(), next->members.end(), self, by_name),
                        std::move(self));
   snapshot_ = std::move(next);
--- a/src/peers/core.h
+++ b/src/peers/core.h
@@ -1,6 +1,6 @@
 // The protocol by which the brokers of a fleet keep a view of it (docs/fleet-view.md). Free of I/O: it is
 // handed the time, datagrams and the host's words, and gives back datagrams to send, notes of what changed,
-// and when it wants to be called again. All decisions about members stand here and in standing.h.
+// and when it wants to be called again. All decisions about members stand here and in status.h.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 #include <utility>
 #include <vector>
 
-#include "peers/rumours.h"
-#include "peers/table.h"
+#include "peers/member_table.h"
+#include "peers/update_queue.h"
 #include "peers/wire.h"
 
 namespace pearspar::peers {
@@ -55,7 +55,7 @@
   std::string zone;
   std::string region;
   std::string version;
-  Shelf records;
+  RecordMap records;
 };
 
 // The whole view at one moment; never changed once given out.
@@ -71,19 +71,28 @@
   std::vector<MemberView> members;  // by name, ourselves among them; gone and left ones while remembered
 };
 
-// ---- what changed, for logs and for those who judge ----
+// ---- what changed, for logs and for those who declare_gone ----
 
-enum class Cause { word, own_probe, accusers, address_taken, told, silence, alone, own };
+enum class Cause {
+  own_update,
+  own_probe,
+  accusers,
+  address_taken,
+  reported,
+  silence,
+  suspicion_expired,
+  own
+};
 
-struct Note {
+struct MemberEvent {
   std::string name;
   std::uint64_t run = 0;
   std::uint64_t incarnation = 0;
   State before = State::gone;
   bool known_before = false;
   State after = State::gone;
-  Cause cause = Cause::word;
-  std::string by;  // who told, where somebody did
+  Cause cause = Cause::own_update;
+  std::string by;  // who reported, where somebody did
   int accusers = 0;
 };
 const char* text_of(Cause cause);
@@ -115,20 +124,20 @@
   // A record of ours for all; an empty value takes it back. False where it would not fit.
   bool publish(net::Time now, const std::string& key, const std::string& value);
   // Beside those of the options, in the place of those found before.
-  void found_seeds(std::vector<net::Address> seeds);
+  void set_discovered_seeds(std::vector<net::Address> seeds);
 
   // ---- the loop's ----
   void receive(net::Time now, const net::Address& from, std::string_view bytes);
   void tick(net::Time now);
   net::Time due() const;
-  std::vector<Datagram> take_out() { return std::exchange(out_, {}); }
-  std::vector<Note> take_notes() { return std::exchange(notes_, {}); }
+  std::vector<Datagram> take_datagrams() { return std::exchange(out_, {}); }
+  std::vector<MemberEvent> take_events() { return std::exchange(events_, {}); }
 
   std::shared_ptr<const Snapshot> snapshot(net::Time now);
   const Counters& counters() const { return counters_; }
   int health() const { return health_; }  // 0 is well
   std::uint64_t digest() const;
-  std::size_t in_force() const { return table_.in_force().size() + (speaks() ? 1 : 0); }
+  std::size_t in_force() const { return table_.in_force().size() + (participates() ? 1 : 0); }
   bool settled(net::Time now) const;
   bool smaller_part() const;
   bool yields() const { return yields_; }
@@ -153,87 +162,87 @@
     std::string asker_name;
     net::Time due{};
   };
-  enum class Pay { always, if_any, if_plenty };
+  enum class SendBudget { always, if_any, if_plenty };
 
   // What comes in.
-  void take_unproven(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
-  void take_proven(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
-  void take_namesake(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
-  void take_answer(net::Time now, const wire::Body& body);
-  void take_ask(net::Time now, const Member& asker, const wire::Ask& ask);
-  void take_summary(net::Time now, const Member& member, const wire::Summary& summary);
-  void take_news(net::Time now, const wire::News& news, const std::string& teller);
-  void take_own_news(net::Time now, const wire::News& news);
-  void take_shelf(net::Time now, const wire::Shelf& shelf);
-  bool allowed(net::Time now, Member& member);
+  void handle_unverified(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
+  void handle_verified(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
+  void handle_namesake(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
+  void handle_ack(net::Time now, const wire::Body& body);
+  void handle_ping_request(net::Time now, const Member& asker, const wire::Ask& ask);
+  void handle_summary(net::Time now, const Member& member, const wire::Summary& summary);
+  void apply_news(net::Time now, const wire::News& news, const std::string& teller);
+  void apply_own_news(net::Time now, const wire::News& news);
+  void apply_shelf(net::Time now, const wire::Shelf& shelf);
+  bool within_rate_limit(net::Time now, Member& member);
 
   // Members.
-  void set_standing(net::Time now, Member& member, const Standing& standing, Cause cause,
-                    const std::string& by);
-  void accuse(net::Time now, Member& member, std::uint32_t accuser);
-  void suspect(net::Time now, Member& member, const Standing& next, Cause cause, const std::string& by,
+  void set_status(net::Time now, Member& member, const MemberStatus& status, Cause cause,
+                  const std::string& by);
+  void confirm_suspicion(net::Time now, Member& member, std::uint32_t accuser);
+  void suspect(net::Time now, Member& member, const MemberStatus& next, Cause cause, const std::string& by,
                std::vector<std::uint32_t> accusers);
-  void accuse_ourselves(net::Time now, Member& member, Cause cause);
-  void tell_all(net::Time now, const std::string& name, Worth worth);
-  void judge(net::Time now, Member& member);
+  void suspect_locally(net::Time now, Member& member, Cause cause);
+  void disseminate(net::Time now, const std::string& name, Priority priority);
+  void declare_gone(net::Time now, Member& member);
   void forget_old(net::Time now);
-  bool forget_oldest();
-  net::Time judgement_of(const Member& member) const;
-  int accusers_wanted() const;
-  void raise_own(net::Time now, std::uint64_t above);
-  void rewrite_word();
-  void start_over(net::Time now);
-  void note_hold(net::Time now);
-  void worse(int by);
-  void better();
+  bool evict_oldest();
+  net::Time suspicion_deadline_of(const Member& member) const;
+  int confirmations_wanted() const;
+  void raise_incarnation(net::Time now, std::uint64_t above);
+  void encode_own_word();
+  void reset_membership(net::Time now);
+  void detect_stall(net::Time now);
+  void degrade_health(int by);
+  void improve_health();
   void changed(net::Time now);
 
   // Probes.
   void begin_period(net::Time now);
   void begin_probe(net::Time now, const Member& target, bool check);
-  bool probe_step(net::Time now, Probe& probe);
-  void check_suspects(net::Time now);
+  bool advance_probe(net::Time now, Probe& probe);
+  void probe_suspects(net::Time now);
   Member* next_target();
-  Member* any_member();
+  Member* random_member();
   void reconnect(net::Time now);
-  void look_up_namesake(net::Time now);
+  void probe_namesake(net::Time now);
 
   // What goes out.
   wire::Body body_for(const net::Address& to, const Member* member);
-  bool send(net::Time now, const net::Address& to, const wire::Body& body, Pay pay);
-  void fill(net::Time now, wire::Body& body, const Member* member, std::size_t room);
+  bool send(net::Time now, const net::Address& to, const wire::Body& body, SendBudget budget);
+  void piggyback(net::Time now, wire::Body& body, const Member* member, std::size_t room);
   void ping(net::Time now, const net::Address& to, const Member* member, std::uint64_t id, bool greet);
-  void spread(net::Time now);
-  void compare(net::Time now, Member& member, bool eager);
-  void tell_off(net::Time now, Member& member);
+  void gossip(net::Time now);
+  void start_sync(net::Time now, Member& member, bool eager);
+  void send_verdict(net::Time now, Member& member);
   wire::News news_of(const Member& member, bool with_word) const;
   wire::News own_news() const;
-  bool shelf_items(const std::string& name, std::uint64_t run, const Shelf& shelf, std::size_t room,
-                   wire::Shelf& into) const;
+  bool pack_records(const std::string& name, std::uint64_t run, const RecordMap& shelf, std::size_t room,
+                    wire::Shelf& into) const;
   std::size_t room_in(const wire::Body& body) const;
   std::uint64_t cookie_for(const net::Address& address) const;
   std::uint64_t records_digest() const;
-  std::array<std::uint64_t, sums_in_summary> sums() const;
-  bool speaks() const { return !yields_ && phase_ != Phase::left; }
+  std::array<std::uint64_t, summary_buckets> sums() const;
+  bool participates() const { return !yields_ && phase_ != Phase::left; }
   net::Duration scaled_period() const;
-  int times_told() const;
+  int transmit_limit() const;
   void refill(net::Time now);
 
   Options options_;
   Self self_;
-  OwnStanding own_;
+  OwnStatus own_;
   Phase phase_ = Phase::joining;
   std::string word_;
-  Shelf shelf_;
-  std::uint64_t shelf_version_ = 0;
-  Sealer sealer_;
+  RecordMap own_records_;
+  std::uint64_t records_version_ = 0;
+  DatagramCodec codec_;
   std::mt19937_64 random_;
   std::uint64_t secret_;
-  Table table_;
-  Rumours rumours_;
+  MemberTable table_;
+  UpdateQueue updates_;
   Counters counters_;
   std::vector<Datagram> out_;
-  std::vector<Note> notes_;
+  std::vector<MemberEvent> events_;
 
   std::uint64_t number_ = 0;
   int health_ = 0;
@@ -245,26 +254,26 @@
   std::vector<Probe> probes_;       // that are out
   std::vector<std::string> round_;  // names still to be probed in this round
   std::vector<Relay> relays_;
-  std::set<std::pair<net::Time, std::string>> judgements_;
+  std::set<std::pair<net::Time, std::string>> suspicion_deadlines_;
   net::Time next_period_;
-  net::Time next_spread_;
-  net::Time last_spread_;
+  net::Time next_gossip_;
+  net::Time last_gossip_;
   net::Time next_reconnect_;
   net::Time next_forget_;
   net::Time finish_by_ = net::Time::max();
-  std::vector<net::Address> found_;   // seeds from elsewhere
-  std::vector<net::Address> former_;  // where members were before we started over
+  std::vector<net::Address> discovered_seeds_;  // seeds from elsewhere
+  std::vector<net::Address> former_addresses_;  // where members were before we started over
 
   double tokens_;
   net::Time tokens_at_;
-  double unproven_allowed_;
-  net::Time unproven_at_;
+  double unverified_tokens_;
+  net::Time unverified_tokens_at_;
 
-  net::Time changed_at_;   // of the members in force
-  net::Time disputed_at_;  // last time that somebody had another digest, or a member was suspect
-  net::Time heard_at_{};   // anybody
+  net::Time changed_at_;    // of the members in force
+  net::Time disagreed_at_;  // last time that somebody had another digest, or a member was suspect
+  net::Time heard_at_{};    // anybody
   net::Time last_compared_{};
-  net::Time joined_by_;  // until then seeds may answer yet
+  net::Time join_deadline_;  // until then seeds may answer yet
   std::uint64_t snapshot_number_ = 0;
   std::shared_ptr<const Snapshot> snapshot_;
 };
--- a/src/peers/standing.cpp
+++ b/src/peers/member_status.cpp
@@ -1,65 +1,65 @@
-#include "peers/standing.h"
+#include "peers/member_status.h"
 
 #include <algorithm>
 #include <limits>
 
 namespace pearspar::peers {
 
-State Standing::state() const {
+State MemberStatus::state() const {
   if (phase == Phase::left) return State::left;
   if (verdict == Verdict::gone) return State::gone;
   if (verdict == Verdict::suspect) return State::suspect;
   return phase == Phase::joining ? State::joining : phase == Phase::leaving ? State::leaving : State::alive;
 }
 
-Weighed weigh(const std::optional<Standing>& held, const Standing& heard) {
-  Standing next = heard;
-  if (next.phase == Phase::left) next.verdict = Verdict::trusted;  // nothing is left to be judged
+MergeResult merge_status(const std::optional<MemberStatus>& held, const MemberStatus& heard) {
+  MemberStatus next = heard;
+  if (next.phase == Phase::left) next.verdict = Verdict::trusted;  // nothing is left to be suspicion_deadline
   if (!held || heard.run > held->run) {
     const bool was_in_force = held && held->in_force();
-    if (next.phase == Phase::left) return {next, was_in_force ? Effect::left : Effect::kept};
+    if (next.phase == Phase::left) return {next, was_in_force ? MergeEffect::left : MergeEffect::recorded};
     if (next.verdict == Verdict::gone) {
       // Of one that is in force here, gone is hearsay: we remove by our own timer.
-      if (!was_in_force) return {next, Effect::kept};
+      if (!was_in_force) return {next, MergeEffect::recorded};
       next.verdict = Verdict::suspect;
     }
-    if (next.verdict == Verdict::suspect) return {next, Effect::suspected};
-    return {next, !held ? Effect::entered : was_in_force ? Effect::replaced : Effect::back};
+    if (next.verdict == Verdict::suspect) return {next, MergeEffect::suspected};
+    return {next, !held ? MergeEffect::joined : was_in_force ? MergeEffect::updated : MergeEffect::rejoined};
   }
-  if (heard.run < held->run || held->phase == Phase::left) return {*held, Effect::none};
-  if (next.phase == Phase::left) return {next, Effect::left};
-  if (heard.incarnation < held->incarnation) return {*held, Effect::none};
+  if (heard.run < held->run || held->phase == Phase::left) return {*held, MergeEffect::none};
+  if (next.phase == Phase::left) return {next, MergeEffect::left};
+  if (heard.incarnation < held->incarnation) return {*held, MergeEffect::none};
   const bool newer = heard.incarnation > held->incarnation;
-  if (held->verdict == Verdict::gone && !newer) return {*held, Effect::none};
+  if (held->verdict == Verdict::gone && !newer) return {*held, MergeEffect::none};
   if (next.verdict == Verdict::gone) {
-    if (held->verdict == Verdict::gone) return {next, Effect::kept};  // gone under a newer word
+    if (held->verdict == Verdict::gone) return {next, MergeEffect::recorded};  // gone under a newer word
     next.verdict = Verdict::suspect;
   }
   if (next.verdict == Verdict::suspect) {
-    if (newer || held->verdict == Verdict::trusted) return {next, Effect::suspected};
-    return {*held, Effect::accused};
+    if (newer || held->verdict == Verdict::trusted) return {next, MergeEffect::suspected};
+    return {*held, MergeEffect::confirmed};
   }
-  if (!newer) return {*held, Effect::none};
-  return {next, held->verdict == Verdict::gone ? Effect::back : Effect::replaced};
+  if (!newer) return {*held, MergeEffect::none};
+  return {next, held->verdict == Verdict::gone ? MergeEffect::rejoined : MergeEffect::updated};
 }
 
-OwnStanding raised(const OwnStanding& ours, std::uint64_t above) {
+OwnStatus next_incarnation(const OwnStatus& ours, std::uint64_t above) {
   const std::uint64_t from = std::max(ours.incarnation, above);
   if (from == std::numeric_limits<std::uint64_t>::max()) return {ours.run + 1, 0};
   return {ours.run, from + 1};
 }
 
-OwnWeighed weigh_own(const OwnStanding& ours, const Standing& heard, Place place) {
+OwnMergeResult merge_own_status(const OwnStatus& ours, const MemberStatus& heard, AddressMatch place) {
   if (heard.run < ours.run) return {ours, OwnEffect::none};
-  if (heard.run == ours.run && place == Place::ours) {
+  if (heard.run == ours.run && place == AddressMatch::same) {
     // Our own words come back to us; only what others hold against us, or what we never said, is answered.
     const bool unsaid = heard.incarnation > ours.incarnation;
     const bool against = heard.incarnation == ours.incarnation && !(heard.verdict == Verdict::trusted);
     if (!unsaid && !against) return {ours, OwnEffect::none};
-    return {raised(ours, heard.incarnation), OwnEffect::refute};
+    return {next_incarnation(ours, heard.incarnation), OwnEffect::refute};
   }
-  const bool tie_won = heard.run == ours.run && place == Place::lower;
-  if (place != Place::ours && heard.in_force() && !tie_won) return {ours, OwnEffect::yield};
+  const bool tie_won = heard.run == ours.run && place == AddressMatch::lower;
+  if (place != AddressMatch::same && heard.in_force() && !tie_won) return {ours, OwnEffect::yield};
   return {{heard.run + 1, 0}, OwnEffect::outrun};
 }
 
--- a/src/peers/standing.h
+++ b/src/peers/member_status.h
@@ -11,7 +11,7 @@
 enum class Verdict : std::uint8_t { trusted, suspect, gone };       // the others' opinion
 enum class State : std::uint8_t { joining, alive, suspect, leaving, left, gone };
 
-struct Standing {
+struct MemberStatus {
   std::uint64_t run = 0;
   std::uint64_t incarnation = 0;
   Verdict verdict = Verdict::trusted;
@@ -19,53 +19,53 @@
 
   bool in_force() const { return verdict != Verdict::gone && phase != Phase::left; }
   State state() const;
-  bool operator==(const Standing&) const = default;
+  bool operator==(const MemberStatus&) const = default;
 };
 
 // What news do to what is held.
-enum class Effect : std::uint8_t {
+enum class MergeEffect : std::uint8_t {
   none,
-  entered,    // was not known, and is in force
-  kept,       // was not known, or of an earlier run, and is kept as gone or left
-  replaced,   // a newer word of one in force
-  back,       // gone before, in force by a newer word
+  joined,     // was not known, and is in force
+  recorded,   // was not known, or of an earlier run, and is recorded as gone or left
+  updated,    // a newer word of one in force
+  rejoined,   // gone before, in force by a newer word
   suspected,  // trusted before, or suspect under an older word
-  accused,    // suspect already: one more says so
+  confirmed,  // suspect already: one more says so
   left        // its own word
 };
 
-struct Weighed {
-  Standing next;
-  Effect effect = Effect::none;
+struct MergeResult {
+  MemberStatus next;
+  MergeEffect effect = MergeEffect::none;
 };
 
 // The one place that decides which of two words about one name holds.
-Weighed weigh(const std::optional<Standing>& held, const Standing& heard);
+MergeResult merge_status(const std::optional<MemberStatus>& held, const MemberStatus& heard);
 
 // What a broker does that hears of itself.
 enum class OwnEffect : std::uint8_t {
   none,
   refute,  // say more loudly that we live: incarnation above the one heard
-  outrun,  // a former life of ours, or nobody's: take a run above it
+  outrun,  // a former life of same, or nobody's: take a run above it
   yield    // another process serves under our name, started later
 };
-struct OwnStanding {
+struct OwnStatus {
   std::uint64_t run = 0;
   std::uint64_t incarnation = 0;
 };
-struct OwnWeighed {
-  OwnStanding next;
+struct OwnMergeResult {
+  OwnStatus next;
   OwnEffect effect = OwnEffect::none;
 };
 // Where the word heard says that its owner is, seen from our own address.
-enum class Place : std::uint8_t { ours, lower, higher };
-OwnWeighed weigh_own(const OwnStanding& ours, const Standing& heard, Place place);
+enum class AddressMatch : std::uint8_t { same, lower, higher };
+OwnMergeResult merge_own_status(const OwnStatus& same, const MemberStatus& heard, AddressMatch place);
 
 // The next incarnation; after the greatest one, a run above.
-OwnStanding raised(const OwnStanding& ours, std::uint64_t above);
+OwnStatus next_incarnation(const OwnStatus& same, std::uint64_t above);
 
 // Runs above this are no broker's; what claims one is dropped as malformed.
-constexpr std::uint64_t greatest_run = std::uint64_t{1} << 62;
+constexpr std::uint64_t max_run = std::uint64_t{1} << 62;
 
 const char* name_of(State state);
 
--- a/src/peers/table.cpp
+++ b/src/peers/member_table.cpp
@@ -1,10 +1,10 @@
-#include "peers/table.h"
+#include "peers/member_table.h"
 
 #include <algorithm>
 
 namespace pearspar::peers {
 
-bool SeenNumbers::take(std::uint64_t number) {
+bool ReplayWindow::accept(std::uint64_t number) {
   if (number <= floor_ || std::find(seen_.begin(), seen_.end(), number) != seen_.end()) return false;
   floor_ = std::max(floor_, seen_[next_]);
   seen_[next_] = number;
@@ -12,33 +12,33 @@
   return true;
 }
 
-Member* Table::find(std::string_view name) {
+Member* MemberTable::find(std::string_view name) {
   auto found = members_.find(name);
   return found == members_.end() ? nullptr : &found->second;
 }
-const Member* Table::find(std::string_view name) const {
+const Member* MemberTable::find(std::string_view name) const {
   auto found = members_.find(name);
   return found == members_.end() ? nullptr : &found->second;
 }
 
-Member* Table::add(const std::string& name) {
-  if (members_.size() >= most_) return nullptr;
+Member* MemberTable::add(const std::string& name) {
+  if (members_.size() >= max_members_) return nullptr;
   Member& member = members_[name];
   member.name = name;
-  member.differs = member.records_differ = net::Time::max();
+  member.digest_differs_since = member.records_differ_since = net::Time::max();
   // Not in force until a change says so.
-  member.standing.verdict = Verdict::gone;
+  member.status.verdict = Verdict::gone;
   return &member;
 }
 
-void Table::erase(const std::string& name) {
+void MemberTable::erase(const std::string& name) {
   auto found = members_.find(name);
   if (found == members_.end()) return;
-  take_out(found->second);
+  remove_from_index(found->second);
   members_.erase(found);
 }
 
-bool Table::read_word(const std::string& word, Member& into) {
+bool MemberTable::read_word(const std::string& word, Member& into) {
   wire::Word read;
   if (!read.ParseFromString(word)) return false;
   if (read.port() == 0 || read.port() > 0xffff || read.serves_port() > 0xffff ||
@@ -50,30 +50,30 @@
   into.zone = read.zone();
   into.region = read.region();
   into.version = read.version();
-  into.standing.phase = static_cast<Phase>(read.phase());
+  into.status.phase = static_cast<Phase>(read.phase());
   return true;
 }
 
-std::uint64_t Table::weight(std::string_view name, const Standing& standing) {
-  return hash_of(name, standing.run * 0x9e3779b97f4a7c15u + standing.incarnation);
+std::uint64_t MemberTable::weight(std::string_view name, const MemberStatus& status) {
+  return hash_of(name, status.run * 0x9e3779b97f4a7c15u + status.incarnation);
 }
 
-std::uint64_t Table::weight(std::string_view name, std::uint64_t run, const Shelf& shelf) {
+std::uint64_t MemberTable::weight(std::string_view name, std::uint64_t run, const RecordMap& shelf) {
   std::uint64_t sum = 0;
   for (const auto& [key, record] : shelf)
     sum += hash_of(key, hash_of(name, run) + record.version * 0x9e3779b97f4a7c15u);
   return sum;
 }
 
-std::size_t Table::bucket(std::string_view name) { return hash_of(name, 1) % sums_in_summary; }
+std::size_t MemberTable::bucket(std::string_view name) { return hash_of(name, 1) % summary_buckets; }
 
-void Table::take_out(Member& member) {
-  if (!member.standing.in_force()) return;
-  const std::uint64_t standing = weight(member.name, member.standing);
-  const std::uint64_t shelf = weight(member.name, member.standing.run, member.shelf);
-  digest_ -= standing;
+void MemberTable::remove_from_index(Member& member) {
+  if (!member.status.in_force()) return;
+  const std::uint64_t status = weight(member.name, member.status);
+  const std::uint64_t shelf = weight(member.name, member.status.run, member.shelf);
+  digest_ -= status;
   records_ -= shelf;
-  sums_[bucket(member.name)] -= standing + shelf;
+  sums_[bucket(member.name)] -= status + shelf;
   in_force_.back()->place = member.place;
   std::swap(in_force_[member.place], in_force_.back());
   in_force_.pop_back();
@@ -81,36 +81,36 @@
   if (there != places_.end() && there->second == &member) places_.erase(there);
 }
 
-void Table::put_in(Member& member) {
-  if (!member.standing.in_force()) return;
-  const std::uint64_t standing = weight(member.name, member.standing);
-  const std::uint64_t shelf = weight(member.name, member.standing.run, member.shelf);
-  digest_ += standing;
+void MemberTable::add_to_index(Member& member) {
+  if (!member.status.in_force()) return;
+  const std::uint64_t status = weight(member.name, member.status);
+  const std::uint64_t shelf = weight(member.name, member.status.run, member.shelf);
+  digest_ += status;
   records_ += shelf;
-  sums_[bucket(member.name)] += standing + shelf;
+  sums_[bucket(member.name)] += status + shelf;
   member.place = in_force_.size();
   in_force_.push_back(&member);
   places_[member.address] = &member;
 }
 
-Member* Table::at(const net::Address& address) const {
+Member* MemberTable::at(const net::Address& address) const {
   auto found = places_.find(address);
   return found == places_.end() ? nullptr : found->second;
 }
 
-std::size_t bytes_of(const Shelf& shelf) {
+std::size_t bytes_of(const RecordMap& shelf) {
   std::size_t bytes = 0;
   for (const auto& [key, record] : shelf) bytes += key.size() + record.value.size();
   return bytes;
 }
 
-bool merge_shelf(Shelf& held, const wire::Shelf& heard, bool& changed) {
-  Shelf next = held;
+bool merge_records(RecordMap& held, const wire::Shelf& heard, bool& changed) {
+  RecordMap next = held;
   for (const wire::Record& record : heard.records()) {
     Record& at = next[record.key()];
     if (record.version() > at.version) at = {record.value(), record.version()};
   }
-  if (next.size() > static_cast<std::size_t>(most_records) || bytes_of(next) > largest_shelf) return false;
+  if (next.size() > static_cast<std::size_t>(max_records) || bytes_of(next) > max_records_bytes) return false;
   changed = next != held;
   held = std::move(next);
   return true;
--- a/src/peers/rumours.h
+++ b/src/peers/update_queue.h
@@ -1,5 +1,5 @@
-// What is still to be told, and how often: each name's news once, the worthier first, of one worth those told
-// least.
+// What is still to be told, and how often: each name's news once, the worthier first, of one priority those
+// told least.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,12 @@
 namespace pearspar::peers {
 
 // In the order in which they are sent when not all can be.
-enum class Worth : std::uint8_t { verdict, coming, record };
+enum class Priority : std::uint8_t { verdict, joining, record };
 
-class Rumours {
+class UpdateQueue {
  public:
   // Again from the start, where it was told before.
-  void add(const std::string& name, Worth worth);
+  void add(const std::string& name, Priority priority);
   void drop(const std::string& name);
   bool empty() const { return order_.empty(); }
   std::size_t size() const { return order_.size(); }
@@ -38,12 +38,12 @@
       at = order_.erase(at);
     }
     for (const Key& key : sent) {
-      auto& [worth, told, turn, name] = key;
-      const Id id{name, worth == Worth::record};
+      auto& [priority, told, turn, name] = key;
+      const Id id{name, priority == Priority::record};
       if (told + 1 >= times) {
         keys_.erase(id);
       } else {
-        Key next{worth, told + 1, ++turn_, name};
+        Key next{priority, told + 1, ++turn_, name};
         keys_[id] = next;
         order_.insert(next);
       }
@@ -51,8 +51,8 @@
   }
 
  private:
-  using Key = std::tuple<Worth, int, std::uint64_t, std::string>;  // worth, times told, turn, name
-  using Id = std::pair<std::string, bool>;                         // a name's standing, or its records
+  using Key = std::tuple<Priority, int, std::uint64_t, std::string>;  // priority, times told, turn, name
+  using Id = std::pair<std::string, bool>;                            // a name's status, or its records
   static constexpr std::size_t most_looked_at = 64;
 
   std::set<Key> order_;
--- a/src/peers/wire.cpp
+++ b/src/peers/wire.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 bool name_is_good(std::string_view name) {
-  if (name.empty() || name.size() > longest_name) return false;
+  if (name.empty() || name.size() > max_name_bytes) return false;
   for (char c : name)
     if (c <= 0x20 || c == 0x7f) return false;
   return true;
@@ -16,16 +16,17 @@
 bool body_is_good(const wire::Body& body) {
   if (!name_is_good(body.name()) || body.run() == 0 || body.port() == 0 || body.port() > 0xffff) return false;
   for (const wire::News& news : body.news())
-    if (!name_is_good(news.name()) || news.run() == 0 || news.word().size() > longest_word ||
-        news.accusers_size() > most_accusers || !wire::Verdict_IsValid(news.verdict()))
+    if (!name_is_good(news.name()) || news.run() == 0 || news.word().size() > max_word_bytes ||
+        news.accusers_size() > max_accusers || !wire::Verdict_IsValid(news.verdict()))
       return false;
   for (const wire::Shelf& shelf : body.shelves()) {
-    if (!name_is_good(shelf.name()) || shelf.run() == 0 || shelf.records_size() > most_records) return false;
+    if (!name_is_good(shelf.name()) || shelf.run() == 0 || shelf.records_size() > max_records) return false;
     for (const wire::Record& record : shelf.records())
-      if (record.key().empty() || record.key().size() > longest_key || record.value().size() > longest_value)
+      if (record.key().empty() || record.key().size() > max_key_bytes ||
+          record.value().size() > max_value_bytes)
         return false;
   }
-  return !body.has_summary() || body.summary().sums_size() == sums_in_summary;
+  return !body.has_summary() || body.summary().sums_size() == summary_buckets;
 }
 
 std::size_t with_head(std::size_t inner) { return inner + (inner < 128 ? 2 : 3) + 1; }
@@ -36,9 +37,9 @@
   return XXH64(text.data(), text.size(), salt);
 }
 
-Sealer::Sealer(std::string fleet) : fleet_(std::move(fleet)), salt_(hash_of(fleet_)) {}
+DatagramCodec::DatagramCodec(std::string fleet) : fleet_(std::move(fleet)), salt_(hash_of(fleet_)) {}
 
-std::string Sealer::seal(const wire::Body& body) const {
+std::string DatagramCodec::encode(const wire::Body& body) const {
   wire::Envelope envelope;
   envelope.set_fleet(fleet_);
   envelope.set_format(wire_format);
@@ -47,16 +48,16 @@
   return envelope.SerializeAsString();
 }
 
-Opened Sealer::open(std::string_view bytes, wire::Body& body) const {
-  if (bytes.size() > largest_datagram) return Opened::oversized;
+DecodeResult DatagramCodec::decode(std::string_view bytes, wire::Body& body) const {
+  if (bytes.size() > max_datagram_bytes) return DecodeResult::oversized;
   wire::Envelope envelope;
-  if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return Opened::malformed;
-  if (envelope.fleet() != fleet_) return Opened::foreign;
-  if (envelope.format() != wire_format) return Opened::other_format;
-  if (hash_of(envelope.body(), salt_) != envelope.check()) return Opened::spoilt;
+  if (!envelope.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return DecodeResult::malformed;
+  if (envelope.fleet() != fleet_) return DecodeResult::foreign;
+  if (envelope.format() != wire_format) return DecodeResult::other_format;
+  if (hash_of(envelope.body(), salt_) != envelope.check()) return DecodeResult::checksum_mismatch;
   body.Clear();
-  if (!body.ParseFromString(envelope.body()) || !body_is_good(body)) return Opened::malformed;
-  return Opened::good;
+  if (!body.ParseFromString(envelope.body()) || !body_is_good(body)) return DecodeResult::malformed;
+  return DecodeResult::good;
 }
 
 std::size_t size_of(const wire::News& news) { return with_head(news.ByteSizeLong()); }
--- a/src/peers/wire.h
+++ b/src/peers/wire.h
@@ -9,28 +9,28 @@
 
 namespace pearspar::peers {
 
-constexpr std::size_t largest_datagram = 1400;
+constexpr std::size_t max_datagram_bytes = 1400;
 constexpr std::uint32_t wire_format = 1;
-constexpr std::size_t longest_name = 64;
-constexpr std::size_t longest_fleet = 32;
-constexpr std::size_t longest_word = 200;
-constexpr std::size_t longest_key = 32;
-constexpr std::size_t longest_value = 256;
-constexpr std::size_t largest_shelf = 1024;  // keys and values of one broker
-constexpr int most_records = 16;
-constexpr int most_accusers = 8;
-constexpr int sums_in_summary = 64;
-
-enum class Opened { good, oversized, malformed, foreign, other_format, spoilt };
+constexpr std::size_t max_name_bytes = 64;
+constexpr std::size_t max_fleet_bytes = 32;
+constexpr std::size_t max_word_bytes = 200;
+constexpr std::size_t max_key_bytes = 32;
+constexpr std::size_t max_value_bytes = 256;
+constexpr std::size_t max_records_bytes = 1024;  // keys and values of one broker
+constexpr int max_records = 16;
+constexpr int max_accusers = 8;
+constexpr int summary_buckets = 64;
+
+enum class DecodeResult { good, oversized, malformed, foreign, other_format, checksum_mismatch };
 
 // For one fleet.
-class Sealer {
+class DatagramCodec {
  public:
-  explicit Sealer(std::string fleet);
-  std::string seal(const wire::Body& body) const;
-  Opened open(std::string_view bytes, wire::Body& body) const;
+  explicit DatagramCodec(std::string fleet);
+  std::string encode(const wire::Body& body) const;
+  DecodeResult decode(std::string_view bytes, wire::Body& body) const;
   // How many bytes an envelope adds to a body of that size, at most.
-  std::size_t around() const { return fleet_.size() + 24; }
+  std::size_t envelope_bytes() const { return fleet_.size() + 24; }
 
  private:
   std::string fleet_;
--- a/src/peersim/network.cpp
+++ b/src/peersim/network.cpp
@@ -130,7 +130,7 @@
   Broker& each = broker(number);
   if (!each.core) return;
   std::uniform_real_distribution<double> even(0, 1);
-  for (peers::Datagram& datagram : each.core->take_out()) {
+  for (peers::Datagram& datagram : each.core->take_datagrams()) {
     if (tap) tap(number, datagram.to, datagram.bytes);
     auto found = places_.find(datagram.to);
     if (found == places_.end()) continue;
@@ -148,7 +148,7 @@
       events_.push({at, ++order_, to, false, false, each.address, std::move(bytes)});
     }
   }
-  for (peers::Note& note : each.core->take_notes()) {
+  for (peers::MemberEvent& note : each.core->take_events()) {
     if (note.name != each.name)
       judge_.said({now_, each.name, note.name, note.run, note.incarnation, peers::name_of(note.after)});
     if (keep_notes) each.notes.push_back(std::move(note));
--- a/src/peersim/network.h
+++ b/src/peersim/network.h
@@ -62,7 +62,9 @@
   net::Time time_of(int broker) const;
   judge::Judge& judge() { return judge_; }
   judge::Report end() { return judge_.end(now_); }
-  std::vector<peers::Note>& notes_of(int broker) { return brokers_[static_cast<std::size_t>(broker)].notes; }
+  std::vector<peers::MemberEvent>& notes_of(int broker) {
+    return brokers_[static_cast<std::size_t>(broker)].notes;
+  }
   bool keep_notes = false;
 
  private:
@@ -76,7 +78,7 @@
     double tick_at = -1;
     double finish_at = -1;
     std::vector<std::pair<net::Address, std::string>> waiting;
-    std::vector<peers::Note> notes;
+    std::vector<peers::MemberEvent> notes;
     bool claimed_settled = false;
     std::uint64_t claimed_digest = 0;
     std::size_t claimed_in_force = 0;
--- a/src/registry/source.cpp
+++ b/src/registry/source.cpp
@@ -142,7 +142,7 @@
 // ---- the source ----
 
 RegistrySource::RegistrySource(net::Loop& loop, log::Logger& log, const RegistryOptions& options,
-                               std::uint64_t seed, membership::MembersUser& user)
+                               std::uint64_t seed, membership::MembersHandler& user)
     : loop_(loop),
       log_(log),
       user_(user),
--- a/src/registry/source.h
+++ b/src/registry/source.h
@@ -86,13 +86,13 @@
 class RegistrySource final : public membership::Source, Following::User {
  public:
   RegistrySource(net::Loop& loop, log::Logger& log, const RegistryOptions& options, std::uint64_t seed,
-                 membership::MembersUser& user);
+                 membership::MembersHandler& user);
 
   const std::string& where() const override { return where_; }
   void start() override;
   void stop() override;
   void fetch() override;
-  void make_last() override { last_ = true; }
+  void stop_reconnecting() override { last_ = true; }
   std::int64_t revision() const override { return told_ ? following_.follower().view().revision() : -1; }
   membership::SourceCounters counters() const override;
   std::string details_json() const override;
@@ -107,7 +107,7 @@
 
   net::Loop& loop_;
   log::Logger& log_;
-  membership::MembersUser& user_;
+  membership::MembersHandler& user_;
   std::string where_;
   Following following_;
   Roster roster_;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -2,7 +2,7 @@
 
 #include "config_text.h"
 #include "discovery/client.h"
-#include "membership/switch.h"
+#include "membership/source_switch.h"
 #include "peers.h"
 
 namespace pearspar::discovery {
@@ -11,7 +11,7 @@
 using peers::list_text;
 using peers::member_text;
 
-class DiscoveryTest : public ::testing::Test, protected MembersUser {
+class DiscoveryTest : public ::testing::Test, protected MembersHandler {
  protected:
   void members_told(const MemberList& list) override { told.push_back(list); }
   void members_failed() override { ++failed; }
@@ -219,7 +219,7 @@
 }
 
 // A broker's configuration may name another place while it serves.
-class SwitchTest : public ::testing::Test, protected MembersUser {
+class SwitchTest : public ::testing::Test, protected MembersHandler {
  protected:
   struct Agent : peers::Listener {
     std::string target;
@@ -261,11 +261,11 @@
   Agent first, second, third;
   std::vector<std::int64_t> told;
   membership::MakeSource at(const net::Address& address) {
-    return [this, address](MembersUser& user) {
+    return [this, address](MembersHandler& user) {
       return std::make_unique<Client>(loop, peers::quiet_log(), address, user);
     };
   }
-  membership::Switch registry{peers::quiet_log(), at(first.address()), *this};
+  membership::SourceSwitch registry{peers::quiet_log(), at(first.address()), *this};
 };
 
 // The versions of another registry count from anywhere: its list is believed at once, however low.
--- a/tests/frames_test.cpp
+++ b/tests/frames_test.cpp
@@ -13,7 +13,7 @@
 }
 
 TEST(Frames, ACallHoldsALineAndATextForEachPart) {
-  std::vector<PartToSend> parts = {{"9b1f.3", 3, 240, "c41e77d0"}, {"9b1f.11", 11, 7, "a\nb"}};
+  std::vector<OutgoingPart> parts = {{"9b1f.3", 3, 240, "c41e77d0"}, {"9b1f.11", 11, 7, "a\nb"}};
   EXPECT_EQ(call_frame(parts), frame_of('m', "9b1f.3 3 d=240 8\nc41e77d09b1f.11 11 d=7 3\na\nb"));
   EXPECT_EQ(give_up_frame("9b1f.3"), frame_of('n', "9b1f.3"));
   EXPECT_EQ(probe_frame(false), frame_of('o', ""));
@@ -40,26 +40,26 @@
 }
 
 TEST(Frames, AnAnswerIsALineAndAValue) {
-  auto answer = read_answer("9b1f.3 good 1840277719 inflight=7,util=0.61\nva\nlue");
+  auto answer = parse_answer("9b1f.3 good 1840277719 inflight=7,util=0.61\nva\nlue");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->id, "9b1f.3");
-  EXPECT_EQ(answer->end, End::served);
+  EXPECT_EQ(answer->end, PartOutcome::served);
   EXPECT_EQ(answer->report, "inflight=7,util=0.61");
   EXPECT_EQ(answer->value, "va\nlue");
-  EXPECT_EQ(read_answer("x bad 0 -\n")->end, End::error);
-  EXPECT_EQ(read_answer("x later 0 -\n")->end, End::turned_away);
-  EXPECT_EQ(read_answer("x later 0 -\n")->report, "");
+  EXPECT_EQ(parse_answer("x bad 0 -\n")->end, PartOutcome::error);
+  EXPECT_EQ(parse_answer("x later 0 -\n")->end, PartOutcome::refused);
+  EXPECT_EQ(parse_answer("x later 0 -\n")->report, "");
   for (const char* bad : {"", "x good 1 -", "\n", " good 1 -\n", "x fine 1 -\n", "x\n"})
-    EXPECT_FALSE(read_answer(bad)) << bad;
+    EXPECT_FALSE(parse_answer(bad)) << bad;
 }
 
 TEST(Frames, AReportIsReadInTheOrderOfTheSettings) {
   std::vector<std::string> fields = {"throughput", "outstanding", "strange"};
-  EXPECT_EQ(read_report("inflight=7,util=0.61,qps=12.5", fields), (std::vector<double>{12.5, 7, 0}));
-  EXPECT_EQ(read_report("throughput=3", fields), (std::vector<double>{3, 0, 0}));
-  EXPECT_TRUE(read_report("util=0.61", fields).empty());
-  EXPECT_TRUE(read_report("", fields).empty());
-  EXPECT_TRUE(read_report("qps=x,=,,qps", fields).empty());
+  EXPECT_EQ(parse_report("inflight=7,util=0.61,qps=12.5", fields), (std::vector<double>{12.5, 7, 0}));
+  EXPECT_EQ(parse_report("throughput=3", fields), (std::vector<double>{3, 0, 0}));
+  EXPECT_TRUE(parse_report("util=0.61", fields).empty());
+  EXPECT_TRUE(parse_report("", fields).empty());
+  EXPECT_TRUE(parse_report("qps=x,=,,qps", fields).empty());
 }
 
 }  // namespace
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -26,7 +26,7 @@
          rest;
 }
 
-class LinksTest : public ::testing::Test, protected LinkUser {
+class LinksTest : public ::testing::Test, protected LinkHandler {
  protected:
   LinksTest() { links.place(1, node.address(), 0); }
 
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -141,7 +141,7 @@
     while (nodelink::next_frame(left, frame) == nodelink::FrameResult::whole) {
       ++frames;
       ASSERT_LE(frame.size, left.size());
-      if (auto answer = nodelink::read_answer(frame.rest)) nodelink::read_report(answer->report, fields);
+      if (auto answer = nodelink::parse_answer(frame.rest)) nodelink::parse_report(answer->report, fields);
       left.remove_prefix(frame.size);
     }
   }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -23,9 +23,9 @@
   return options;
 }
 
-class FleetOf : public Network {
+class SimulatedFleet : public Network {
  public:
-  FleetOf(int size, std::uint64_t seed, peers::Options with = options())
+  SimulatedFleet(int size, std::uint64_t seed, peers::Options with = options())
       : Network(seed, seeded(std::move(with), size), judge::Terms{}) {
     for (int i = 0; i < size; ++i) start(i);
   }
@@ -56,7 +56,7 @@
 
 TEST(PeersTest, AFleetStartedInOneInstantSettles) {
   for (int n : {1, 2, 3, 24}) {
-    FleetOf fleet(n, 7);
+    SimulatedFleet fleet(n, 7);
     fleet.settle();
     EXPECT_TRUE(fleet.judge().agreed()) << n;
     for (int i = 0; i < n; ++i) EXPECT_EQ(fleet.core(i).in_force(), static_cast<std::size_t>(n));
@@ -66,7 +66,7 @@
 
 TEST(PeersTest, AThirdOf24KilledInOneMoment) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    FleetOf fleet(24, seed);
+    SimulatedFleet fleet(24, seed);
     fleet.settle();
     for (int i = 0; i < 8; ++i) fleet.kill(3 * i);
     fleet.settle();
@@ -82,7 +82,7 @@
 
 TEST(PeersTest, HalfFromHalfFor10SecondsAndHealed) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    FleetOf fleet(24, seed);
+    SimulatedFleet fleet(24, seed);
     fleet.settle();
     fleet.troubled();
     fleet.link = [](int from, int to) {
@@ -107,7 +107,7 @@
     EXPECT_TRUE(fleet.judge().agreed());
     EXPECT_EQ(removed(), before) << "what the other side says removes nobody of ours";
     for (int i = 0; i < 24; ++i)
-      for (const peers::Note& note : fleet.notes_of(i))
+      for (const peers::MemberEvent& note : fleet.notes_of(i))
         EXPECT_NE(note.after, peers::State::gone) << note.name;
     judge::Report report = fleet.end();
     for (const std::string& fault : report.faults) ADD_FAILURE() << "seed " << seed << ": " << fault;
@@ -118,7 +118,7 @@
 }
 
 TEST(PeersTest, TenPercentLossRemovesNobody) {
-  FleetOf fleet(24, 3);
+  SimulatedFleet fleet(24, 3);
   fleet.settle();
   fleet.restless();
   fleet.link = [](int, int) {
@@ -143,7 +143,7 @@
 }
 
 TEST(PeersTest, OneWayDeafnessRemovesNobody) {
-  FleetOf fleet(24, 5);
+  SimulatedFleet fleet(24, 5);
   fleet.settle();
   fleet.restless();
   fleet.link = [](int from, int to) { return from == 3 && to == 17 ? cut() : Link{}; };
@@ -157,7 +157,7 @@
 
 TEST(PeersTest, OneThatLosesHalfDoesNotHaveOthersRemoved) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    FleetOf fleet(24, seed);
+    SimulatedFleet fleet(24, seed);
     fleet.settle();
     fleet.restless();
     fleet.link = [](int from, int to) { return lossy(from == 9 || to == 9 ? 0.5 : 0); };
@@ -175,7 +175,7 @@
 }
 
 TEST(PeersTest, AStopOfHalfASecondRemovesNobodyOneOfTenSecondsDoesAndComesBack) {
-  FleetOf fleet(24, 11);
+  SimulatedFleet fleet(24, 11);
   fleet.settle();
   fleet.stop(4);
   fleet.run_for(500ms);
@@ -195,7 +195,7 @@
 }
 
 TEST(PeersTest, KilledAndRestartedWithinHalfAPeriod) {
-  FleetOf fleet(24, 12);
+  SimulatedFleet fleet(24, 12);
   fleet.settle();
   fleet.kill(6);
   fleet.run_for(90ms);
@@ -208,7 +208,7 @@
 
 TEST(PeersTest, ALeaveIsNeverTakenForACrash) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    FleetOf fleet(24, seed);
+    SimulatedFleet fleet(24, seed);
     fleet.settle();
     fleet.restless();
     fleet.link = [](int, int) { return lossy(0.3); };
@@ -228,7 +228,7 @@
 }
 
 TEST(PeersTest, ThreePartsHealedInTwoSteps) {
-  FleetOf fleet(24, 13);
+  SimulatedFleet fleet(24, 13);
   fleet.settle();
   fleet.troubled();
   fleet.link = [](int from, int to) { return from % 3 == to % 3 ? Link{} : cut(); };
@@ -248,7 +248,7 @@
 
 // While they were apart the seeds were replaced: nobody lives where the file says.
 TEST(PeersTest, AnHourApartWithAllSeedsReplacedMeanwhile) {
-  FleetOf fleet(12, 14);
+  SimulatedFleet fleet(12, 14);
   fleet.settle();
   fleet.troubled();
   auto side = [](int broker) { return broker % 2; };
@@ -259,7 +259,7 @@
   // Those that come in their stead know one of their side.
   for (int i = 0; i < 3; ++i) {
     fleet.start(i, 100 + i);
-    fleet.core(i).found_seeds({fleet.address(6 + i)});
+    fleet.core(i).set_discovered_seeds({fleet.address(6 + i)});
   }
   fleet.run_for(50min);
   EXPECT_LE(fleet.core(11).in_force(), 6u);
@@ -271,7 +271,7 @@
 }
 
 TEST(PeersTest, ANameAtAnotherAddressAndAnAddressUnderAnotherName) {
-  FleetOf fleet(12, 15);
+  SimulatedFleet fleet(12, 15);
   fleet.settle();
   fleet.kill(3);
   fleet.run_for(100ms);
@@ -295,7 +295,7 @@
 }
 
 TEST(PeersTest, OfTwoUnderOneNameTheLaterStaysAndTheOtherComesBackWhenItIsFree) {
-  FleetOf fleet(8, 16);
+  SimulatedFleet fleet(8, 16);
   fleet.settle();
   fleet.keep_notes = true;
   const std::uint64_t first_run = fleet.core(2).self().run;
@@ -317,7 +317,7 @@
 // it.
 TEST(PeersTest, ARestartWithAClockThatWentBack) {
   for (int place : {4, 60}) {
-    FleetOf fleet(12, 17);
+    SimulatedFleet fleet(12, 17);
     fleet.settle();
     const std::uint64_t run = fleet.core(4).self().run;
     fleet.kill(4);
@@ -333,7 +333,7 @@
 }
 
 TEST(PeersTest, ClocksHoursApartAndOneThatJumps) {
-  FleetOf fleet(12, 18);
+  SimulatedFleet fleet(12, 18);
   double jump = 0;
   fleet.clock_ahead = [&](int broker) { return Duration(3600.0 * broker + (broker == 5 ? jump : 0)); };
   // The brokers were made before the clocks were set apart: made anew.
@@ -353,7 +353,7 @@
 }
 
 TEST(PeersTest, FortyPercentLossDegradesAndRecovers) {
-  FleetOf fleet(24, 19);
+  SimulatedFleet fleet(24, 19);
   fleet.settle();
   fleet.troubled();
   fleet.link = [](int, int) { return lossy(0.4); };
@@ -368,7 +368,7 @@
 }
 
 TEST(PeersTest, ARecordChanged1000TimesASecondReachesAllAndCostsNoMore) {
-  FleetOf fleet(12, 20);
+  SimulatedFleet fleet(12, 20);
   fleet.settle();
   const std::uint64_t before = fleet.core(0).counters().sent;
   for (int i = 0; i < 5000; ++i) {
@@ -382,7 +382,7 @@
 }
 
 TEST(PeersTest, RecordsAreBoundedNewestWinsAndGoWithTheirOwner) {
-  FleetOf fleet(6, 21);
+  SimulatedFleet fleet(6, 21);
   fleet.settle();
   EXPECT_FALSE(fleet.core(0).publish(fleet.time_of(0), "k", std::string(257, 'x')));
   EXPECT_FALSE(fleet.core(0).publish(fleet.time_of(0), std::string(33, 'k'), "x"));
@@ -394,7 +394,7 @@
   auto records_at = [&](int broker) {
     for (const auto& member : fleet.core(broker).snapshot(fleet.time_of(broker))->members)
       if (member.name == "b000") return member.records;
-    return peers::Shelf{};
+    return peers::RecordMap{};
   };
   for (int i = 1; i < 6; ++i) {
     EXPECT_EQ(records_at(i).size(), 4u) << i;
@@ -412,7 +412,7 @@
   peers::Options small = options();
   small.max_members = 12;
   small.remember_gone = 100s;
-  FleetOf fleet(4, 30, small);
+  SimulatedFleet fleet(4, 30, small);
   fleet.settle();
   for (int i = 4; i < 44; ++i) {
     fleet.start(i);
@@ -438,8 +438,8 @@
 }
 
 TEST(PeersTest, AShelfThatWouldBeTooLargeIsNotTaken) {
-  peers::Shelf held = {{"a", {std::string(250, 'x'), 1}}};
-  const peers::Shelf before = held;
+  peers::RecordMap held = {{"a", {std::string(250, 'x'), 1}}};
+  const peers::RecordMap before = held;
   peers::wire::Shelf heard;
   for (int i = 0; i < 5; ++i) {
     peers::wire::Record& record = *heard.add_records();
@@ -448,16 +448,16 @@
     record.set_version(2);
   }
   bool changed = false;
-  EXPECT_FALSE(peers::merge_shelf(held, heard, changed));
+  EXPECT_FALSE(peers::merge_records(held, heard, changed));
   EXPECT_EQ(held, before);
   heard.mutable_records()->DeleteSubrange(2, 3);
-  EXPECT_TRUE(peers::merge_shelf(held, heard, changed));
+  EXPECT_TRUE(peers::merge_records(held, heard, changed));
   EXPECT_TRUE(changed);
   EXPECT_EQ(held.size(), 3u);
 }
 
 TEST(PeersTest, AJoinerThatComesLateLearnsAllRecords) {
-  FleetOf fleet(8, 22);
+  SimulatedFleet fleet(8, 22);
   fleet.settle();
   for (int i = 0; i < 8; ++i) {
     for (int k = 0; k < 4; ++k)
@@ -475,7 +475,7 @@
 
 // What is written down of each datagram is played back much later, to everybody, from where it came.
 TEST(PeersTest, OldDatagramsPlayedBackChangeNothing) {
-  FleetOf fleet(8, 23);
+  SimulatedFleet fleet(8, 23);
   struct Sent {
     int from;
     pearspar::net::Address to;
@@ -507,7 +507,7 @@
 }
 
 TEST(PeersTest, StrangersAreDroppedByCauseAndGetNoMoreThanTheySent) {
-  FleetOf fleet(4, 24);
+  SimulatedFleet fleet(4, 24);
   fleet.settle();
   const pearspar::net::Address stranger{0x0a0000fe, 7000};
   std::size_t in = 0, out = 0;
@@ -529,13 +529,13 @@
   body.set_port(stranger.port);
   body.mutable_ping()->set_probe(1);
   const peers::Counters before = fleet.core(0).counters();
-  const std::string good = peers::Sealer("test").seal(body);
-  for (int i = 0; i < 100; ++i) send(peers::Sealer("fleet" + std::to_string(i)).seal(body));
+  const std::string good = peers::DatagramCodec("test").encode(body);
+  for (int i = 0; i < 100; ++i) send(peers::DatagramCodec("fleet" + std::to_string(i)).encode(body));
   EXPECT_EQ(fleet.core(0).counters().foreign - before.foreign, 100u);
   send(good);
   EXPECT_EQ(fleet.core(0).counters().unproven - before.unproven, 1u);
   body.mutable_padding()->resize(300);
-  send(peers::Sealer("test").seal(body));
+  send(peers::DatagramCodec("test").encode(body));
   EXPECT_GT(out, 0u) << "with room it is answered";
   std::string spoilt = good;
   spoilt[spoilt.size() / 2] ^= 1;
@@ -552,7 +552,7 @@
   EXPECT_EQ(fleet.core(0).counters().other_format - before.other_format, 1u);
   // What says that it is somewhere else.
   body.set_host(stranger.host + 1);
-  send(peers::Sealer("test").seal(body));
+  send(peers::DatagramCodec("test").encode(body));
   EXPECT_EQ(fleet.core(0).counters().wrong_source - before.wrong_source, 1u);
   // News from one who has not proven its address are not believed.
   body.set_host(stranger.host);
@@ -571,7 +571,7 @@
   word.set_phase(peers::wire::ALIVE);
   word.SerializeToString(own.mutable_word());
   const std::uint64_t refuted = fleet.core(1).counters().refuted;
-  send(peers::Sealer("test").seal(body));
+  send(peers::DatagramCodec("test").encode(body));
   fleet.run_for(1s);
   EXPECT_EQ(fleet.core(0).in_force(), 4u);
   EXPECT_EQ(fleet.core(1).counters().refuted, refuted) << "nobody was made a suspect by it";
@@ -587,7 +587,7 @@
   constexpr double budget = 15'000;  // the least that the options take at this period
   peers::Options tight = options();
   tight.bytes_per_s = static_cast<std::size_t>(budget);
-  FleetOf fleet(24, 25, tight);
+  SimulatedFleet fleet(24, 25, tight);
   std::map<int, double> bytes;
   fleet.tap = [&](int from, const pearspar::net::Address&, const std::string& datagram) {
     bytes[from] += static_cast<double>(datagram.size());
@@ -610,15 +610,15 @@
 
 // A later version says more in its word; what we do not know of it is handed on as it came.
 TEST(PeersTest, WordsOfALaterVersionArePassedOnWhole) {
-  FleetOf fleet(3, 26);
+  SimulatedFleet fleet(3, 26);
   fleet.settle();
-  peers::Sealer sealer("test");
+  peers::DatagramCodec codec("test");
   const pearspar::net::Address later{0x0a0000fd, 7000};
   std::uint64_t cookie = 0;
   std::string heard;
   fleet.tap = [&](int, const pearspar::net::Address& to, const std::string& bytes) {
     peers::wire::Body body;
-    if (to == later && sealer.open(bytes, body) == peers::Opened::good) cookie = body.cookie();
+    if (to == later && codec.decode(bytes, body) == peers::DecodeResult::good) cookie = body.cookie();
   };
   peers::wire::Word word;
   word.set_host(later.host);
@@ -642,14 +642,14 @@
     news.set_incarnation(1);
     word.SerializeToString(news.mutable_word());
     body.GetReflection()->MutableUnknownFields(&body)->AddVarint(77, 1);
-    fleet.inject(later, 0, sealer.seal(body));
+    fleet.inject(later, 0, codec.encode(body));
     fleet.run_for(5ms);
   };
   send(1);
   ASSERT_NE(cookie, 0u);
   fleet.tap = [&](int, const pearspar::net::Address&, const std::string& bytes) {
     peers::wire::Body body;
-    if (sealer.open(bytes, body) != peers::Opened::good) return;
+    if (codec.decode(bytes, body) != peers::DecodeResult::good) return;
     for (const auto& news : body.news())
       if (news.name() == "later" && !news.word().empty()) heard = news.word();
   };
@@ -663,7 +663,7 @@
 TEST(PeersTest, StoppedForLongerThanTheOthersRememberItStartsOver) {
   peers::Options brief = options();
   brief.remember_gone = 60s;
-  FleetOf fleet(8, 27, brief);
+  SimulatedFleet fleet(8, 27, brief);
   fleet.settle();
   fleet.stop(4);
   fleet.run_for(10s);
@@ -679,7 +679,7 @@
 }
 
 TEST(PeersTest, ASnapshotIsWholeAndItsNumberRises) {
-  FleetOf fleet(6, 28);
+  SimulatedFleet fleet(6, 28);
   fleet.settle();
   const auto first = fleet.core(0).snapshot(fleet.time_of(0));
   EXPECT_EQ(first, fleet.core(0).snapshot(fleet.time_of(0))) << "nothing changed";
@@ -702,7 +702,7 @@
 
 TEST(PeersTest, TheSameSeedGivesTheSameRun) {
   auto play = [](std::uint64_t seed) {
-    FleetOf fleet(12, seed);
+    SimulatedFleet fleet(12, seed);
     fleet.link = [](int, int) { return lossy(0.1); };
     fleet.run_for(20s);
     fleet.kill(2);
@@ -717,7 +717,7 @@
 }
 
 TEST(PeersTest, ThreeHundredSettleAndNoticeACrash) {
-  FleetOf fleet(300, 29);
+  SimulatedFleet fleet(300, 29);
   fleet.settle();
   EXPECT_TRUE(fleet.judge().agreed());
   fleet.kill(100);
--- a/tests/registry_harness.h
+++ b/tests/registry_harness.h
@@ -21,7 +21,7 @@
 }
 
 // What a broker would hold of what it is told. Every telling must tell something.
-class Listener : public membership::MembersUser {
+class Listener : public membership::MembersHandler {
  public:
   void members_told(const membership::MemberList& list) override {
     ++tellings;
