--- a/src/membership/fixed_source.h
+++ b/src/membership/fixed_source.h
@@ -1,4 +1,4 @@
-// A list of nodes that stands in a file and never changes by itself.
+// A fixed list of nodes, read from the configuration.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 class FixedSource final : public Source {
  public:
-  // `list` must be whole. Two fixed lists are the same where their text form is.
+  // `list` must be complete. Two fixed lists with equal text form count as the same source.
   FixedSource(MemberList list, MembersHandler& user) : list_(std::move(list)), user_(user) {
     list_.complete = true;
     where_ = "a fixed list of " + std::to_string(list_.entries.size()) + " nodes (" + mark() + ")";
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -1,4 +1,4 @@
-// The list of nodes, wherever it comes from, and who is told of it.
+// The list of nodes, the interface of its sources and the handler of its updates.
 #pragma once
 
 #include <cstdint>
@@ -21,14 +21,14 @@
   int cell = 0;
   Phase phase = Phase::ready;
   double size = 1;
-  double up_since_ms = 0;  // Unix time; 0 = long ago
+  double up_since_ms = 0;  // Unix time; 0: long ago
 
   bool operator==(const Entry&) const = default;
 };
 
 struct MemberList {
-  std::int64_t revision = 0;  // counted by its source; of another source, or another life, it says nothing
-  bool complete = false;      // the whole list, not only what has changed
+  std::int64_t revision = 0;  // comparable only within one run of one source
+  bool complete = false;      // the whole list, not only changes
   std::vector<Entry> entries;
 };
 
@@ -40,9 +40,9 @@
 };
 
 struct SourceCounters {
-  std::uint64_t lists = 0;    // whole ones
-  std::uint64_t changes = 0;  // tellings that held any
-  std::uint64_t stale = 0;    // older than what stands, or told before
+  std::uint64_t lists = 0;    // complete lists
+  std::uint64_t changes = 0;  // updates with at least one change
+  std::uint64_t stale = 0;    // older than the list in force, or repeated
   std::uint64_t failures = 0;
 
   SourceCounters& operator+=(const SourceCounters& other) {
@@ -54,23 +54,23 @@
   }
 };
 
-// One place that the list comes from: the platform's agent, a registry, a list that stands in a file. The
-// first thing that it tells is a whole list.
+// A source of the list: the platform's agent, a registry or a fixed list. Its first update is a complete
+// list.
 class Source {
  public:
   virtual ~Source() = default;
-  // Names the place: two sources of one name are the same.
+  // Identifies the source: two sources with equal text are the same.
   virtual const std::string& where() const = 0;
-  virtual void start() = 0;  // does nothing where it has started already
+  virtual void start() = 0;  // idempotent
   virtual void stop() = 0;
-  // Asks for the whole list again.
+  // Requests the complete list again.
   virtual void fetch() = 0;
-  // Goes on telling for as long as it can without a new connection.
+  // Keeps reporting on the present connection but opens no new one.
   virtual void stop_reconnecting() = 0;
-  // Of the list that stands; -1 where there is none yet.
+  // Of the list in force; -1 if there is none yet.
   virtual std::int64_t revision() const = 0;
   virtual SourceCounters counters() const = 0;
-  // More of its own, as members of a JSON object; empty where there are none.
+  // Further members of a JSON object; may be empty.
   virtual std::string details_json() const { return {}; }
 };
 
--- a/src/membership/source_switch.cpp
+++ b/src/membership/source_switch.cpp
@@ -27,13 +27,13 @@
   log_.info("the list of nodes moves from {} to {}", where(), next->where());
   if (pending_) retired_counters_ += pending_->counters();
   pending_ = std::move(next);
-  // What stands goes on telling while its connection does, but no other is made there.
+  // The current source keeps reporting on its connection but does not reconnect.
   current_->stop_reconnecting();
   if (started_) pending_->start();
 }
 
-// The source that was moved to has told its first list exactly when it has a version: it takes over at once,
-// so that whatever the former one may yet say, perhaps older, no longer counts.
+// The pending source has a revision exactly when its first list has arrived. It takes over at once, so that
+// later, perhaps older, lists of the former source are ignored.
 void SourceSwitch::members_told(const MemberList& list) {
   if (pending_ && pending_->revision() >= 0) {
     retired_counters_ += current_->counters();
--- a/src/membership/source_switch.h
+++ b/src/membership/source_switch.h
@@ -1,5 +1,5 @@
-// Where the list of nodes comes from, which may move while the broker runs: the source that stands serves
-// until the new one has told its whole list, and then ends.
+// Replaces the source of the node list at run time: the current source serves until the new one has
+// delivered its first complete list.
 #pragma once
 
 #include <functional>
@@ -17,17 +17,16 @@
   SourceSwitch(log::Logger& log, const MakeSource& make, MembersHandler& user)
       : log_(log), user_(user), current_(make(*this)) {}
 
-  void start();  // does nothing where it has started already
+  void start();  // idempotent
   void stop();
-  // Asks for the whole list again.
+  // Requests the complete list again.
   void fetch();
-  // From here on the list comes from another source, unless it is the same. Its versions count for
-  // themselves.
+  // Moves to another source, unless it is the same one. Revisions of the two sources are not comparable.
   void move(const MakeSource& make);
 
   const std::string& where() const { return (pending_ ? *pending_ : *current_).where(); }
   bool moving() const { return pending_ != nullptr; }
-  // Of the list that stands; -1 where there is none yet.
+  // Of the list in force; -1 if there is none yet.
   std::int64_t revision() const { return current_->revision(); }
   SourceCounters counters() const;
   std::string details_json() const { return current_->details_json(); }
@@ -41,7 +40,7 @@
   bool started_ = false;
   std::unique_ptr<Source> current_;
   std::unique_ptr<Source> pending_;
-  SourceCounters retired_counters_;  // of sources that have been left
+  SourceCounters retired_counters_;  // of replaced sources
 };
 
 }  // namespace pearspar::membership
--- a/src/nodelink/frames.cpp
+++ b/src/nodelink/frames.cpp
@@ -25,7 +25,7 @@
   return word;
 }
 
-// A report's words on the node's wire, beside those of the settings.
+// The names of report fields in the settings and on the wire.
 struct FieldName {
   std::string_view in_settings;
   std::string_view on_wire;
@@ -78,7 +78,7 @@
   PartAnswer answer;
   answer.id = next_token(line, ' ');
   std::string_view end = next_token(line, ' ');
-  next_token(line, ' ');  // a score, which nothing here goes by
+  next_token(line, ' ');  // the score, not used here
   answer.report = line == "-" ? std::string_view{} : line;
   answer.value = rest.substr(line_end + 1);
   if (answer.id.empty()) return std::nullopt;
--- a/src/nodelink/frames.h
+++ b/src/nodelink/frames.h
@@ -1,5 +1,5 @@
-// The frames that brokers and nodes exchange: a length of four bytes, most significant first, a letter, and
-// the rest; the length covers the letter and the rest.
+// The frames between brokers and nodes: a four-byte big-endian length, a letter and a payload. The length
+// covers the letter and the payload.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 namespace pearspar::nodelink {
 
 inline constexpr std::size_t frame_header_bytes = 4;
-// A reply to a client holds 64 KiB at most, so no value in it can be larger.
+// A reply to a client is limited to 64 KiB, so no value in it can be larger.
 inline constexpr std::size_t max_frame_bytes = 66 * 1024;
 
 struct OutgoingPart {
@@ -30,7 +30,7 @@
 struct FrameView {
   char letter = 0;
   std::string_view rest;
-  std::size_t size = 0;  // with its length
+  std::size_t size = 0;  // of the whole frame, length field included
 };
 enum class FrameResult { more, whole, broken };
 FrameResult next_frame(std::string_view bytes, FrameView& frame);
@@ -39,14 +39,14 @@
 struct PartAnswer {
   std::string_view id;
   PartOutcome end = PartOutcome::error;
-  std::string_view report;  // empty where there is none
+  std::string_view report;  // empty if there is none
   std::string_view value;
 };
-// Nothing where the text is no answer.
+// Nothing if the text is malformed.
 std::optional<PartAnswer> parse_answer(std::string_view rest);
 
-// "inflight=7,util=0.61": the values in the order of `fields`, 0 for those that are not in it; empty where no
-// known one is.
+// Parses "inflight=7,util=0.61": the values in the order of `fields`, 0 for missing ones; empty if none is
+// known.
 std::vector<double> parse_report(std::string_view report, std::span<const std::string> fields);
 
 }  // namespace pearspar::nodelink
--- a/src/nodelink/links.cpp
+++ b/src/nodelink/links.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t read_step = 16 * 1024;
-constexpr int reads_at_once = 8;  // then the others get their turn
+constexpr int reads_at_once = 8;  // before other connections are served
 
 }  // namespace
 
@@ -17,8 +17,8 @@
 void Links::place(NodeId node, const net::Address& address, double up_since_ms) {
   Node& known = nodes_[node];
   known.gone = false;
-  // A node that moved or started anew no longer stands behind the connections made before; on a machine that
-  // vanished they would stay silent.
+  // Connections to an earlier address or process no longer lead to this node; if its machine vanished
+  // they would stay silent.
   if (known.address != address || known.up_since_ms < up_since_ms)
     for (net::SlotId id : std::vector(known.connections)) retire_connection(id);
   known.address = address;
@@ -55,8 +55,8 @@
   }
 }
 
-// Where there are more nodes than descriptors, the node that is sent to takes the place of the one not sent
-// to for the longest: its part would else fail as if the node could not be reached.
+// With more nodes than descriptors, the node that is sent to displaces the one not used for longest;
+// otherwise its part would fail as if the node were unreachable.
 bool Links::close_one_idle() {
   net::SlotId oldest;
   net::Time least = net::Time::max();
@@ -73,7 +73,7 @@
   return true;
 }
 
-// One line when a node begins to fail and one when it answers again: what lies between is counted.
+// Logs the first failure of a node and its first answer after that; failures in between are only counted.
 void Links::note_failure(Node& node, const char* why) {
   if (++node.failures == 1) log_.warning("node at {}: {}", node.address.text(), why);
 }
@@ -128,11 +128,11 @@
   frame.bytes = call_frame(parts);
 }
 
-// A connection can fall silent while its node serves on others: the path behind it is gone, and nobody says
-// so. Found on such a day: all that went to the node kept going to that connection until all its places were
-// taken by attempts given up. Once an attempt on it is taken for lost (called off, timed out, or sent again)
-// and nothing has been read since it went out, the connection gets nothing new until something is read, and
-// ends once no answer can come any more. When a whole node hangs, each attempt taken for lost may so cost one
+// Detects a connection that has gone silent while its node serves on others, as with a broken network path.
+// Once an attempt on it is presumed lost (cancelled, timed out or sent again) and nothing has been read
+// since it was written, the connection gets no new calls until something is read, and is closed once no
+// answer can arrive. If a whole node hangs, each lost attempt may cost one further connection until the
+// deadline of its query.
 // connection more, until its query's deadline.
 void Links::mark_silent(const Attempt& attempt) {
   Connection* connection = connections_.find(attempt.connection);
@@ -142,7 +142,7 @@
   ++counters_.fell_silent;
 }
 
-// Closes it where nothing can come of it any more; true where it did.
+// Closes a silent connection with nothing in flight; true if it did.
 bool Links::end_silent_attempts(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   if (!connection.silent || !connection.attempts.empty() || !connection.abandoned.empty() ||
@@ -158,17 +158,17 @@
   for (auto it = by_part_.lower_bound({part, 0}); it != end; ++it) mark_silent(*attempts_.find(it->second));
 }
 
-// One with a free place on which none of these ids is still awaited: two answers under one id could not be
-// told apart. One that is up comes first, then one that is coming up, then a new one.
+// Chooses a connection with a free place on which none of these ids is awaited, as two answers under one id
+// could not be told apart. Prefers an established connection, then one being established, then a new one.
 net::SlotId Links::connection_for(NodeId node, std::span<const Call> call) {
   net::SlotId coming;
   auto known = nodes_.find(node);
-  if (known == nodes_.end()) return {};  // gone, with all that was known of it
+  if (known == nodes_.end()) return {};  // removed
   for (net::SlotId id : std::vector(known->second.connections)) {
     Connection& connection = *connections_.find(id);
     forget_old(connection);
     if (end_silent_attempts(id)) continue;
-    // Behind a frame that stands half read nothing else may ever come.
+    // A partial frame is buffered: the rest may never arrive.
     if (connection.retired || connection.silent || connection.in.size() > 0 ||
         connection.calls.size() >= static_cast<std::size_t>(limits_.calls_per_connection))
       continue;
@@ -184,7 +184,7 @@
 }
 
 net::SlotId Links::open(NodeId node) {
-  bool room = user_.make_room();  // which may end a connection, and with it a node that is gone
+  bool room = user_.make_room();  // may close a connection, and with it drop a removed node
   Node& known = nodes_[node];
   if (known.address.port == 0 || !room) {
     ++counters_.connects_failed;
@@ -230,7 +230,7 @@
     connection->front_written += written;
     connection->last_used = loop_.now();
     if (written < left.size()) continue;
-    // From here on the node may have run it.
+    // From here on the node may have executed the call.
     for (const QueuedPart& part : frame.parts)
       if (Attempt* attempt = attempts_.find(part.attempt)) {
         attempt->written = true;
@@ -247,7 +247,7 @@
   connection.watch.want(static_cast<short>(POLLIN | (connection.out.empty() ? 0 : POLLOUT)));
 }
 
-// ---- giving up ----
+// ---- cancelling ----
 
 void Links::give_up(PartId part, int attempt) {
   auto found = by_part_.find({part, attempt});
@@ -263,14 +263,14 @@
   bool tell = false;
   std::string wire_id = attempt->id;
   if (connection) {
-    // What has not begun to go out need not go out at all.
+    // An unwritten part is simply removed.
     if (!unqueue(*connection, slot)) {
       connection->abandoned[wire_id] = {attempt->call, attempt->forget_at};
       tell = limits_.may_cancel;
     }
   }
   end(slot, outcome);
-  // The end of a connection gives up whatever its node may still have of it.
+  // Closing the connection cancels whatever the node still has of it.
   if (connection && connection->retired) retire_connection(id);
   if (tell && connections_.find(id)) {
     ++counters_.give_ups_sent;
@@ -278,7 +278,7 @@
   }
 }
 
-// False where its frame has begun to go out.
+// False if its frame has begun to be written.
 bool Links::unqueue(Connection& connection, net::SlotId slot) {
   for (auto frame = connection.out.begin(); frame != connection.out.end(); ++frame) {
     if (!frame->bytes.empty()) continue;
@@ -291,8 +291,7 @@
   return false;
 }
 
-// A frame can wait behind a connection that is coming up or a node that does not read, longer than its query
-// is open.
+// A frame may wait for a connection being established or a slow reader until after the end of its query.
 void Links::withdraw(PartId part) {
   for (auto it = by_part_.lower_bound({part, 0}); it != by_part_.end() && it->first.first == part;) {
     net::SlotId slot = it->second;
@@ -307,7 +306,7 @@
   if (found != connection.calls.end() && --found->second <= 0) connection.calls.erase(found);
 }
 
-// So many that an answer that comes again, or long after its query, is told from one that is spoilt.
+// Remembers enough ids to distinguish a repeated or late answer from a corrupt one.
 void Links::remember_settled(Connection& connection, std::string_view wire_id) {
   connection.settled.push_back(std::hash<std::string_view>{}(wire_id));
   if (connection.settled.size() > 4 * static_cast<std::size_t>(limits_.calls_per_connection))
@@ -358,7 +357,7 @@
   write(id);
 }
 
-// False where the connection is gone afterwards.
+// False if the connection was closed.
 bool Links::read(net::SlotId id) {
   for (int i = 0; i < reads_at_once; ++i) {
     Connection* connection = connections_.find(id);
@@ -379,7 +378,7 @@
       if (!connection) return false;
       connection->in.consume(frame.size);
     }
-    // With nothing out, what is left over belongs to nothing.
+    // With nothing in flight, leftover bytes belong to no answer.
     bool idle = connection->attempts.empty() && connection->abandoned.empty() && connection->probes.empty();
     if (found == FrameResult::broken || (idle && connection->in.size() > 0)) {
       ++counters_.broken_frames;
@@ -429,7 +428,7 @@
       ++counters_.late_answers;
       return;
     }
-    // An answer under a spoilt id: what it was meant for is lost, and which one that is cannot be told.
+    // An answer under a corrupt id: which request it was meant for is unknown.
     ++counters_.unknown_answers;
     return close(id, "an answer to nothing that was sent");
   }
@@ -446,8 +445,7 @@
 
 void Links::arm_idle_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
-  // A request must not cross the node's own close: what needs longer than a connect may take is not of this
-  // network.
+  // Closes before the node does, with a margin, so that no request crosses the node's close.
   net::Duration keep = std::max(limits_.idle_close - 2 * limits_.connect_timeout, limits_.idle_close / 2);
   net::Time due = std::max(connection.last_used + keep, loop_.now() + keep / 100);
   connection.timer = loop_.at(due, [this, id] { on_idle_timer(id); });
@@ -475,7 +473,7 @@
   if (node.gone && node.connections.empty()) nodes_.erase(known);
   Connection ended = std::move(*connection);
   connections_.release(id);
-  // Its descriptor is closed before anything is told, so that an answer to the news finds it free.
+  // The descriptor is closed before the outcomes are reported, so that handlers can reuse it.
   ended.watch.reset();
   ended.timer.reset();
   ended.probe_timer.reset();
--- a/src/nodelink/links.h
+++ b/src/nodelink/links.h
@@ -1,5 +1,5 @@
-// The broker's connections to nodes and the attempts and probes that are out on them. Each attempt ends with
-// exactly one outcome; an answer that comes after it is dropped.
+// The broker's connections to nodes and the attempts and probes in flight on them. Each attempt ends with
+// exactly one outcome; a later answer is dropped.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 struct LinkLimits {
   int calls_per_connection = 1;
   net::Duration connect_timeout{};
-  net::Duration idle_close{};  // after so long the node closes a connection that stands idle
+  net::Duration idle_close{};  // the node closes a connection after this idle time
   bool may_cancel = false;
 };
 
@@ -37,11 +37,11 @@
   std::uint64_t closed_idle = 0;
   std::uint64_t closed_for_room = 0;
   std::uint64_t late_answers = 0;
-  std::uint64_t unknown_answers = 0;  // to nothing that was sent there: the connection ends
+  std::uint64_t unknown_answers = 0;  // answers that match no request; the connection is closed
   std::uint64_t broken_frames = 0;
   std::uint64_t complaints = 0;
   std::uint64_t closed_silent = 0;
-  std::uint64_t fell_silent = 0;  // connections avoided, since an attempt on them was taken for lost
+  std::uint64_t fell_silent = 0;  // connections avoided after an attempt on them was presumed lost
 };
 
 using engine::AttemptEnd;
@@ -53,7 +53,7 @@
   virtual ~LinkHandler() = default;
   virtual void attempt_ended(const AttemptEnd& end) = 0;
   virtual void probe_ended(const ProbeEnd& end) = 0;
-  // A descriptor is needed for a node: make room where there is none. False where that is impossible.
+  // Frees a descriptor for a connection to a node if none is left. False if that is impossible.
   virtual bool make_room() = 0;
 };
 
@@ -62,22 +62,22 @@
   Links(net::Loop& loop, log::Logger& log, const LinkLimits& limits, LinkHandler& user)
       : loop_(loop), log_(log), limits_(limits), user_(user) {}
 
-  // Where a node listens and when it last started; connections to another place or an earlier life are used
-  // no more.
+  // Sets the address of a node and the time of its last start; connections to an earlier address or
+  // process get no new requests.
   void place(NodeId node, const net::Address& address, double up_since_ms);
-  // The node is gone: its connections end with what is out on them.
-  // What is known of it is given back with the last of them.
+  // Removes a node; its connections are closed as soon as nothing is in flight on them, and its state is
+  // dropped with the last one.
   void retire(NodeId node);
 
-  // A part that is sent again while an attempt is out says that this one is taken for lost.
+  // Sending a part again while an earlier attempt is in flight presumes that attempt lost.
   void send(NodeId node, std::span<const Call> call);
-  // The part's query is over: what has not begun to go out to a node must not go out any more.
+  // The query of the part is over: ends its attempts that have not begun to be written.
   void withdraw(PartId part);
-  // Ends the attempt as called off; nothing where it has ended already.
+  // Ends the attempt as cancelled; does nothing if it has ended.
   void give_up(PartId part, int attempt);
   void probe(NodeId node, bool for_load);
   void drop_idle(NodeId node);
-  // Gives back the connection that has carried nothing for the longest. False where each carries something.
+  // Closes the connection that has been idle longest. False if none is idle.
   bool close_one_idle();
 
   std::size_t nodes() const { return nodes_.size(); }
@@ -95,7 +95,7 @@
     std::string id;
     net::Time sent{};
     net::Time forget_at{};
-    bool written = false;  // the last byte of its frame has gone out
+    bool written = false;  // the last byte of its frame has been written
     net::Time written_at{};
     net::Timer timer;
   };
@@ -105,16 +105,16 @@
     std::string text;
     net::Time give_up_at{};
   };
-  // A call is written out as bytes only when its turn has come: until then parts may leave it.
+  // A call is serialized only when its turn to be written has come; until then parts may be removed.
   struct Frame {
     std::string bytes;
     std::vector<QueuedPart> parts;
   };
   struct Probe {
     net::Time sent{};
-    bool ended = false;  // its time is up; its answer is still awaited, since answers come in order
+    bool ended = false;  // timed out; the answer is still awaited, as answers come in order
   };
-  // An attempt that has been given up here while its node may still answer it.
+  // An attempt ended here whose node may still answer it.
   struct Abandoned {
     std::uint64_t call = 0;
     net::Time forget_at{};
@@ -123,19 +123,20 @@
     NodeId node = 0;
     net::Fd fd;
     net::Watch watch;
-    net::Timer timer;  // while it comes up, the connect time-out; afterwards the idle time
+    net::Timer timer;  // the connect timeout, then the idle timeout
     bool up = false;
     bool retired = false;
-    bool silent = false;  // an attempt on it was taken for lost, and nothing has been read since it went out
+    bool silent =
+        false;  // an attempt on it was presumed lost and nothing has been read since that was written
     net::Time last_read{};
     net::Time last_used{};
     net::Buffer in;
     std::deque<Frame> out;
-    std::size_t front_written = 0;  // of the first frame in `out`
+    std::size_t front_written = 0;  // bytes of the first frame in `out`
     std::map<std::string, net::SlotId, std::less<>> attempts;
     std::map<std::string, Abandoned, std::less<>> abandoned;
-    std::deque<std::size_t> settled;     // hashes of the last ids that were answered or forgotten
-    std::map<std::uint64_t, int> calls;  // parts still out, by call
+    std::deque<std::size_t> settled;     // hashes of the ids answered or forgotten last
+    std::map<std::uint64_t, int> calls;  // parts in flight, by call
     std::deque<Probe> probes;
     net::Timer probe_timer;
   };
@@ -144,7 +145,7 @@
     double up_since_ms = 0;
     std::vector<net::SlotId> connections;
     bool gone = false;
-    std::uint64_t failures = 0;  // connections that broke or did not come up since it last answered
+    std::uint64_t failures = 0;  // failed connections since the last answer
   };
 
   void note_failure(Node& node, const char* why);
@@ -173,9 +174,9 @@
   void remember_settled(Connection& connection, std::string_view wire_id);
   void release_call_part(Connection& connection, std::uint64_t call);
   void retire_connection(net::SlotId id);
-  // The one place where a connection ends: what is out on it gets its outcome.
+  // All connections are closed here; attempts and probes in flight get their outcome.
   void close(net::SlotId id, const char* why);
-  // The one place where an attempt ends.
+  // All attempts end here.
   void end(net::SlotId attempt, Outcome outcome, std::string_view value = {}, std::string_view report = {});
   void abandon(net::SlotId attempt, Outcome outcome);
 
--- a/src/peerlink/fleet.cpp
+++ b/src/peerlink/fleet.cpp
@@ -11,11 +11,11 @@
 namespace pearspar::peerlink {
 namespace {
 
-// One turn takes so many datagrams; what more has come waits for the next, so that clients are served
-// between.
+// Leaves the rest to the next loop turn, so that clients are served in between.
 constexpr int max_datagrams_per_turn = 64;
 
-// Rises with each start: milliseconds, and the process's number for two starts in one.
+// Rises with each start: Unix time in milliseconds and the process id, which tells starts in the same
+// millisecond apart.
 std::uint64_t run_of(net::Time now) {
   const auto ms = static_cast<std::uint64_t>(now.time_since_epoch().count() * 1000);
   return ms << 16 | (static_cast<std::uint64_t>(::getpid()) & 0xffff);
@@ -96,7 +96,7 @@
     log_.info("{}", line);
 }
 
-// Whether the view has settled, on what, and whether we have to think ourselves cut off.
+// Logs whether the view has settled and whether we may be in the smaller part of a partition.
 void Fleet::log_view() {
   const net::Time now = loop_.now();
   const bool settled = core_.settled(now);
--- a/src/peerlink/fleet.h
+++ b/src/peerlink/fleet.h
@@ -1,5 +1,5 @@
-// The fleet's view as a broker runs it: the protocol's core on one UDP socket and the loop's timers, its
-// changes as log lines, the view and its counters as JSON. Nothing here decides about members.
+// Runs the membership protocol of a broker on one UDP socket and the event loop's timers, logs its events,
+// and renders the view and the counters as JSON. Makes no decisions about members.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,13 @@
 
 class Fleet {
  public:
-  // `serves` is where clients come. Throws std::system_error where the socket cannot be had.
+  // `serves` is the address for clients. Throws std::system_error if the socket cannot be bound.
   Fleet(net::Loop& loop, log::Logger& log, const options::FleetOptions& options, const std::string& name,
         const net::Address& serves, std::uint64_t seed);
 
-  void ready();  // may be said again
+  void ready();  // idempotent
   void leave();
-  void finish();  // the last word; done() some time later
+  void finish();  // announces that this broker has left; done() follows some time later
   bool done() const;
 
   bool publish(const std::string& key, const std::string& value);
@@ -31,11 +31,11 @@
   const net::Address& address() const { return core_.self().address; }
 
   std::string view_json();
-  std::string counters_json() const;  // members of an object
+  std::string counters_json() const;  // without the enclosing braces
 
  private:
   void readable();
-  void flush();  // takes what the core has to log_event, and asks to be called when it is due
+  void flush();  // sends the core's datagrams, logs its events and arms the timer
   void log_event(const peers::MemberEvent& note);
   void log_view();
 
@@ -46,8 +46,8 @@
   net::Watch watch_;
   net::Timer timer_;
   bool ready_ = false;
-  std::uint64_t unsent_ = 0;  // the kernel would not take them
-  // What was last said of the whole view.
+  std::uint64_t unsent_ = 0;  // datagrams refused by the kernel
+  // What was last logged about the view.
   bool logged_settled_ = false;
   std::uint64_t logged_digest_ = 0;
   bool logged_smaller_part_ = false;
--- a/src/peerlink/seeds.h
+++ b/src/peerlink/seeds.h
@@ -1,6 +1,6 @@
-// Seeds from the registry: a broker keeps the address at which the fleet finds it under a key of its own, by
-// lease, and takes those of the others as seeds. The registry may be gone, stale or wrong; the view lives on
-// without it.
+// Seeds from the registry: a broker registers its protocol address under a leased key and uses those of the
+// others as seeds. The registry is needed for discovery only: the membership works on if it is down or
+// stale.
 #pragma once
 
 #include <string>
@@ -28,7 +28,7 @@
   Fleet& fleet_;
   registry::Registration own_;
   registry::RegistrySource others_;
-  std::map<std::string, net::Address> found_;  // by name
+  std::map<std::string, net::Address> found_;  // by broker name
 };
 
 }  // namespace pearspar::peerlink
--- a/src/peers/core.cpp
+++ b/src/peers/core.cpp
@@ -12,26 +12,26 @@
 
 constexpr int max_health = 8;
 constexpr int helpers_asked = 3;
-constexpr int max_confirmations = 3;  // beside the first: with so many a suspicion is shortest
-constexpr int tries_for_trusted = 8;  // before news go to a suspect
-constexpr int gossip_fanout = 2;      // members that a tick of news goes to
+constexpr int max_confirmations = 3;  // independent confirmations with which a suspicion is shortest
+constexpr int tries_for_trusted = 8;  // draws of a random member before a suspect is accepted
+constexpr int gossip_fanout = 2;      // members per gossip tick
 constexpr double gossips_per_period = 4;
-constexpr double checks_of_suspect = 6;  // brokers that look after a suspect in each period
-constexpr int checks_a_period = 8;       // of ours, of all suspects
-constexpr double direct_share = 0.5;     // of a period, before others are asked
-constexpr double helper_share = 0.3;     // of a period, before a helper says that it got no answer
+constexpr double checks_of_suspect = 6;  // expected number of brokers that probe a suspect in each period
+constexpr int checks_a_period = 8;       // extra probes of suspects by one broker
+constexpr double direct_share = 0.5;     // of a period, before indirect probes are sent
+constexpr double helper_share = 0.3;     // of a period, before a helper reports a missing answer
 constexpr double settled_periods = 5;
-constexpr double joining_periods = 10;  // that seeds have to answer before a broker is content with itself
-constexpr double differ_periods = 3;    // that news may take before tables are compared_at
+constexpr double joining_periods = 10;  // time for seeds to answer before a broker without peers may settle
+constexpr double differ_periods = 3;    // time for gossip to level out before an anti-entropy exchange
 constexpr double records_differ_periods = 25;  // the same for records
 constexpr std::size_t greeting_padding = 260;  // room for the answer's news
 constexpr int pages_at_once = 16;
 constexpr std::size_t most_relays = 64;
-constexpr std::size_t most_seeds = 64;     // from each place
-constexpr double datagrams_a_period = 64;  // of one member
-constexpr double unproven_a_period = 64;   // of all others together
-constexpr double burst_periods = 4;        // of both
-constexpr double name_tries = 5;           // of five periods each, before a silent namesake's name is ours
+constexpr std::size_t most_seeds = 64;     // from each source
+constexpr double datagrams_a_period = 64;  // accepted from one member
+constexpr double unproven_a_period = 64;   // accepted from all unverified addresses together
+constexpr double burst_periods = 4;        // burst size of both rate limits
+constexpr double name_tries = 5;           // unanswered pings to a namesake before its name is taken back
 
 std::uint32_t accuser_of(std::string_view name) { return static_cast<std::uint32_t>(hash_of(name, 2)); }
 
@@ -73,7 +73,7 @@
   encode_own_word();
 }
 
-// ---- the host's words ----
+// ---- lifecycle and local state ----
 
 void Core::ready(Time now) {
   if (phase_ != Phase::joining) return;
@@ -96,7 +96,7 @@
   if (!spoke || table_.in_force().empty()) return;
   finish_by_ = now + options_.period;
   probes_.clear();
-  // Not left to chance alone: several hear it from us.
+  // Sent directly to several members, not only by gossip.
   std::vector<Member*> some = table_.in_force();
   std::shuffle(some.begin(), some.end(), random_);
   if (some.size() > 5) some.resize(5);
@@ -126,7 +126,7 @@
   discovered_seeds_ = std::move(seeds);
 }
 
-// ---- ourselves ----
+// ---- our own status ----
 
 void Core::encode_own_word() {
   wire::Word word;
@@ -157,7 +157,7 @@
   heard.status.incarnation = news.incarnation();
   heard.status.verdict = static_cast<Verdict>(news.verdict());
   if (news.word().empty()) heard.status.phase = phase_;
-  // Our own end is no news to us.
+  // We are leaving for good: nothing to refute.
   if (phase_ == Phase::left && heard.status.run == own_.run) return;
   const AddressMatch place = match_address(heard.address, self_.address);
   const OwnMergeResult merged = merge_own_status(own_, heard.status, place);
@@ -189,7 +189,7 @@
   raise_incarnation(now, 0);
 }
 
-// A silent namesake's name is ours again; one that answers keeps it.
+// Takes our name back if the namesake no longer answers; it keeps the name while it does.
 void Core::probe_namesake(Time now) {
   next_period_ = now + options_.period * 5;
   if (++namesake_tries_ > name_tries) {
@@ -234,7 +234,7 @@
   const Duration gap = now - wanted;
   ++counters_.held_up;
   degrade_health(gap > options_.period * 2 ? 2 : 1);
-  // What was not answered while we did not listen says nothing about others.
+  // Unanswered probes say nothing about others while our own loop was stalled.
   probes_.clear();
   relays_.clear();
   std::set<std::pair<Time, std::string>> moved;
@@ -246,7 +246,7 @@
     }
   }
   suspicion_deadlines_ = std::move(moved);
-  // Once for each hold, however many datagrams are read before the next tick.
+  // Counts a stall once, however many datagrams are read before the next tick.
   for (Time* each : {&next_period_, &next_reconnect_, &next_forget_, &next_gossip_})
     if (*each < now) *each = now;
   if (finish_by_ < now) finish_by_ = now;
@@ -298,7 +298,7 @@
 
 void Core::disseminate(Time now, const std::string& name, Priority priority) {
   updates_.add(name, priority);
-  // News that come together go together.
+  // Batches updates that arrive together.
   const Time soon = now + options_.period / (gossips_per_period * 8);
   next_gossip_ = std::max(std::min(next_gossip_, soon), last_gossip_ + options_.period / gossips_per_period);
 }
@@ -357,7 +357,7 @@
   if (!old.empty()) snapshot_.reset();
 }
 
-// Makes room for one in force: the one gone longest goes. False where all are in force.
+// Makes room for a member in force by evicting the one gone longest. False if all are in force.
 bool Core::evict_oldest() {
   const Member* oldest = nullptr;
   for (const auto& [name, member] : table_.all())
@@ -429,15 +429,15 @@
       if (std::find(accusers.begin(), accusers.end(), accuser) == accusers.end()) accusers.push_back(accuser);
     };
     for (std::uint32_t accuser : news.accusers()) add(accuser);
-    // Who says gone has suspicion_deadline for itself.
+    // A member that reports gone has confirmed the suspicion itself.
     if (accusers.empty() || read.status.verdict == Verdict::gone) add(accuser_of(teller));
     return suspect(now, *member, merged.next, Cause::reported, teller, std::move(accusers));
   }
   set_status(now, *member, merged.next,
              merged.effect == MergeEffect::recorded ? Cause::reported : Cause::own_update, teller);
   if (merged.effect == MergeEffect::recorded && !held) {
-    // Hearsay about one we never knew: kept half as long and not passed on, or the gone would be handed from
-    // joiner to joiner for ever.
+    // A reported removal of an unknown member is kept for half the time and not passed on; otherwise it
+    // would circulate forever among joining members.
     member->since = now - options_.remember_gone / 2;
     return;
   }
@@ -456,7 +456,7 @@
   disseminate(now, member->name, Priority::record);
 }
 
-// ---- what comes in ----
+// ---- incoming datagrams ----
 
 void Core::receive(Time now, const Address& from, std::string_view bytes) {
   detect_stall(now);
@@ -498,7 +498,8 @@
     handle_unverified(now, from, body, bytes.size());
 }
 
-// Believed nothing; answered so that it can prove its address, with no more than it sent.
+// Ignores the content; the answer lets the sender prove its address and is no larger than the datagram, so
+// it cannot be used for amplification.
 void Core::handle_unverified(Time now, const Address& from, const wire::Body& body, std::size_t size) {
   ++counters_.unproven;
   const Duration passed = now - unverified_tokens_at_;
@@ -510,7 +511,7 @@
     return;
   }
   unverified_tokens_ -= 1;
-  if (body.has_answer()) return;  // or two that know each other no longer would answer for ever
+  if (body.has_answer()) return;  // answering an answer could go on forever
   if (body.has_ping() && !body.ping().target().empty() && body.ping().target() != self_.name) {
     ++counters_.not_for_us;
     return;
@@ -521,7 +522,7 @@
   auto fits = [&](const wire::News& news) {
     return answer.ByteSizeLong() + size_of(news) + codec_.envelope_bytes() <= size;
   };
-  // What it should know of itself comes before what we are.
+  // What is held against the sender takes precedence over our own status.
   const Member* member = table_.find(body.name());
   const bool against = member && (member->status.run > body.run() ||
                                   (member->status.run == body.run() && !member->status.in_force()));
@@ -534,7 +535,7 @@
   if (answer.ByteSizeLong() + codec_.envelope_bytes() <= size) send(now, from, answer, SendBudget::if_any);
 }
 
-// A datagram under our own name from another address.
+// Handles a datagram under our own name from another address.
 void Core::handle_namesake(Time now, const Address& from, const wire::Body& body, std::size_t size) {
   ++counters_.namesakes;
   const bool proven = body.echo() == cookie_for(from);
@@ -604,7 +605,7 @@
   if (yields_) return;
   member = table_.find(body.name());
   if (!member || member->status.run != body.run()) {
-    // Proven, but its word is still to come.
+    // The address is verified, but the sender's word is still missing.
     if (body.has_ping()) return handle_unverified(now, from, body, size);
     if (!body.has_answer()) ping(now, from, nullptr, 0, true);
     return;
@@ -656,7 +657,7 @@
   auto stands_out = [&](Time since, double periods) {
     return since != Time::max() && now - since > options_.period * periods;
   };
-  // Records change all the time, and come by themselves; only what stays different was missed.
+  // Records change often and arrive by gossip; only a lasting difference means that one was missed.
   if (eager || stands_out(member->digest_differs_since, differ_periods) ||
       stands_out(member->records_differ_since, records_differ_periods))
     start_sync(now, *member, eager);
@@ -672,7 +673,7 @@
       if (body.name() != probe->target) ++probe->missed;
       return;
     }
-    // From itself only under the run that was asked; from a helper who has checked that.
+    // The target must answer under the probed run; a helper has checked that already.
     if (body.name() == probe->target && body.run() != probe->run) return;
     if (!probe->check) improve_health();
     probes_.erase(probe);
@@ -715,7 +716,7 @@
     if (differs[MemberTable::bucket(name)] &&
         (each.status.in_force() || now - each.since < options_.remember_gone / 2))
       entries.push_back(&each);
-  // Whoever is left out this time comes another time.
+  // A random order, as not all entries may fit into this exchange.
   std::shuffle(entries.begin(), entries.end(), random_);
   int pages = 0;
   wire::Body page = body_for(member.address, &member);
@@ -750,7 +751,7 @@
 
 // ---- probes ----
 
-// Each member once in a round, in an order drawn anew.
+// Round-robin over the members, shuffled anew for each round.
 Member* Core::next_target() {
   for (int rounds = 0; rounds < 2; ++rounds) {
     while (!round_.empty()) {
@@ -771,7 +772,7 @@
   if (all.empty()) return nullptr;
   std::uniform_int_distribution<std::size_t> any(0, all.size() - 1);
   Member* member = all[any(random_)];
-  // Suspects are told directly what is held against them; news told to the dead are lost.
+  // Suspects are notified directly, and gossip to a dead member is lost.
   for (int i = 0; i < tries_for_trusted && member->status.verdict != Verdict::trusted; ++i)
     member = all[any(random_)];
   return member;
@@ -784,8 +785,8 @@
   if (const Member* target = next_target()) begin_probe(now, *target, false);
 }
 
-// Others' suspects that we have not tried ourselves: of all brokers a few look after each in every period, so
-// that its fate is soon plain, be it alive or gone.
+// Probes suspects of others that we have not probed ourselves: in each period a few brokers probe each
+// suspect, which confirms or refutes the suspicion early.
 void Core::probe_suspects(Time now) {
   const double share = checks_of_suspect / static_cast<double>(in_force());
   int checks = 0;
@@ -816,7 +817,7 @@
   probes_.push_back(std::move(probe));
 }
 
-// Goes one stage on; false where the probe has ended.
+// Advances to the next stage; false if the probe has ended.
 bool Core::advance_probe(Time now, Probe& probe) {
   Member* target = table_.find(probe.target);
   if (!target || !target->status.in_force() || target->status.run != probe.run) return false;
@@ -840,7 +841,7 @@
     return true;
   }
   ++counters_.probes_failed;
-  // One helper that says it tried shows that we do hear and are heard; the others may be gone themselves.
+  // An answer from one helper shows that our own network works, so our health score stays.
   if (!probe.check && probe.missed == 0) degrade_health(1);
   if (target->status.verdict == Verdict::trusted) {
     suspect_locally(now, *target, Cause::own_probe);
@@ -851,8 +852,7 @@
   return false;
 }
 
-// Those who are gone, and seeds that nobody is known at, are asked in turn: so split parts find each other
-// again.
+// Pings one gone member or unknown seed at a time, so that the parts of a healed partition merge again.
 void Core::reconnect(Time now) {
   const bool alone = table_.in_force().empty();
   const double n = static_cast<double>(in_force());
@@ -920,7 +920,7 @@
   return std::min({due, next_period_, next_forget_});
 }
 
-// ---- what goes out ----
+// ---- outgoing datagrams ----
 
 std::uint64_t Core::digest() const {
   return table_.digest() +
@@ -965,7 +965,7 @@
   tokens_at_ = now;
 }
 
-// Probes and answers may overdraw the budget by one second's priority; nothing else may.
+// Probes and answers may overdraw the byte budget by one second; nothing else may.
 bool Core::send(Time now, const Address& to, const wire::Body& body, SendBudget budget) {
   refill(now);
   const double most = static_cast<double>(options_.bytes_per_s);
@@ -1012,7 +1012,7 @@
   return news;
 }
 
-// As many records as fit, the newest first; false where none does.
+// Packs the newest records that fit; false if none does.
 bool Core::pack_records(const std::string& name, std::uint64_t run, const RecordMap& shelf, std::size_t room,
                         wire::Shelf& into) const {
   into.Clear();
@@ -1039,7 +1039,7 @@
   return 4 * std::max(1, static_cast<int>(std::ceil(std::log10(static_cast<double>(in_force()) + 1))));
 }
 
-// News for one datagram: what concerns its receiver first, then what is to be told to all.
+// Piggybacks updates: the verdict on the receiver first, then the update queue.
 void Core::piggyback(Time now, wire::Body& body, const Member* member, std::size_t room) {
   refill(now);
   if (member && member->status.verdict != Verdict::trusted && member->status.phase != Phase::left) {
@@ -1055,7 +1055,7 @@
     const bool own = name == self_.name;
     const Member* about = own ? nullptr : table_.find(name);
     if (!own && !about) return 1;
-    if (about == member && about) return 0;  // it knows, or was told above
+    if (about == member && about) return 0;  // it knows its own status, or its verdict was added above
     if (priority == Priority::record) {
       wire::Shelf item;
       if (!pack_records(name, own ? own_.run : about->status.run, own ? own_records_ : about->shelf, room,
@@ -1092,7 +1092,7 @@
   send(now, member.address, body, SendBudget::if_any);
 }
 
-// A tick of news: to a few members drawn by chance, as long as there is any that was not told often enough.
+// Sends queued updates to a few random members; repeats while the queue is not empty.
 void Core::gossip(Time now) {
   next_gossip_ = Time::max();
   last_gossip_ = now;
@@ -1112,7 +1112,7 @@
 
 void Core::start_sync(Time now, Member& member, bool eager) {
   if (member.compared_at != Time{} && now - member.compared_at < options_.period / 2) return;
-  // One after the other: what one comparison mends, the next need not find.
+  // One exchange at a time: it may resolve the other differences too.
   if (!eager && now - last_compared_ < options_.period) return;
   member.compared_at = last_compared_ = now;
   ++counters_.summaries;
@@ -1132,7 +1132,8 @@
   return now - heard_at_ < quiet * (1 + health_);
 }
 
-// Of those in force and those gone without a word: the smaller part, or the half without the lowest name.
+// Compares the members in force with those gone without leaving; in a tie, the half without the lowest name
+// counts as the smaller part.
 bool Core::smaller_part() const {
   std::size_t here = participates() ? 1 : 0, gone = 0;
   const std::string* lowest = &self_.name;
--- a/src/peers/core.h
+++ b/src/peers/core.h
@@ -1,6 +1,7 @@
-// The protocol by which the brokers of a fleet keep a view of it (docs/fleet-view.md). Free of I/O: it is
-// handed the time, datagrams and the host's words, and gives back datagrams to send, notes of what changed,
-// and when it wants to be called again. All decisions about members stand here and in status.h.
+// The gossip membership protocol of a fleet of brokers (docs/fleet-view.md): SWIM with the Lifeguard
+// extensions. Does no I/O: it is given the time and received datagrams, and returns datagrams to send,
+// membership events and the time of its next timer. All decisions about members are made here and in
+// member_status.h.
 #pragma once
 
 #include <cstdint>
@@ -21,35 +22,35 @@
 struct Options {
   std::string fleet;
   net::Duration period = std::chrono::milliseconds(200);
-  double suspicion_periods = 3;  // least time of a suspicion, times max(1, log10 of the members)
-  double suspicion_stretch = 6;  // the longest, where nobody else accuses
+  double suspicion_periods = 3;  // shortest suspicion, times max(1, log10 of the members)
+  double suspicion_stretch = 6;  // longest suspicion as a multiple of the shortest, without confirmations
   std::size_t bytes_per_s = 64 * 1024;
   std::size_t max_members = 2048;
   net::Duration remember_gone = std::chrono::hours(4);
   std::vector<net::Address> seeds;
-  // For measurements only: without them it is plain SWIM.
+  // Switched off only in measurements: without them the protocol is plain SWIM.
   bool suspicion = true;
   bool local_health = true;
 };
 
 struct Self {
   std::string name;
-  std::uint64_t run = 0;  // rises with each start under the name
-  net::Address address;   // where the fleet's datagrams come
-  net::Address serves;    // where clients come
+  std::uint64_t run = 0;  // rises with each start under this name
+  net::Address address;   // of the membership protocol's socket
+  net::Address serves;    // where clients connect
   std::string zone;
   std::string region;
   std::string version;
 };
 
-// ---- what readers get ----
+// ---- the view given to readers ----
 
 struct MemberView {
   std::string name;
   std::uint64_t run = 0;
   std::uint64_t incarnation = 0;
   State state = State::joining;
-  net::Time since{};  // our own clock's
+  net::Time since{};  // by the local clock
   net::Address address;
   net::Address serves;
   std::string zone;
@@ -58,20 +59,21 @@
   RecordMap records;
 };
 
-// The whole view at one moment; never changed once given out.
+// The whole view at one moment; immutable once published.
 struct Snapshot {
   std::uint64_t number = 0;  // rises with each change
   std::string self;
-  std::uint64_t digest = 0;  // over the members in force
-  std::size_t in_force = 0;  // ourselves among them, unless we yield or have left
+  std::uint64_t digest = 0;  // of the members in force
+  std::size_t in_force = 0;  // includes ourselves unless we yield or have left
   bool settled = false;
   net::Time settled_since{};
-  bool smaller_part = false;        // reason to think that we are in the smaller part of a split
-  bool yields = false;              // another process serves under our name
-  std::vector<MemberView> members;  // by name, ourselves among them; gone and left ones while remembered
+  bool smaller_part = false;  // we may be in the smaller part of a network partition
+  bool yields = false;        // another process serves under our name
+  std::vector<MemberView>
+      members;  // by name, ourselves included; also gone and left members while remembered
 };
 
-// ---- what changed, for logs and for those who declare_gone ----
+// ---- membership events ----
 
 enum class Cause {
   own_update,
@@ -92,7 +94,7 @@
   bool known_before = false;
   State after = State::gone;
   Cause cause = Cause::own_update;
-  std::string by;  // who reported, where somebody did
+  std::string by;  // the reporting member, if there is one
   int accusers = 0;
 };
 const char* text_of(Cause cause);
@@ -107,7 +109,7 @@
   std::uint64_t oversized = 0, malformed = 0, foreign = 0, other_format = 0, spoilt = 0;  // dropped
   std::uint64_t wrong_source = 0, repeated = 0, unproven = 0, too_many = 0, old_run = 0, not_for_us = 0;
   std::uint64_t namesakes = 0, wordless = 0, table_full = 0, shelf_full = 0;
-  std::uint64_t unpaid = 0;  // datagrams not sent, the budget was used up
+  std::uint64_t unpaid = 0;  // datagrams not sent because the byte budget was exhausted
   std::uint64_t probes = 0, probes_failed = 0, asked_others = 0, refuted = 0, held_up = 0, removed = 0;
   std::uint64_t summaries = 0, pages = 0, startovers = 0, outruns = 0;
 };
@@ -116,17 +118,17 @@
  public:
   Core(Options options, Self self, std::uint64_t seed, net::Time now);
 
-  // ---- the host's words ----
-  void ready(net::Time now);   // joining no longer
-  void leave(net::Time now);   // an ordered end begins: leaving
-  void finish(net::Time now);  // the last word: left
+  // ---- lifecycle and local state ----
+  void ready(net::Time now);   // joining -> alive
+  void leave(net::Time now);   // starts an orderly shutdown: leaving
+  void finish(net::Time now);  // announces the end: left
   bool finished(net::Time now) const { return finish_by_ != net::Time::max() && now >= finish_by_; }
-  // A record of ours for all; an empty value takes it back. False where it would not fit.
+  // Publishes a record of ours to all members; an empty value withdraws it. False if it does not fit.
   bool publish(net::Time now, const std::string& key, const std::string& value);
-  // Beside those of the options, in the place of those found before.
+  // Replaces the discovered seeds; those of the options stay.
   void set_discovered_seeds(std::vector<net::Address> seeds);
 
-  // ---- the loop's ----
+  // ---- event loop ----
   void receive(net::Time now, const net::Address& from, std::string_view bytes);
   void tick(net::Time now);
   net::Time due() const;
@@ -135,7 +137,7 @@
 
   std::shared_ptr<const Snapshot> snapshot(net::Time now);
   const Counters& counters() const { return counters_; }
-  int health() const { return health_; }  // 0 is well
+  int health() const { return health_; }  // Lifeguard's local health score; 0 is healthy
   std::uint64_t digest() const;
   std::size_t in_force() const { return table_.in_force().size() + (participates() ? 1 : 0); }
   bool settled(net::Time now) const;
@@ -147,24 +149,25 @@
   enum class Stage { direct, indirect };
   struct Probe {
     Stage stage = Stage::direct;
-    bool check = false;  // of another's suspect, beside the round: says nothing of our own health
+    bool check =
+        false;  // of a member suspected by others, outside the probe round: does not affect our health score
     std::uint64_t id = 0;
     std::string target;
     std::uint64_t run = 0;
-    net::Time due{};  // of the next step
+    net::Time due{};  // time of the next step
     int helpers = 0;
-    int missed = 0;  // helpers that said they tried
+    int missed = 0;  // helpers that reported no answer from the target
   };
   struct Relay {
-    std::uint64_t id = 0;     // of our ping
-    std::uint64_t asked = 0;  // of the one who asked
+    std::uint64_t id = 0;     // probe id of our ping
+    std::uint64_t asked = 0;  // probe id of the requesting member
     net::Address asker;
     std::string asker_name;
     net::Time due{};
   };
   enum class SendBudget { always, if_any, if_plenty };
 
-  // What comes in.
+  // Incoming datagrams.
   void handle_unverified(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
   void handle_verified(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
   void handle_namesake(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
@@ -207,7 +210,7 @@
   void reconnect(net::Time now);
   void probe_namesake(net::Time now);
 
-  // What goes out.
+  // Outgoing datagrams.
   wire::Body body_for(const net::Address& to, const Member* member);
   bool send(net::Time now, const net::Address& to, const wire::Body& body, SendBudget budget);
   void piggyback(net::Time now, wire::Body& body, const Member* member, std::size_t room);
@@ -251,7 +254,7 @@
   std::uint64_t namesake_run_ = 0;
   int namesake_tries_ = 0;
 
-  std::vector<Probe> probes_;       // that are out
+  std::vector<Probe> probes_;       // in progress
   std::vector<std::string> round_;  // names still to be probed in this round
   std::vector<Relay> relays_;
   std::set<std::pair<net::Time, std::string>> suspicion_deadlines_;
@@ -261,19 +264,19 @@
   net::Time next_reconnect_;
   net::Time next_forget_;
   net::Time finish_by_ = net::Time::max();
-  std::vector<net::Address> discovered_seeds_;  // seeds from elsewhere
-  std::vector<net::Address> former_addresses_;  // where members were before we started over
+  std::vector<net::Address> discovered_seeds_;
+  std::vector<net::Address> former_addresses_;  // addresses of the members before the last reset
 
   double tokens_;
   net::Time tokens_at_;
   double unverified_tokens_;
   net::Time unverified_tokens_at_;
 
-  net::Time changed_at_;    // of the members in force
-  net::Time disagreed_at_;  // last time that somebody had another digest, or a member was suspect
-  net::Time heard_at_{};    // anybody
+  net::Time changed_at_;    // last change of the members in force
+  net::Time disagreed_at_;  // last time a digest differed from ours or a suspicion started
+  net::Time heard_at_{};    // last verified datagram of any member
   net::Time last_compared_{};
-  net::Time join_deadline_;  // until then seeds may answer yet
+  net::Time join_deadline_;  // until then seeds may still answer
   std::uint64_t snapshot_number_ = 0;
   std::shared_ptr<const Snapshot> snapshot_;
 };
--- a/src/peers/member_status.cpp
+++ b/src/peers/member_status.cpp
@@ -14,12 +14,12 @@
 
 MergeResult merge_status(const std::optional<MemberStatus>& held, const MemberStatus& heard) {
   MemberStatus next = heard;
-  if (next.phase == Phase::left) next.verdict = Verdict::trusted;  // nothing is left to be suspicion_deadline
+  if (next.phase == Phase::left) next.verdict = Verdict::trusted;  // no verdict after an announced leave
   if (!held || heard.run > held->run) {
     const bool was_in_force = held && held->in_force();
     if (next.phase == Phase::left) return {next, was_in_force ? MergeEffect::left : MergeEffect::recorded};
     if (next.verdict == Verdict::gone) {
-      // Of one that is in force here, gone is hearsay: we remove by our own timer.
+      // A member in force is removed only by our own suspicion timeout, not by report.
       if (!was_in_force) return {next, MergeEffect::recorded};
       next.verdict = Verdict::suspect;
     }
@@ -32,7 +32,8 @@
   const bool newer = heard.incarnation > held->incarnation;
   if (held->verdict == Verdict::gone && !newer) return {*held, MergeEffect::none};
   if (next.verdict == Verdict::gone) {
-    if (held->verdict == Verdict::gone) return {next, MergeEffect::recorded};  // gone under a newer word
+    if (held->verdict == Verdict::gone)
+      return {next, MergeEffect::recorded};  // gone under a later incarnation
     next.verdict = Verdict::suspect;
   }
   if (next.verdict == Verdict::suspect) {
@@ -52,7 +53,8 @@
 OwnMergeResult merge_own_status(const OwnStatus& ours, const MemberStatus& heard, AddressMatch place) {
   if (heard.run < ours.run) return {ours, OwnEffect::none};
   if (heard.run == ours.run && place == AddressMatch::same) {
-    // Our own words come back to us; only what others hold against us, or what we never said, is answered.
+    // Echoes of our own announcements are ignored; verdicts against us and incarnations that we never
+    // announced are refuted.
     const bool unsaid = heard.incarnation > ours.incarnation;
     const bool against = heard.incarnation == ours.incarnation && !(heard.verdict == Verdict::trusted);
     if (!unsaid && !against) return {ours, OwnEffect::none};
--- a/src/peers/member_status.h
+++ b/src/peers/member_status.h
@@ -1,5 +1,5 @@
-// How a broker stands with the fleet, and which news about it wins. Pure: the same rules are run by the
-// broker, in simulated time and by the exhaustive check. The table is in docs/fleet-view.md.
+// The state of one member and the rules that merge an update about it. Pure functions, shared by the
+// broker, the simulation and the exhaustive test. docs/fleet-view.md holds the merge table.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 namespace pearspar::peers {
 
-enum class Phase : std::uint8_t { joining, alive, leaving, left };  // its own word
-enum class Verdict : std::uint8_t { trusted, suspect, gone };       // the others' opinion
+enum class Phase : std::uint8_t { joining, alive, leaving, left };  // as announced by the member
+enum class Verdict : std::uint8_t { trusted, suspect, gone };       // as held by the others
 enum class State : std::uint8_t { joining, alive, suspect, leaving, left, gone };
 
 struct MemberStatus {
@@ -22,16 +22,16 @@
   bool operator==(const MemberStatus&) const = default;
 };
 
-// What news do to what is held.
+// The effect of an update on the held status.
 enum class MergeEffect : std::uint8_t {
   none,
-  joined,     // was not known, and is in force
-  recorded,   // was not known, or of an earlier run, and is recorded as gone or left
-  updated,    // a newer word of one in force
-  rejoined,   // gone before, in force by a newer word
-  suspected,  // trusted before, or suspect under an older word
-  confirmed,  // suspect already: one more says so
-  left        // its own word
+  joined,     // was unknown, is now in force
+  recorded,   // was unknown or of an earlier run; recorded as gone or left
+  updated,    // later incarnation of a member in force
+  rejoined,   // was gone, in force again by a later incarnation
+  suspected,  // was trusted, or suspect in an earlier incarnation
+  confirmed,  // already suspect: an independent confirmation
+  left        // announced by the member
 };
 
 struct MergeResult {
@@ -39,15 +39,15 @@
   MergeEffect effect = MergeEffect::none;
 };
 
-// The one place that decides which of two words about one name holds.
+// Decides which of two statuses of one member wins.
 MergeResult merge_status(const std::optional<MemberStatus>& held, const MemberStatus& heard);
 
-// What a broker does that hears of itself.
+// The reaction of a broker to an update about itself.
 enum class OwnEffect : std::uint8_t {
   none,
-  refute,  // say more loudly that we live: incarnation above the one heard
-  outrun,  // a former life of same, or nobody's: take a run above it
-  yield    // another process serves under our name, started later
+  refute,  // announce an incarnation above the one heard
+  outrun,  // an earlier process of ours or none in force: take a run above it
+  yield    // another process, started later, serves under our name
 };
 struct OwnStatus {
   std::uint64_t run = 0;
@@ -57,14 +57,14 @@
   OwnStatus next;
   OwnEffect effect = OwnEffect::none;
 };
-// Where the word heard says that its owner is, seen from our own address.
+// The address in the update compared with our own.
 enum class AddressMatch : std::uint8_t { same, lower, higher };
 OwnMergeResult merge_own_status(const OwnStatus& same, const MemberStatus& heard, AddressMatch place);
 
-// The next incarnation; after the greatest one, a run above.
+// The first incarnation above `ours` and `above`; on overflow, incarnation 0 of the next run.
 OwnStatus next_incarnation(const OwnStatus& same, std::uint64_t above);
 
-// Runs above this are no broker's; what claims one is dropped as malformed.
+// Updates with a larger run are dropped as malformed.
 constexpr std::uint64_t max_run = std::uint64_t{1} << 62;
 
 const char* name_of(State state);
--- a/src/peers/member_table.cpp
+++ b/src/peers/member_table.cpp
@@ -26,7 +26,7 @@
   Member& member = members_[name];
   member.name = name;
   member.digest_differs_since = member.records_differ_since = net::Time::max();
-  // Not in force until a change says so.
+  // Not in force until change() sets its status.
   member.status.verdict = Verdict::gone;
   return &member;
 }
--- a/src/peers/member_table.h
+++ b/src/peers/member_table.h
@@ -1,5 +1,5 @@
-// The one table of a fleet's members as one broker holds it, with the sums by which two tables are
-// compared_at. Holds and indexes; what a change should be is decided in status.h and core.h.
+// The members of the fleet as one broker holds them, with the digests by which two tables are compared.
+// Stores and indexes only; decisions are made in member_status.h and core.h.
 #pragma once
 
 #include <array>
@@ -30,50 +30,49 @@
 };
 using RecordMap = std::map<std::string, Record, std::less<>>;
 
-// Which datagrams of one sender were seen: numbers rise, and come reordered by a little.
+// The datagram numbers seen from one sender. Numbers rise; slight reordering is accepted.
 class ReplayWindow {
  public:
-  // False where the number came already, or is too old to say.
+  // False if the number is a repetition or too old to tell.
   bool accept(std::uint64_t number);
 
  private:
   std::array<std::uint64_t, 32> seen_{};
-  std::uint64_t floor_ = 0;  // the greatest that has left `seen_`
+  std::uint64_t floor_ = 0;  // the greatest number evicted from `seen_`
   std::size_t next_ = 0;
 };
 
 struct Member {
   std::string name;
   MemberStatus status;
-  std::string word;  // as its owner wrote it
+  std::string word;  // serialized by its owner
   net::Address address;
   net::Address serves;
   std::string zone;
   std::string region;
   std::string version;
-  net::Time since{};  // of its state
+  net::Time since{};  // time of the last state change
   RecordMap shelf;
 
-  // A suspicion.
-  std::vector<std::uint32_t> accusers;  // by hash of the name, each once
+  // Suspicion.
+  std::vector<std::uint32_t> accusers;  // hashes of the names, each once
   net::Time suspected_at{};
-  net::Time suspicion_deadline{};  // when it is held gone if nothing comes
+  net::Time suspicion_deadline{};  // declared gone at this time unless refuted
   net::Duration suspicion_min{};
   net::Duration suspicion_max{};
 
-  // How we speak with it.
-  std::uint64_t cookie = 0;  // to be given back; 0: it has not spoken to us yet
+  // Exchange with this member.
+  std::uint64_t cookie = 0;  // to be echoed to it; 0: not received yet
   ReplayWindow seen;
   net::Time heard{};
-  net::Time verdict_sent_at{};       // when it was last told directly what is held against it
-  net::Time compared_at{};           // when its sums were last asked for
-  net::Time digest_differs_since{};  // since when its digest digest_differs_since from ours; Time::max(): it
-                                     // does not
-  net::Time records_differ_since{};  // the same of the records'
-  double datagram_tokens = 0;        // datagrams it may send
+  net::Time verdict_sent_at{};       // last direct notice of the verdict on it
+  net::Time compared_at{};           // last anti-entropy request to it
+  net::Time digest_differs_since{};  // Time::max(): the digests agree
+  net::Time records_differ_since{};  // the same for the records
+  double datagram_tokens = 0;        // token bucket of its datagrams
   net::Time tokens_at{};
 
-  std::size_t place = 0;  // among those in force
+  std::size_t place = 0;  // in `in_force_`
 };
 
 class MemberTable {
@@ -82,30 +81,30 @@
 
   Member* find(std::string_view name);
   const Member* find(std::string_view name) const;
-  // Null where the table is full.
+  // Null if the table is full.
   Member* add(const std::string& name);
   void erase(const std::string& name);
-  // To be called around each change of what is summed up: status, word, shelf.
+  // Every change of a status, word or shelf is made through this function, which keeps the digests right.
   template <typename Change>
   void change(Member& member, Change&& change) {
     remove_from_index(member);
     change(member);
     add_to_index(member);
   }
-  // Takes the parts of the word apart; false where it cannot be read.
+  // False if the word is malformed.
   static bool read_word(const std::string& word, Member& into);
 
   const std::map<std::string, Member, std::less<>>& all() const { return members_; }
   std::map<std::string, Member, std::less<>>& all() { return members_; }
-  // Who in force is at that address; null where nobody is.
+  // The member in force at that address, or null.
   Member* at(const net::Address& address) const;
-  // Members in force, in no order.
+  // The members in force, unordered.
   const std::vector<Member*>& in_force() const { return in_force_; }
   std::uint64_t digest() const { return digest_; }
   std::uint64_t records() const { return records_; }
   const std::array<std::uint64_t, summary_buckets>& sums() const { return sums_; }
 
-  // What one member adds to the sums; our own is added in the same way by the core.
+  // The contribution of one member to the digests; the core adds our own in the same way.
   static std::uint64_t weight(std::string_view name, const MemberStatus& status);
   static std::uint64_t weight(std::string_view name, std::uint64_t run, const RecordMap& shelf);
   static std::size_t bucket(std::string_view name);
@@ -123,7 +122,7 @@
   std::array<std::uint64_t, summary_buckets> sums_{};
 };
 
-// Takes what is newer; false where the shelf would hold more than a broker may.
+// Takes the newer version of each record; false if the result would exceed the limits of one broker.
 bool merge_records(RecordMap& held, const wire::Shelf& heard, bool& changed);
 std::size_t bytes_of(const RecordMap& shelf);
 
--- a/src/peers/update_queue.h
+++ b/src/peers/update_queue.h
@@ -1,5 +1,5 @@
-// What is still to be told, and how often: each name's news once, the worthier first, of one priority those
-// told least.
+// The updates to be disseminated and how often each was sent. Holds one update per name and kind; higher
+// priority goes first, then the least often sent.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 namespace pearspar::peers {
 
-// In the order in which they are sent when not all can be.
+// In the order of sending.
 enum class Priority : std::uint8_t { verdict, joining, record };
 
 class UpdateQueue {
  public:
-  // Again from the start, where it was told before.
+  // Resets the transmit count if the update is queued already.
   void add(const std::string& name, Priority priority);
   void drop(const std::string& name);
   bool empty() const { return order_.empty(); }
   std::size_t size() const { return order_.size(); }
 
-  // Offers names in order until `take` says that there is no room: it returns 1 where it was sent, 0 where it
-  // was passed over, -1 where nothing more fits. Told `times` in all, a rumour is dropped.
+  // Offers names in order until `take` returns -1 (nothing more fits); 1 means sent, 0 skipped. An update
+  // is dropped after `times` transmissions.
   template <typename Take>
   void offer(int times, Take&& take) {
     std::size_t looked = 0;
@@ -51,8 +51,8 @@
   }
 
  private:
-  using Key = std::tuple<Priority, int, std::uint64_t, std::string>;  // priority, times told, turn, name
-  using Id = std::pair<std::string, bool>;                            // a name's status, or its records
+  using Key = std::tuple<Priority, int, std::uint64_t, std::string>;  // priority, transmissions, turn, name
+  using Id = std::pair<std::string, bool>;                            // the status or the records of a name
   static constexpr std::size_t most_looked_at = 64;
 
   std::set<Key> order_;
--- a/src/peers/wire.h
+++ b/src/peers/wire.h
@@ -1,4 +1,4 @@
-// Datagrams of the fleet: sealed and opened. What cannot be taken is named by its cause.
+// Encodes and decodes the datagrams of the membership protocol and validates their fields.
 #pragma once
 
 #include <cstdint>
@@ -23,13 +23,13 @@
 
 enum class DecodeResult { good, oversized, malformed, foreign, other_format, checksum_mismatch };
 
-// For one fleet.
+// Codec for the datagrams of one fleet.
 class DatagramCodec {
  public:
   explicit DatagramCodec(std::string fleet);
   std::string encode(const wire::Body& body) const;
   DecodeResult decode(std::string_view bytes, wire::Body& body) const;
-  // How many bytes an envelope adds to a body of that size, at most.
+  // Upper bound of the bytes that the envelope adds to a body.
   std::size_t envelope_bytes() const { return fleet_.size() + 24; }
 
  private:
@@ -37,7 +37,7 @@
   std::uint64_t salt_;
 };
 
-// The bytes of a news item or shelf within a body.
+// Encoded size of an entry within a body, tag and length included.
 std::size_t size_of(const wire::News& news);
 std::size_t size_of(const wire::Shelf& shelf);
 
