--- a/src/membership/fixed_source.h
+++ b/src/membership/fixed_source.h
@@ -11,7 +11,7 @@
 class FixedSource final : public Source {
  public:
   // `list` must be complete. Two fixed lists with equal text form count as the same source.
-  FixedSource(MemberList list, MembersHandler& user) : list_(std::move(list)), user_(user) {
+  FixedSource(MemberList list, MembersHandler& handler) : list_(std::move(list)), handler_(handler) {
     list_.complete = true;
     where_ = "a fixed list of " + std::to_string(list_.entries.size()) + " nodes (" + mark() + ")";
   }
@@ -25,7 +25,7 @@
     started_ = true;
     told_ = true;
     ++counters_.lists;
-    user_.members_told(list_);
+    handler_.members_told(list_);
   }
   void stop_reconnecting() override {}
   std::int64_t revision() const override { return told_ ? list_.revision : -1; }
@@ -42,7 +42,7 @@
   }
 
   MemberList list_;
-  MembersHandler& user_;
+  MembersHandler& handler_;
   std::string where_;
   bool started_ = false;
   bool told_ = false;
--- a/src/membership/source_switch.cpp
+++ b/src/membership/source_switch.cpp
@@ -40,7 +40,7 @@
     current_ = std::move(pending_);
     log_.info("{} has told its list, version {}", current_->where(), list.revision);
   }
-  user_.members_told(list);
+  handler_.members_told(list);
 }
 
 SourceCounters SourceSwitch::counters() const {
--- a/src/membership/source_switch.h
+++ b/src/membership/source_switch.h
@@ -14,8 +14,8 @@
 
 class SourceSwitch : MembersHandler {
  public:
-  SourceSwitch(log::Logger& log, const MakeSource& make, MembersHandler& user)
-      : log_(log), user_(user), current_(make(*this)) {}
+  SourceSwitch(log::Logger& log, const MakeSource& make, MembersHandler& handler)
+      : log_(log), handler_(handler), current_(make(*this)) {}
 
   void start();  // idempotent
   void stop();
@@ -33,10 +33,10 @@
 
  private:
   void members_told(const MemberList& list) override;
-  void members_failed() override { user_.members_failed(); }
+  void members_failed() override { handler_.members_failed(); }
 
   log::Logger& log_;
-  MembersHandler& user_;
+  MembersHandler& handler_;
   bool started_ = false;
   std::unique_ptr<Source> current_;
   std::unique_ptr<Source> pending_;
--- a/src/nodelink/links.cpp
+++ b/src/nodelink/links.cpp
@@ -40,7 +40,8 @@
   Connection* connection = connections_.find(id);
   if (!connection) return;
   connection->retired = true;
-  if (connection->attempts.empty() && connection->probes.empty()) close(id, "its node has gone or moved");
+  if (connection->attempts.empty() && connection->probes.empty())
+    close(id, "the node was removed or has moved");
 }
 
 void Links::drop_idle(NodeId node) {
@@ -118,7 +119,7 @@
   enqueue(id, std::move(frame));
 }
 
-void Links::build(Frame& frame) {
+void Links::serialize(Frame& frame) {
   std::vector<OutgoingPart> parts;
   for (const QueuedPart& part : frame.parts) {
     double wait_ms = std::ceil(net::Duration(part.give_up_at - loop_.now()).count() * 1000);
@@ -143,13 +144,13 @@
 }
 
 // Closes a silent connection with nothing in flight; true if it did.
-bool Links::end_silent_attempts(net::SlotId id) {
+bool Links::close_if_silent(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   if (!connection.silent || !connection.attempts.empty() || !connection.abandoned.empty() ||
       !connection.probes.empty())
     return false;
   ++counters_.closed_silent;
-  close(id, "it fell silent");
+  close(id, "the connection fell silent");
   return true;
 }
 
@@ -161,13 +162,13 @@
 // Chooses a connection with a free place on which none of these ids is awaited, as two answers under one id
 // could not be told apart. Prefers an established connection, then one being established, then a new one.
 net::SlotId Links::connection_for(NodeId node, std::span<const Call> call) {
-  net::SlotId coming;
+  net::SlotId connecting;
   auto known = nodes_.find(node);
   if (known == nodes_.end()) return {};  // removed
   for (net::SlotId id : std::vector(known->second.connections)) {
     Connection& connection = *connections_.find(id);
     forget_old(connection);
-    if (end_silent_attempts(id)) continue;
+    if (close_if_silent(id)) continue;
     // A partial frame is buffered: the rest may never arrive.
     if (connection.retired || connection.silent || connection.in.size() > 0 ||
         connection.calls.size() >= static_cast<std::size_t>(limits_.calls_per_connection))
@@ -178,13 +179,13 @@
     });
     if (taken) continue;
     if (connection.up) return id;
-    if (!coming) coming = id;
+    if (!connecting) connecting = id;
   }
-  return coming ? coming : open(node);
+  return connecting ? connecting : open(node);
 }
 
 net::SlotId Links::open(NodeId node) {
-  bool room = user_.make_room();  // may close a connection, and with it drop a removed node
+  bool room = handler_.make_room();  // may close a connection, and with it drop a removed node
   Node& known = nodes_[node];
   if (known.address.port == 0 || !room) {
     ++counters_.connects_failed;
@@ -205,7 +206,7 @@
   connection.watch =
       loop_.watch(connection.fd.get(), POLLOUT, [this, id](short events) { on_ready(id, events); });
   connection.timer =
-      loop_.at(loop_.now() + limits_.connect_timeout, [this, id] { close(id, "not up in time"); });
+      loop_.at(loop_.now() + limits_.connect_timeout, [this, id] { close(id, "connect timed out"); });
   connection.last_used = loop_.now();
   known.connections.push_back(id);
   return id;
@@ -221,7 +222,7 @@
   Connection* connection = connections_.find(id);
   while (connection && !connection->out.empty()) {
     Frame& frame = connection->out.front();
-    if (frame.bytes.empty()) build(frame);
+    if (frame.bytes.empty()) serialize(frame);
     std::string_view left = std::string_view(frame.bytes).substr(connection->front_written);
     std::size_t written = 0;
     net::IoResult result = net::write_from(connection->fd, left, written);
@@ -334,7 +335,7 @@
   if (Connection* connection = connections_.find(id)) connection->attempts.erase(attempt->id);
   by_part_.erase({attempt->part, attempt->number});
   attempts_.release(slot);
-  user_.attempt_ended(ended);
+  handler_.attempt_ended(ended);
 }
 
 // ---- connections ----
@@ -365,7 +366,7 @@
     net::IoResult result = net::read_into(connection->fd, connection->in, read_step);
     if (result == net::IoResult::none) return true;
     if (result != net::IoResult::some) {
-      close(id, result == net::IoResult::ended ? "the node ended it" : "it broke");
+      close(id, result == net::IoResult::ended ? "closed by the node" : "it broke");
       return false;
     }
     connection->last_used = connection->last_read = loop_.now();
@@ -382,7 +383,7 @@
     bool idle = connection->attempts.empty() && connection->abandoned.empty() && connection->probes.empty();
     if (found == FrameResult::broken || (idle && connection->in.size() > 0)) {
       ++counters_.broken_frames;
-      close(id, "a frame that cannot be read");
+      close(id, "malformed frame");
       return false;
     }
   }
@@ -407,7 +408,7 @@
       break;
   }
   ++counters_.broken_frames;
-  close(id, "a frame that cannot be read");
+  close(id, "malformed frame");
 }
 
 void Links::handle_answer(net::SlotId id, const PartAnswer& answer) {
@@ -454,7 +455,7 @@
 void Links::on_idle_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   forget_old(connection);
-  if (end_silent_attempts(id)) return;
+  if (close_if_silent(id)) return;
   net::Duration keep = std::max(limits_.idle_close - 2 * limits_.connect_timeout, limits_.idle_close / 2);
   if (!connection.attempts.empty() || !connection.probes.empty() || loop_.now() < connection.last_used + keep)
     return arm_idle_timer(id);
@@ -484,7 +485,7 @@
   }
   for (const Probe& probe : ended.probes)
     if (!probe.ended)
-      user_.probe_ended(
+      handler_.probe_ended(
           {ended.node, ended.up ? Outcome::reset : Outcome::connect_failed, loop_.now() - probe.sent, {}});
 }
 
@@ -494,7 +495,7 @@
   net::SlotId id = connection_for(node, {});
   Connection* connection = connections_.find(id);
   if (!connection) {
-    user_.probe_ended({node, Outcome::connect_failed, {}, {}});
+    handler_.probe_ended({node, Outcome::connect_failed, {}, {}});
     return;
   }
   connection->probes.push_back({loop_.now(), false});
@@ -522,7 +523,7 @@
     ended.push_back({connection.node, Outcome::timeout, loop_.now() - probe.sent, {}});
   }
   arm_probe_timer(id);
-  for (const ProbeEnd& end : ended) user_.probe_ended(end);
+  for (const ProbeEnd& end : ended) handler_.probe_ended(end);
 }
 
 void Links::handle_probe_answer(net::SlotId id, const FrameView& frame) {
@@ -538,7 +539,7 @@
   bool passed = frame.letter == 'o' ? frame.rest == "good" : frame.rest != "bad";
   std::string_view report =
       frame.letter == 'p' && passed && frame.rest != "-" ? frame.rest : std::string_view{};
-  user_.probe_ended(
+  handler_.probe_ended(
       {connection.node, passed ? Outcome::ok : Outcome::error, loop_.now() - probe.sent, report});
 }
 
--- a/src/nodelink/links.h
+++ b/src/nodelink/links.h
@@ -59,8 +59,8 @@
 
 class Links {
  public:
-  Links(net::Loop& loop, log::Logger& log, const LinkLimits& limits, LinkHandler& user)
-      : loop_(loop), log_(log), limits_(limits), user_(user) {}
+  Links(net::Loop& loop, log::Logger& log, const LinkLimits& limits, LinkHandler& handler)
+      : loop_(loop), log_(log), limits_(limits), handler_(handler) {}
 
   // Sets the address of a node and the time of its last start; connections to an earlier address or
   // process get no new requests.
@@ -161,7 +161,7 @@
   void write(net::SlotId id);
   void update_watch(Connection& connection);
   void enqueue(net::SlotId id, Frame frame);
-  void build(Frame& frame);
+  void serialize(Frame& frame);
   bool unqueue(Connection& connection, net::SlotId attempt);
   void arm_idle_timer(net::SlotId id);
   void on_idle_timer(net::SlotId id);
@@ -169,7 +169,7 @@
   void arm_probe_timer(net::SlotId id);
   void forget_old(Connection& connection);
   void mark_silent(const Attempt& attempt);
-  bool end_silent_attempts(net::SlotId id);
+  bool close_if_silent(net::SlotId id);
   void mark_earlier_silent(PartId part, int attempt);
   void remember_settled(Connection& connection, std::string_view wire_id);
   void release_call_part(Connection& connection, std::uint64_t call);
@@ -183,7 +183,7 @@
   net::Loop& loop_;
   log::Logger& log_;
   LinkLimits limits_;
-  LinkHandler& user_;
+  LinkHandler& handler_;
   std::map<NodeId, Node> nodes_;
   net::SlotTable<Connection> connections_;
   net::SlotTable<Attempt> attempts_;
--- a/src/peerlink/fleet.cpp
+++ b/src/peerlink/fleet.cpp
@@ -62,7 +62,7 @@
 void Fleet::flush() {
   for (const peers::Datagram& datagram : core_.take_datagrams())
     if (!net::send_datagram(fd_, datagram.to, datagram.bytes)) ++unsent_;
-  for (const peers::MemberEvent& note : core_.take_events()) log_event(note);
+  for (const peers::MemberEvent& event : core_.take_events()) log_event(event);
   log_view();
   const net::Time due = core_.due();
   if (due == net::Time::max()) {
@@ -75,22 +75,25 @@
   });
 }
 
-void Fleet::log_event(const peers::MemberEvent& note) {
-  const std::string who = fmt::format("{} run {} incarnation {}", note.name, note.run, note.incarnation);
-  if (note.name == core_.self().name) {
+void Fleet::log_event(const peers::MemberEvent& event) {
+  const std::string identity =
+      fmt::format("{} run {} incarnation {}", event.name, event.run, event.incarnation);
+  if (event.name == core_.self().name) {
     if (core_.yields())
-      log_.error("fleet: {} is also the name of a broker at {}, started later: we are silent", who, note.by);
+      log_.error("fleet: {} is also the name of a broker at {}, started later: we are silent", identity,
+                 event.by);
     else
-      log_.warning("fleet: {}, our name, is not used at {} any more: we take part again", who, note.by);
+      log_.warning("fleet: {}, our name, is no longer used at {}: taking part again", identity, event.by);
     return;
   }
-  const std::string was =
-      note.known_before ? fmt::format("was {}", peers::name_of(note.before)) : "was not known";
-  const std::string by = note.by == core_.self().name ? "us" : note.by;
-  const std::string line = fmt::format("fleet: {} is {}, {}: {}, by {}{}", who, peers::name_of(note.after),
-                                       was, peers::text_of(note.cause), by,
-                                       note.accusers > 0 ? fmt::format(", accusers {}", note.accusers) : "");
-  if (note.after == peers::State::gone)
+  const std::string previous_state =
+      event.known_before ? fmt::format("was {}", peers::name_of(event.before)) : "was unknown";
+  const std::string by = event.by == core_.self().name ? "us" : event.by;
+  const std::string line =
+      fmt::format("fleet: {} is {}, {}: {}, by {}{}", identity, peers::name_of(event.after), previous_state,
+                  peers::text_of(event.cause), by,
+                  event.accusers > 0 ? fmt::format(", accusers {}", event.accusers) : "");
+  if (event.after == peers::State::gone)
     log_.warning("{}", line);
   else
     log_.info("{}", line);
--- a/src/peerlink/fleet.h
+++ b/src/peerlink/fleet.h
@@ -36,7 +36,7 @@
  private:
   void readable();
   void flush();  // sends the core's datagrams, logs its events and arms the timer
-  void log_event(const peers::MemberEvent& note);
+  void log_event(const peers::MemberEvent& event);
   void log_view();
 
   net::Loop& loop_;
--- a/src/peers/core.cpp
+++ b/src/peers/core.cpp
@@ -11,29 +11,29 @@
 using net::Time;
 
 constexpr int max_health = 8;
-constexpr int helpers_asked = 3;
-constexpr int max_confirmations = 3;  // independent confirmations with which a suspicion is shortest
-constexpr int tries_for_trusted = 8;  // draws of a random member before a suspect is accepted
-constexpr int gossip_fanout = 2;      // members per gossip tick
+constexpr int indirect_probe_helpers = 3;
+constexpr int max_confirmations = 3;     // independent confirmations with which a suspicion is shortest
+constexpr int trusted_member_draws = 8;  // draws of a random member before a suspect is accepted
+constexpr int gossip_fanout = 2;         // members per gossip tick
 constexpr double gossips_per_period = 4;
-constexpr double checks_of_suspect = 6;  // expected number of brokers that probe a suspect in each period
-constexpr int checks_a_period = 8;       // extra probes of suspects by one broker
-constexpr double direct_share = 0.5;     // of a period, before indirect probes are sent
-constexpr double helper_share = 0.3;     // of a period, before a helper reports a missing answer
+constexpr double probers_per_suspect = 6;  // expected number of brokers that probe a suspect in each period
+constexpr int max_suspect_probes_per_period = 8;  // extra probes of suspects by one broker
+constexpr double direct_probe_share = 0.5;        // of a period, before indirect probes are sent
+constexpr double helper_timeout_share = 0.3;      // of a period, before a helper reports a missing answer
 constexpr double settled_periods = 5;
 constexpr double joining_periods = 10;  // time for seeds to answer before a broker without peers may settle
 constexpr double differ_periods = 3;    // time for gossip to level out before an anti-entropy exchange
-constexpr double records_differ_periods = 25;  // the same for records
-constexpr std::size_t greeting_padding = 260;  // room for the answer's news
-constexpr int pages_at_once = 16;
-constexpr std::size_t most_relays = 64;
-constexpr std::size_t most_seeds = 64;     // from each source
-constexpr double datagrams_a_period = 64;  // accepted from one member
-constexpr double unproven_a_period = 64;   // accepted from all unverified addresses together
-constexpr double burst_periods = 4;        // burst size of both rate limits
-constexpr double name_tries = 5;           // unanswered pings to a namesake before its name is taken back
-
-std::uint32_t accuser_of(std::string_view name) { return static_cast<std::uint32_t>(hash_of(name, 2)); }
+constexpr double records_differ_periods = 25;        // the same for records
+constexpr std::size_t greeting_padding_bytes = 260;  // room for the answer's news
+constexpr int max_pages_per_exchange = 16;
+constexpr std::size_t max_relays = 64;
+constexpr std::size_t max_seeds = 64;         // from each source
+constexpr double datagrams_per_period = 64;   // accepted from one member
+constexpr double unverified_per_period = 64;  // accepted from all unverified addresses together
+constexpr double burst_periods = 4;           // burst size of both rate limits
+constexpr double max_namesake_pings = 5;      // unanswered pings to a namesake before its name is taken back
+
+std::uint32_t accuser_id(std::string_view name) { return static_cast<std::uint32_t>(hash_of(name, 2)); }
 
 AddressMatch match_address(const Address& theirs, const Address& ours) {
   return theirs == ours                 ? AddressMatch::same
@@ -44,9 +44,14 @@
 }  // namespace
 
 const char* text_of(Cause cause) {
-  constexpr const char* texts[] = {
-      "its own word",       "no answer to us", "several accusers", "its address is another's", "told",
-      "no word against it", "alone",           "our own word"};
+  constexpr const char* texts[] = {"its own word",
+                                   "no answer to us",
+                                   "several accusers",
+                                   "its address is another's",
+                                   "told",
+                                   "no answer from the namesake",
+                                   "alone",
+                                   "our own announcement"};
   return texts[static_cast<int>(cause)];
 }
 
@@ -65,7 +70,7 @@
       next_forget_(now + options_.remember_gone / 16),
       tokens_(static_cast<double>(options_.bytes_per_s)),
       tokens_at_(now),
-      unverified_tokens_(unproven_a_period * burst_periods),
+      unverified_tokens_(unverified_per_period * burst_periods),
       unverified_tokens_at_(now),
       changed_at_(now),
       disagreed_at_(now),
@@ -122,7 +127,7 @@
 }
 
 void Core::set_discovered_seeds(std::vector<Address> seeds) {
-  if (seeds.size() > most_seeds) seeds.resize(most_seeds);
+  if (seeds.size() > max_seeds) seeds.resize(max_seeds);
   discovered_seeds_ = std::move(seeds);
 }
 
@@ -176,7 +181,7 @@
       if (yields_) return;
       yields_ = true;
       namesake_ = heard.address;
-      namesake_tries_ = 0;
+      namesake_pings_ = 0;
       namesake_run_ = heard.status.run;
       probes_.clear();
       events_.push_back({self_.name, heard.status.run, heard.status.incarnation, State::alive, true,
@@ -192,7 +197,7 @@
 // Takes our name back if the namesake no longer answers; it keeps the name while it does.
 void Core::probe_namesake(Time now) {
   next_period_ = now + options_.period * 5;
-  if (++namesake_tries_ > name_tries) {
+  if (++namesake_pings_ > max_namesake_pings) {
     yields_ = false;
     ++counters_.outruns;
     own_ = {std::max(own_.run, namesake_run_) + 1, 0};
@@ -208,7 +213,7 @@
   ++counters_.startovers;
   former_addresses_.clear();
   for (const Member* member : table_.in_force())
-    if (former_addresses_.size() < most_seeds) former_addresses_.push_back(member->address);
+    if (former_addresses_.size() < max_seeds) former_addresses_.push_back(member->address);
   std::vector<std::string> names;
   for (const auto& [name, member] : table_.all()) names.push_back(name);
   for (const std::string& name : names) {
@@ -279,7 +284,7 @@
   suspicion_deadlines_.erase({member.suspicion_deadline, member.name});
   table_.change(member, [&](Member& each) {
     if (each.status.run != status.run) {
-      each.shelf.clear();
+      each.records.clear();
       each.seen = {};
       each.cookie = 0;
     }
@@ -321,7 +326,7 @@
 void Core::suspect_locally(Time now, Member& member, Cause cause) {
   MemberStatus next = member.status;
   next.verdict = Verdict::suspect;
-  suspect(now, member, next, cause, self_.name, {accuser_of(self_.name)});
+  suspect(now, member, next, cause, self_.name, {accuser_id(self_.name)});
 }
 
 void Core::confirm_suspicion(Time now, Member& member, std::uint32_t accuser) {
@@ -369,7 +374,7 @@
   return true;
 }
 
-void Core::apply_news(Time now, const wire::News& news, const std::string& teller) {
+void Core::apply_news(Time now, const wire::News& news, const std::string& reporter) {
   if (news.run() > max_run) {
     ++counters_.malformed;
     return;
@@ -401,7 +406,7 @@
   if (merged.effect == MergeEffect::none) return;
   if (merged.effect == MergeEffect::confirmed) {
     for (std::uint32_t accuser : news.accusers()) confirm_suspicion(now, *member, accuser);
-    if (read.status.verdict == Verdict::gone) confirm_suspicion(now, *member, accuser_of(teller));
+    if (read.status.verdict == Verdict::gone) confirm_suspicion(now, *member, accuser_id(reporter));
     return;
   }
   if (!member) member = table_.add(news.name());
@@ -430,11 +435,11 @@
     };
     for (std::uint32_t accuser : news.accusers()) add(accuser);
     // A member that reports gone has confirmed the suspicion itself.
-    if (accusers.empty() || read.status.verdict == Verdict::gone) add(accuser_of(teller));
-    return suspect(now, *member, merged.next, Cause::reported, teller, std::move(accusers));
+    if (accusers.empty() || read.status.verdict == Verdict::gone) add(accuser_id(reporter));
+    return suspect(now, *member, merged.next, Cause::reported, reporter, std::move(accusers));
   }
   set_status(now, *member, merged.next,
-             merged.effect == MergeEffect::recorded ? Cause::reported : Cause::own_update, teller);
+             merged.effect == MergeEffect::recorded ? Cause::reported : Cause::own_update, reporter);
   if (merged.effect == MergeEffect::recorded && !held) {
     // A reported removal of an unknown member is kept for half the time and not passed on; otherwise it
     // would circulate forever among joining members.
@@ -449,7 +454,7 @@
   Member* member = table_.find(shelf.name());
   if (!member || member->status.run != shelf.run() || !member->status.in_force()) return;
   bool news = false, fits = true;
-  table_.change(*member, [&](Member& each) { fits = merge_records(each.shelf, shelf, news); });
+  table_.change(*member, [&](Member& each) { fits = merge_records(each.records, shelf, news); });
   if (!fits) ++counters_.shelf_full;
   if (!news) return;
   snapshot_.reset();
@@ -504,8 +509,8 @@
   ++counters_.unproven;
   const Duration passed = now - unverified_tokens_at_;
   unverified_tokens_at_ = now;
-  unverified_tokens_ = std::min(unproven_a_period * burst_periods,
-                                unverified_tokens_ + passed / options_.period * unproven_a_period);
+  unverified_tokens_ = std::min(unverified_per_period * burst_periods,
+                                unverified_tokens_ + passed / options_.period * unverified_per_period);
   if (unverified_tokens_ < 1) {
     ++counters_.too_many;
     return;
@@ -540,7 +545,7 @@
   ++counters_.namesakes;
   const bool proven = body.echo() == cookie_for(from);
   if (yields_) {
-    if (proven && from == namesake_) namesake_tries_ = 0;
+    if (proven && from == namesake_) namesake_pings_ = 0;
     return;
   }
   const bool later = body.run() > own_.run || (body.run() == own_.run && AddressOrder()(self_.address, from));
@@ -560,12 +565,12 @@
 }
 
 bool Core::within_rate_limit(Time now, Member& member) {
-  const double most = datagrams_a_period * burst_periods;
+  const double most = datagrams_per_period * burst_periods;
   if (member.tokens_at == Time{}) {
     member.datagram_tokens = most;
   } else {
     member.datagram_tokens = std::min(
-        most, member.datagram_tokens + (now - member.tokens_at) / options_.period * datagrams_a_period);
+        most, member.datagram_tokens + (now - member.tokens_at) / options_.period * datagrams_per_period);
   }
   member.tokens_at = now;
   if (member.datagram_tokens < 1) return false;
@@ -675,7 +680,7 @@
     }
     // The target must answer under the probed run; a helper has checked that already.
     if (body.name() == probe->target && body.run() != probe->run) return;
-    if (!probe->check) improve_health();
+    if (!probe->of_suspect) improve_health();
     probes_.erase(probe);
     return;
   }
@@ -684,16 +689,17 @@
   if (relay == relays_.end()) return;
   const Relay found = *relay;
   relays_.erase(relay);
-  const Member* asker = table_.find(found.asker_name);
-  wire::Body said = body_for(found.asker, asker);
-  said.mutable_answer()->set_probe(found.asked);
-  send(now, found.asker, said, SendBudget::always);
+  const Member* requester = table_.find(found.requester_name);
+  wire::Body said = body_for(found.requester, requester);
+  said.mutable_answer()->set_probe(found.requester_probe);
+  send(now, found.requester, said, SendBudget::always);
 }
 
-void Core::handle_ping_request(Time now, const Member& asker, const wire::Ask& ask) {
+void Core::handle_ping_request(Time now, const Member& requester, const wire::Ask& ask) {
   const Member* target = table_.find(ask.target());
-  if (!target || relays_.size() >= most_relays) return;
-  Relay relay{random_() | 1, ask.probe(), asker.address, asker.name, now + options_.period * helper_share};
+  if (!target || relays_.size() >= max_relays) return;
+  Relay relay{random_() | 1, ask.probe(), requester.address, requester.name,
+              now + options_.period * helper_timeout_share};
   relays_.push_back(relay);
   ping(now, target->address, target, relay.id, false);
 }
@@ -724,27 +730,28 @@
   auto turn_page = [&] {
     if (page.news_size() == 0 && page.shelves_size() == 0) return;
     ++counters_.pages;
-    full = !send(now, member.address, page, SendBudget::if_plenty) || ++pages >= pages_at_once;
+    full = !send(now, member.address, page, SendBudget::if_plenty) || ++pages >= max_pages_per_exchange;
     page = body_for(member.address, &member);
   };
-  auto put = [&](const std::string& name, std::uint64_t run, wire::News&& news, const RecordMap* shelf) {
+  auto put = [&](const std::string& name, std::uint64_t run, wire::News&& news, const RecordMap* records) {
     if (size_of(news) > room_in(page)) turn_page();
     if (full) return;
     *page.add_news() = std::move(news);
     wire::Shelf item;
-    if (!shelf || shelf->empty()) return;
-    if (!pack_records(name, run, *shelf, room_in(page), item) ||
-        item.records_size() < static_cast<int>(shelf->size())) {
+    if (!records || records->empty()) return;
+    if (!pack_records(name, run, *records, room_in(page), item) ||
+        item.records_size() < static_cast<int>(records->size())) {
       turn_page();
       if (full) return;
-      pack_records(name, run, *shelf, room_in(page), item);
+      pack_records(name, run, *records, room_in(page), item);
     }
     if (item.records_size() > 0) *page.add_shelves() = std::move(item);
   };
   if (differs[MemberTable::bucket(self_.name)]) put(self_.name, own_.run, own_news(), &own_records_);
   for (const Member* each : entries) {
     if (full) break;
-    put(each->name, each->status.run, news_of(*each, true), each->status.in_force() ? &each->shelf : nullptr);
+    put(each->name, each->status.run, news_of(*each, true),
+        each->status.in_force() ? &each->records : nullptr);
   }
   if (!full) turn_page();
 }
@@ -773,7 +780,7 @@
   std::uniform_int_distribution<std::size_t> any(0, all.size() - 1);
   Member* member = all[any(random_)];
   // Suspects are notified directly, and gossip to a dead member is lost.
-  for (int i = 0; i < tries_for_trusted && member->status.verdict != Verdict::trusted; ++i)
+  for (int i = 0; i < trusted_member_draws && member->status.verdict != Verdict::trusted; ++i)
     member = all[any(random_)];
   return member;
 }
@@ -788,29 +795,29 @@
 // Probes suspects of others that we have not probed ourselves: in each period a few brokers probe each
 // suspect, which confirms or refutes the suspicion early.
 void Core::probe_suspects(Time now) {
-  const double share = checks_of_suspect / static_cast<double>(in_force());
+  const double share = probers_per_suspect / static_cast<double>(in_force());
   int checks = 0;
   for (const auto& [at, name] : suspicion_deadlines_) {
     const Member* member = table_.find(name);
     if (!member || static_cast<int>(member->accusers.size()) > max_confirmations) continue;
-    const auto own = std::find(member->accusers.begin(), member->accusers.end(), accuser_of(self_.name));
+    const auto own = std::find(member->accusers.begin(), member->accusers.end(), accuser_id(self_.name));
     const bool out =
         std::any_of(probes_.begin(), probes_.end(), [&](const Probe& each) { return each.target == name; });
     if (own != member->accusers.end() || out) continue;
     if (std::uniform_real_distribution<double>(0, 1)(random_) >= share) continue;
     begin_probe(now, *member, true);
-    if (++checks >= checks_a_period) return;
+    if (++checks >= max_suspect_probes_per_period) return;
   }
 }
 
-void Core::begin_probe(Time now, const Member& target, bool check) {
+void Core::begin_probe(Time now, const Member& target, bool of_suspect) {
   ++counters_.probes;
   Probe probe{Stage::direct,
-              check,
+              of_suspect,
               random_() | 1,
               target.name,
               target.status.run,
-              now + scaled_period() * direct_share,
+              now + scaled_period() * direct_probe_share,
               0,
               0};
   ping(now, target.address, &target, probe.id, target.cookie == 0);
@@ -823,12 +830,12 @@
   if (!target || !target->status.in_force() || target->status.run != probe.run) return false;
   if (probe.stage == Stage::direct) {
     probe.stage = Stage::indirect;
-    probe.due = now + scaled_period() * (1 - direct_share) * 0.96;
+    probe.due = now + scaled_period() * (1 - direct_probe_share) * 0.96;
     std::vector<Member*> others;
     for (Member* each : table_.in_force())
       if (each != target && each->cookie != 0 && each->status.verdict == Verdict::trusted)
         others.push_back(each);
-    for (int i = 0; i < helpers_asked && !others.empty(); ++i) {
+    for (int i = 0; i < indirect_probe_helpers && !others.empty(); ++i) {
       const std::size_t at = std::uniform_int_distribution<std::size_t>(0, others.size() - 1)(random_);
       Member* helper = others[at];
       others.erase(others.begin() + static_cast<std::ptrdiff_t>(at));
@@ -842,12 +849,12 @@
   }
   ++counters_.probes_failed;
   // An answer from one helper shows that our own network works, so our health score stays.
-  if (!probe.check && probe.missed == 0) degrade_health(1);
+  if (!probe.of_suspect && probe.missed == 0) degrade_health(1);
   if (target->status.verdict == Verdict::trusted) {
     suspect_locally(now, *target, Cause::own_probe);
     send_verdict(now, *target);
   } else {
-    confirm_suspicion(now, *target, accuser_of(self_.name));
+    confirm_suspicion(now, *target, accuser_id(self_.name));
   }
   return false;
 }
@@ -890,11 +897,11 @@
     }
     const Relay relay = relays_[i];
     relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
-    const Member* asker = table_.find(relay.asker_name);
-    wire::Body said = body_for(relay.asker, asker);
-    said.mutable_answer()->set_probe(relay.asked);
+    const Member* requester = table_.find(relay.requester_name);
+    wire::Body said = body_for(relay.requester, requester);
+    said.mutable_answer()->set_probe(relay.requester_probe);
     said.mutable_answer()->set_missed(true);
-    send(now, relay.asker, said, SendBudget::always);
+    send(now, relay.requester, said, SendBudget::always);
   }
   if (phase_ != Phase::left) {
     for (std::size_t i = 0; i < probes_.size();) {
@@ -1013,13 +1020,13 @@
 }
 
 // Packs the newest records that fit; false if none does.
-bool Core::pack_records(const std::string& name, std::uint64_t run, const RecordMap& shelf, std::size_t room,
-                        wire::Shelf& into) const {
+bool Core::pack_records(const std::string& name, std::uint64_t run, const RecordMap& records,
+                        std::size_t room, wire::Shelf& into) const {
   into.Clear();
   into.set_name(name);
   into.set_run(run);
   std::vector<const RecordMap::value_type*> newest;
-  for (const auto& each : shelf) newest.push_back(&each);
+  for (const auto& each : records) newest.push_back(&each);
   std::sort(newest.begin(), newest.end(),
             [](const auto* a, const auto* b) { return a->second.version > b->second.version; });
   for (const RecordMap::value_type* each : newest) {
@@ -1058,7 +1065,7 @@
     if (about == member && about) return 0;  // it knows its own status, or its verdict was added above
     if (priority == Priority::record) {
       wire::Shelf item;
-      if (!pack_records(name, own ? own_.run : about->status.run, own ? own_records_ : about->shelf, room,
+      if (!pack_records(name, own ? own_.run : about->status.run, own ? own_records_ : about->records, room,
                         item))
         return room > 400 ? 1 : 0;
       room -= std::min(room, size_of(item));
@@ -1078,7 +1085,7 @@
   body.mutable_ping()->set_probe(id);
   if (member) body.mutable_ping()->set_target(member->name);
   if (greet)
-    body.mutable_padding()->resize(greeting_padding);
+    body.mutable_padding()->resize(greeting_padding_bytes);
   else
     piggyback(now, body, member, room_in(body));
   send(now, to, body, id == 0 ? SendBudget::if_any : SendBudget::always);
@@ -1167,7 +1174,7 @@
     if (member.status.run != 0)
       next->members.push_back({name, member.status.run, member.status.incarnation, member.status.state(),
                                member.since, member.address, member.serves, member.zone, member.region,
-                               member.version, member.status.in_force() ? member.shelf : RecordMap{}});
+                               member.version, member.status.in_force() ? member.records : RecordMap{}});
   MemberView self{self_.name,   own_.run,      own_.incarnation, MemberStatus{0, 0, {}, phase_}.state(),
                   {},           self_.address, self_.serves,     self_.zone,
                   self_.region, self_.version, own_records_};
--- a/src/peers/core.h
+++ b/src/peers/core.h
@@ -149,8 +149,7 @@
   enum class Stage { direct, indirect };
   struct Probe {
     Stage stage = Stage::direct;
-    bool check =
-        false;  // of a member suspected by others, outside the probe round: does not affect our health score
+    bool of_suspect = false;  // outside the probe round; does not affect our health score
     std::uint64_t id = 0;
     std::string target;
     std::uint64_t run = 0;
@@ -159,10 +158,10 @@
     int missed = 0;  // helpers that reported no answer from the target
   };
   struct Relay {
-    std::uint64_t id = 0;     // probe id of our ping
-    std::uint64_t asked = 0;  // probe id of the requesting member
-    net::Address asker;
-    std::string asker_name;
+    std::uint64_t id = 0;               // probe id of our ping
+    std::uint64_t requester_probe = 0;  // probe id of the requesting member
+    net::Address requester;
+    std::string requester_name;
     net::Time due{};
   };
   enum class SendBudget { always, if_any, if_plenty };
@@ -172,9 +171,9 @@
   void handle_verified(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
   void handle_namesake(net::Time now, const net::Address& from, const wire::Body& body, std::size_t size);
   void handle_ack(net::Time now, const wire::Body& body);
-  void handle_ping_request(net::Time now, const Member& asker, const wire::Ask& ask);
+  void handle_ping_request(net::Time now, const Member& requester, const wire::Ask& ask);
   void handle_summary(net::Time now, const Member& member, const wire::Summary& summary);
-  void apply_news(net::Time now, const wire::News& news, const std::string& teller);
+  void apply_news(net::Time now, const wire::News& news, const std::string& reporter);
   void apply_own_news(net::Time now, const wire::News& news);
   void apply_shelf(net::Time now, const wire::Shelf& shelf);
   bool within_rate_limit(net::Time now, Member& member);
@@ -202,7 +201,7 @@
 
   // Probes.
   void begin_period(net::Time now);
-  void begin_probe(net::Time now, const Member& target, bool check);
+  void begin_probe(net::Time now, const Member& target, bool of_suspect);
   bool advance_probe(net::Time now, Probe& probe);
   void probe_suspects(net::Time now);
   Member* next_target();
@@ -220,7 +219,7 @@
   void send_verdict(net::Time now, Member& member);
   wire::News news_of(const Member& member, bool with_word) const;
   wire::News own_news() const;
-  bool pack_records(const std::string& name, std::uint64_t run, const RecordMap& shelf, std::size_t room,
+  bool pack_records(const std::string& name, std::uint64_t run, const RecordMap& records, std::size_t room,
                     wire::Shelf& into) const;
   std::size_t room_in(const wire::Body& body) const;
   std::uint64_t cookie_for(const net::Address& address) const;
@@ -252,7 +251,7 @@
   bool yields_ = false;
   net::Address namesake_;
   std::uint64_t namesake_run_ = 0;
-  int namesake_tries_ = 0;
+  int namesake_pings_ = 0;
 
   std::vector<Probe> probes_;       // in progress
   std::vector<std::string> round_;  // names still to be probed in this round
--- a/src/peers/member_table.cpp
+++ b/src/peers/member_table.cpp
@@ -58,9 +58,9 @@
   return hash_of(name, status.run * 0x9e3779b97f4a7c15u + status.incarnation);
 }
 
-std::uint64_t MemberTable::weight(std::string_view name, std::uint64_t run, const RecordMap& shelf) {
+std::uint64_t MemberTable::weight(std::string_view name, std::uint64_t run, const RecordMap& records) {
   std::uint64_t sum = 0;
-  for (const auto& [key, record] : shelf)
+  for (const auto& [key, record] : records)
     sum += hash_of(key, hash_of(name, run) + record.version * 0x9e3779b97f4a7c15u);
   return sum;
 }
@@ -70,37 +70,37 @@
 void MemberTable::remove_from_index(Member& member) {
   if (!member.status.in_force()) return;
   const std::uint64_t status = weight(member.name, member.status);
-  const std::uint64_t shelf = weight(member.name, member.status.run, member.shelf);
+  const std::uint64_t records = weight(member.name, member.status.run, member.records);
   digest_ -= status;
-  records_ -= shelf;
-  sums_[bucket(member.name)] -= status + shelf;
-  in_force_.back()->place = member.place;
-  std::swap(in_force_[member.place], in_force_.back());
+  records_ -= records;
+  sums_[bucket(member.name)] -= status + records;
+  in_force_.back()->index = member.index;
+  std::swap(in_force_[member.index], in_force_.back());
   in_force_.pop_back();
-  auto there = places_.find(member.address);
-  if (there != places_.end() && there->second == &member) places_.erase(there);
+  auto there = by_address_.find(member.address);
+  if (there != by_address_.end() && there->second == &member) by_address_.erase(there);
 }
 
 void MemberTable::add_to_index(Member& member) {
   if (!member.status.in_force()) return;
   const std::uint64_t status = weight(member.name, member.status);
-  const std::uint64_t shelf = weight(member.name, member.status.run, member.shelf);
+  const std::uint64_t records = weight(member.name, member.status.run, member.records);
   digest_ += status;
-  records_ += shelf;
-  sums_[bucket(member.name)] += status + shelf;
-  member.place = in_force_.size();
+  records_ += records;
+  sums_[bucket(member.name)] += status + records;
+  member.index = in_force_.size();
   in_force_.push_back(&member);
-  places_[member.address] = &member;
+  by_address_[member.address] = &member;
 }
 
 Member* MemberTable::at(const net::Address& address) const {
-  auto found = places_.find(address);
-  return found == places_.end() ? nullptr : found->second;
+  auto found = by_address_.find(address);
+  return found == by_address_.end() ? nullptr : found->second;
 }
 
-std::size_t bytes_of(const RecordMap& shelf) {
+std::size_t bytes_of(const RecordMap& records) {
   std::size_t bytes = 0;
-  for (const auto& [key, record] : shelf) bytes += key.size() + record.value.size();
+  for (const auto& [key, record] : records) bytes += key.size() + record.value.size();
   return bytes;
 }
 
--- a/src/peers/member_table.h
+++ b/src/peers/member_table.h
@@ -52,7 +52,7 @@
   std::string region;
   std::string version;
   net::Time since{};  // time of the last state change
-  RecordMap shelf;
+  RecordMap records;
 
   // Suspicion.
   std::vector<std::uint32_t> accusers;  // hashes of the names, each once
@@ -72,7 +72,7 @@
   double datagram_tokens = 0;        // token bucket of its datagrams
   net::Time tokens_at{};
 
-  std::size_t place = 0;  // in `in_force_`
+  std::size_t index = 0;  // in `in_force_`
 };
 
 class MemberTable {
@@ -84,7 +84,7 @@
   // Null if the table is full.
   Member* add(const std::string& name);
   void erase(const std::string& name);
-  // Every change of a status, word or shelf is made through this function, which keeps the digests right.
+  // Every change of a status, word or record is made through this function, which keeps the digests right.
   template <typename Change>
   void change(Member& member, Change&& change) {
     remove_from_index(member);
@@ -106,7 +106,7 @@
 
   // The contribution of one member to the digests; the core adds our own in the same way.
   static std::uint64_t weight(std::string_view name, const MemberStatus& status);
-  static std::uint64_t weight(std::string_view name, std::uint64_t run, const RecordMap& shelf);
+  static std::uint64_t weight(std::string_view name, std::uint64_t run, const RecordMap& records);
   static std::size_t bucket(std::string_view name);
 
  private:
@@ -116,7 +116,7 @@
   std::size_t max_members_;
   std::map<std::string, Member, std::less<>> members_;
   std::vector<Member*> in_force_;
-  std::map<net::Address, Member*, AddressOrder> places_;
+  std::map<net::Address, Member*, AddressOrder> by_address_;
   std::uint64_t digest_ = 0;
   std::uint64_t records_ = 0;
   std::array<std::uint64_t, summary_buckets> sums_{};
@@ -124,6 +124,6 @@
 
 // Takes the newer version of each record; false if the result would exceed the limits of one broker.
 bool merge_records(RecordMap& held, const wire::Shelf& heard, bool& changed);
-std::size_t bytes_of(const RecordMap& shelf);
+std::size_t bytes_of(const RecordMap& records);
 
 }  // namespace pearspar::peers
