--- a/tests/frames_test.cpp
+++ b/tests/frames_test.cpp
@@ -12,7 +12,7 @@
   return out + rest;
 }
 
-TEST(Frames, ACallHoldsALineAndATextForEachPart) {
+TEST(Frames, CallFrameHoldsALineAndATextForEachPart) {
   std::vector<OutgoingPart> parts = {{"9b1f.3", 3, 240, "c41e77d0"}, {"9b1f.11", 11, 7, "a\nb"}};
   EXPECT_EQ(call_frame(parts), frame_of('m', "9b1f.3 3 d=240 8\nc41e77d09b1f.11 11 d=7 3\na\nb"));
   EXPECT_EQ(give_up_frame("9b1f.3"), frame_of('n', "9b1f.3"));
@@ -20,7 +20,7 @@
   EXPECT_EQ(probe_frame(true), frame_of('p', ""));
 }
 
-TEST(Frames, AFrameIsWholeOnceAllOfItHasCome) {
+TEST(Frames, FrameIsCompleteWithItsLastByte) {
   std::string bytes = frame_of('q', "rest") + "more";
   FrameView frame;
   for (std::size_t size = 0; size < 9; ++size)
@@ -31,15 +31,15 @@
   EXPECT_EQ(frame.size, 9u);
 }
 
-// A false length must not be waited for, nor claim its memory.
-TEST(Frames, ALengthThatNoFrameHasIsBroken) {
+// A corrupt length must neither be waited for nor allocated.
+TEST(Frames, InvalidLengthIsBroken) {
   FrameView frame;
   EXPECT_EQ(next_frame(std::string(4, '\0'), frame), FrameResult::broken);
   EXPECT_EQ(next_frame("\xff\xff\xff\xff", frame), FrameResult::broken);
   EXPECT_EQ(next_frame("GET ", frame), FrameResult::broken);
 }
 
-TEST(Frames, AnAnswerIsALineAndAValue) {
+TEST(Frames, AnswerIsALineAndAValue) {
   auto answer = parse_answer("9b1f.3 good 1840277719 inflight=7,util=0.61\nva\nlue");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->id, "9b1f.3");
@@ -53,7 +53,7 @@
     EXPECT_FALSE(parse_answer(bad)) << bad;
 }
 
-TEST(Frames, AReportIsReadInTheOrderOfTheSettings) {
+TEST(Frames, ReportValuesFollowTheSettings) {
   std::vector<std::string> fields = {"throughput", "outstanding", "strange"};
   EXPECT_EQ(parse_report("inflight=7,util=0.61,qps=12.5", fields), (std::vector<double>{12.5, 7, 0}));
   EXPECT_EQ(parse_report("throughput=3", fields), (std::vector<double>{3, 0, 0}));
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -10,7 +10,7 @@
 
 using peers::Peer;
 
-// The next whole frame that a node has read, dropped from its buffer; empty where there is none.
+// The next complete frame received by the node, removed from its buffer; empty if there is none.
 std::string take_frame(Peer& node) {
   FrameView frame;
   if (next_frame(node.seen(), frame) != FrameResult::whole) return "";
@@ -60,7 +60,7 @@
     return peers::turn_until(
         loop, [&] { node.poll(); }, enough);
   }
-  // The node's nth connection has read a frame that begins so.
+  // Whether the node's nth connection has received a frame with this beginning.
   bool gets(std::size_t peer, const std::string& start) {
     return until([&] {
       if (node.peers.size() <= peer) return false;
@@ -78,12 +78,12 @@
   bool room = true, idle_makes_room = false;
   double forget = 30;
   std::vector<Ended> ended, probes;
-  std::deque<std::string> ids;  // what the calls' views point to
+  std::deque<std::string> ids;  // backing storage of the ids in the calls
   std::string got;
   Links links{loop, peers::quiet_log(), limits(), *this};
 };
 
-TEST_F(LinksTest, AnswersMayComeInAnyOrderAndInPieces) {
+TEST_F(LinksTest, AnswersArriveOutOfOrderAndFragmented) {
   std::vector<Call> both = {call(1, "q.1"), call(2, "q.2")};
   links.send(1, both);
   ASSERT_TRUE(gets(0, "mq.1 3 d="));
@@ -103,26 +103,25 @@
   EXPECT_EQ(links.attempts_out(), 0u);
 }
 
-TEST_F(LinksTest, AConnectionCarriesSoManyCallsAndNoMore) {
+TEST_F(LinksTest, CallsPerConnectionAreLimited) {
   for (PartId part = 1; part <= 5; ++part) send(part, "q." + std::to_string(part));
   ASSERT_TRUE(until([&] { return node.peers.size() == 3; }));
   EXPECT_EQ(links.connections(), 3u);
   ASSERT_TRUE(gets(0, "mq.1"));
   ASSERT_TRUE(at(0).write(node_frame('q', "q.1 good 0 -\n")));
   ASSERT_TRUE(ends_after(1));
-  send(6, "q.6");  // takes the place that has become free
+  send(6, "q.6");  // takes the place that became free
   ASSERT_TRUE(gets(0, "mq.2"));
   ASSERT_TRUE(gets(0, "mq.6"));
   EXPECT_EQ(links.connections(), 3u);
 }
 
-// Found on a day on which connections fell silent while their nodes served on: the next parts kept going
-// there until all its places were taken.
-TEST_F(LinksTest, AConnectionThatFellSilentGetsNothingNew) {
+// Guards against sending further parts to a silent connection while its node serves on others.
+TEST_F(LinksTest, SilentConnectionGetsNoNewCalls) {
   forget = 0.1;
   send(1, "q.1", 10);
   ASSERT_TRUE(gets(0, "mq.1"));
-  // The part is sent again while its attempt is out: that one is taken for lost.
+  // Sending the part again presumes the attempt in flight lost.
   send(1, "q.1", 10, 1);
   ASSERT_TRUE(gets(1, "mq.1"));
   ASSERT_TRUE(at(1).write(node_frame('q', "q.1 good 0 -\nvalue")));
@@ -131,7 +130,7 @@
   EXPECT_EQ(links.counters().fell_silent, 1u);
   send(2, "q.2");
   ASSERT_TRUE(gets(1, "mq.2"));
-  // It is given back when no answer to its last attempt can come any more.
+  // Closed when no answer to its last attempt can arrive any more.
   links.give_up(1, 0);
   ASSERT_TRUE(at(1).write(node_frame('q', "q.2 good 0 -\n")));
   std::size_t next = 3;
@@ -145,7 +144,7 @@
   EXPECT_EQ(links.counters().closed_silent, 1u);
 }
 
-TEST_F(LinksTest, AConnectionThatSpeaksAgainIsUsedAgain) {
+TEST_F(LinksTest, ConnectionIsReusedAfterSilenceEnds) {
   send(1, "q.1");
   send(2, "q.2", 10);
   ASSERT_TRUE(gets(0, "mq.1"));
@@ -155,14 +154,14 @@
   ASSERT_TRUE(at(0).write(node_frame('q', "q.2 good 0 -\n")));
   ASSERT_TRUE(ends_after(2));
   send(3, "q.3");
-  // The give-up of the first, then the new one, on the same connection.
+  // The cancellation of the first, then the new one, on the same connection.
   ASSERT_TRUE(gets(0, "nq.1"));
   ASSERT_TRUE(gets(0, "mq.3"));
   EXPECT_EQ(links.connections(), 1u);
 }
 
-// Slow is not silent: what is read since an attempt went out speaks for the connection.
-TEST_F(LinksTest, AConnectionThatAnswersOthersIsNotSilent) {
+// A slow connection is not silent: anything read after an attempt was written proves it alive.
+TEST_F(LinksTest, ConnectionWithOtherAnswersIsNotSilent) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   send(2, "q.2");
@@ -174,8 +173,8 @@
   EXPECT_EQ(links.counters().fell_silent, 0u);
 }
 
-// An answer under an id that was never sent is one whose id was spoilt: what it was for must not wait for it.
-TEST_F(LinksTest, AnAnswerToNothingThatWasSentEndsItsConnection) {
+// An id that was never sent is a corrupt one: the request it was meant for must not wait until its timeout.
+TEST_F(LinksTest, AnswerWithUnknownIdClosesTheConnection) {
   send(1, "q.1");
   send(2, "q.2");
   ASSERT_TRUE(gets(0, "mq.1"));
@@ -188,7 +187,7 @@
   EXPECT_EQ(links.connections(), 0u);
 }
 
-TEST_F(LinksTest, AnAnswerThatComesTwiceCountsOnceAndHarmsNothing) {
+TEST_F(LinksTest, RepeatedAnswerIsIgnored) {
   send(1, "q.1");
   send(2, "q.2");
   ASSERT_TRUE(gets(0, "mq.1"));
@@ -203,7 +202,7 @@
   EXPECT_EQ(links.connections(), 1u);
 }
 
-TEST_F(LinksTest, NoiseBehindAnAnswerEndsTheConnectionAndLeavesTheAnswer) {
+TEST_F(LinksTest, BytesBehindAnAnswerCloseTheConnectionButKeepTheAnswer) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   std::string half("\0\0\1", 3);
@@ -214,8 +213,8 @@
   ASSERT_TRUE(until([&] { return links.connections() == 0; }));
 }
 
-// A frame that never becomes whole would swallow every later answer.
-TEST_F(LinksTest, NothingNewGoesBehindAFrameThatStandsHalfRead) {
+// The rest of a partial frame may never arrive and would swallow later answers.
+TEST_F(LinksTest, ConnectionWithAPartialFrameGetsNoNewCalls) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   ASSERT_TRUE(at(0).write(std::string("\0\0\1\0q", 5)));
@@ -224,11 +223,11 @@
   ASSERT_TRUE(gets(1, "mq.2"));
 }
 
-TEST_F(LinksTest, WhatIsKnownOfANodeThatIsGoneIsGivenBack) {
+TEST_F(LinksTest, StateOfARemovedNodeIsFreed) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   links.retire(1);
-  EXPECT_EQ(links.nodes(), 1u);  // an attempt is still out there
+  EXPECT_EQ(links.nodes(), 1u);  // an attempt is still in flight
   ASSERT_TRUE(at(0).write(node_frame('q', "q.1 good 0 -\nvalue")));
   ASSERT_TRUE(ends_after(1));
   EXPECT_EQ(links.nodes(), 0u);
@@ -238,7 +237,7 @@
   EXPECT_EQ(ended[1].outcome, Outcome::connect_failed);
 }
 
-TEST_F(LinksTest, LaterMeansTurnedAway) {
+TEST_F(LinksTest, LaterIsReportedAsRefused) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   ASSERT_TRUE(at(0).write(node_frame('q', "q.1 later 0 -\n")));
@@ -246,7 +245,7 @@
   EXPECT_EQ(ended[0].outcome, Outcome::refused);
 }
 
-TEST_F(LinksTest, ARefusedConnectionIsOneThatCouldNotBeMade) {
+TEST_F(LinksTest, RefusedConnectionIsReportedAsConnectFailed) {
   node.close();
   send(1, "q.1");
   ASSERT_TRUE(ends_after(1));
@@ -254,16 +253,15 @@
   EXPECT_EQ(links.connections(), 0u);
 }
 
-TEST_F(LinksTest, WithoutADescriptorNoConnectionIsMade) {
+TEST_F(LinksTest, NoConnectionWithoutADescriptor) {
   room = false;
   send(1, "q.1");
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_EQ(ended[0].outcome, Outcome::connect_failed);
 }
 
-// More nodes than descriptors: what carries nothing makes way, the one used least lately first; what carries
-// an attempt does not.
-TEST_F(LinksTest, AnIdleConnectionMakesWayForAnotherNode) {
+// With more nodes than descriptors, the connection idle for longest is closed; busy ones are kept.
+TEST_F(LinksTest, IdleConnectionIsClosedForAnotherNode) {
   peers::Listener other, third;
   links.place(2, other.address(), 0);
   links.place(3, third.address(), 0);
@@ -285,12 +283,12 @@
       [&] { return !other.peers.empty() && take_frame(*other.peers[0]).substr(0, 1) == "m"; }));
   EXPECT_EQ(ended.size(), 2u);
   Call last = call(4, "q.4");
-  links.send(3, {&last, 1});  // the second carries a part now
+  links.send(3, {&last, 1});  // the second one's carries a part now
   ASSERT_EQ(ended.size(), 3u);
   EXPECT_EQ(ended[2].outcome, Outcome::connect_failed);
 }
 
-TEST_F(LinksTest, ABreakAfterTheLastByteIsAReset) {
+TEST_F(LinksTest, ResetAfterTheLastByteIsReportedAsReset) {
   send(1, "q.1");
   send(2, "q.2");
   ASSERT_TRUE(gets(0, "mq.1"));
@@ -300,13 +298,13 @@
   EXPECT_EQ(ended[0].outcome, Outcome::reset);
   EXPECT_EQ(ended[1].outcome, Outcome::reset);
   EXPECT_EQ(links.connections(), 0u);
-  send(3, "q.3");  // goes out on a new one
+  send(3, "q.3");  // uses a new connection
   ASSERT_TRUE(gets(1, "mq.3"));
 }
 
-// The kernel takes only so much of a frame while the node reads nothing: what breaks before its last byte has
-// gone out has never run.
-TEST_F(LinksTest, ABreakBeforeTheLastByteIsAConnectionThatFailed) {
+// The node reads nothing, so the frame is written in part only: a call whose last byte was not written has
+// not run.
+TEST_F(LinksTest, ResetBeforeTheLastByteIsReportedAsConnectFailed) {
   std::string text(64 << 20, 't');
   Call large = call(1, "q.1");
   large.text = text;
@@ -324,20 +322,20 @@
   EXPECT_EQ(ended[0].outcome, Outcome::connect_failed);
 }
 
-TEST_F(LinksTest, WhatIsNotAnsweredTimesOutOnceAndALateAnswerIsDropped) {
+TEST_F(LinksTest, UnansweredAttemptTimesOutOnceAndLateAnswerIsDropped) {
   send(1, "q.1", 0.01);
   ASSERT_TRUE(gets(0, "mq.1"));
   ASSERT_TRUE(ends_after(1));
   EXPECT_EQ(ended[0].outcome, Outcome::timeout);
-  ASSERT_TRUE(gets(0, "nq.1"));  // the node is told
+  ASSERT_TRUE(gets(0, "nq.1"));  // the node is notified
   ASSERT_TRUE(at(0).write(node_frame('q', "q.1 good 0 -\nlate")));
   ASSERT_TRUE(until([&] { return links.counters().late_answers == 1; }));
   EXPECT_EQ(ended.size(), 1u);
-  links.give_up(1, 0);  // nothing is left of it
+  links.give_up(1, 0);  // already ended
   EXPECT_EQ(ended.size(), 1u);
 }
 
-TEST_F(LinksTest, AGivenUpAttemptEndsAtOnce) {
+TEST_F(LinksTest, CancelledAttemptEndsAtOnce) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   links.give_up(1, 0);
@@ -349,11 +347,11 @@
   EXPECT_EQ(ended.size(), 1u);
 }
 
-// Its frame has not begun to go out: the node never hears of it, nor of its end.
-TEST_F(LinksTest, WhatIsGivenUpBeforeItIsSentIsNeverSent) {
+// An unwritten frame is removed, so no cancellation is sent either.
+TEST_F(LinksTest, AttemptCancelledBeforeSendingIsNeverSent) {
   send(1, "q.1");
   send(2, "q.2");
-  links.give_up(1, 0);  // the connection is still coming up
+  links.give_up(1, 0);  // still connecting
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_EQ(ended[0].outcome, Outcome::cancelled);
   ASSERT_TRUE(gets(0, "m"));
@@ -361,8 +359,8 @@
   EXPECT_EQ(links.counters().give_ups_sent, 0u);
 }
 
-// Found by reading: a frame waited for its connection while its query was answered, and went out after that.
-TEST_F(LinksTest, NothingOfAQueryThatIsOverGoesOut) {
+// A frame that waits for its connection must not be written after the end of its query.
+TEST_F(LinksTest, NoPartOfAnEndedQueryIsSent) {
   std::vector<Call> both = {call(1, "q.1"), call(2, "r.1")};
   links.send(1, both);
   links.withdraw(1);
@@ -371,16 +369,16 @@
   EXPECT_EQ(ended[0].part, 1u);
   ASSERT_TRUE(gets(0, "mr.1"));
   EXPECT_EQ(got.find("q.1"), std::string::npos);
-  links.withdraw(2);  // it has gone out: its end is the node's to tell
+  links.withdraw(2);  // written already: only the node can end it
   EXPECT_EQ(ended.size(), 1u);
   ASSERT_TRUE(at(0).write(node_frame('q', "r.1 good 0 -\n")));
   ASSERT_TRUE(ends_after(2));
   EXPECT_EQ(ended[1].outcome, Outcome::ok);
 }
 
-// Both attempts of a part bear one id on the wire: on one connection the first one's late answer would pass
-// for the second one's.
-TEST_F(LinksTest, TwoAttemptsUnderOneIdNeverShareAConnection) {
+// Both attempts of a part have the same id on the wire: on one connection, a late answer to the first would
+// be taken for the second's.
+TEST_F(LinksTest, AttemptsWithOneIdNeverShareAConnection) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   links.give_up(1, 0);
@@ -395,7 +393,7 @@
   EXPECT_EQ(ended[1].value, "second");
 }
 
-TEST_F(LinksTest, AFrameThatCannotBeUsedEndsTheConnection) {
+TEST_F(LinksTest, InvalidFrameClosesTheConnection) {
   const std::string bad[] = {node_frame('z', ""), node_frame('q', "nonsense"), std::string(8, '\xff'),
                              node_frame('r', "no such shard")};
   for (std::size_t i = 0; i < std::size(bad); ++i) {
@@ -411,7 +409,7 @@
   EXPECT_EQ(links.counters().complaints, 1u);
 }
 
-TEST_F(LinksTest, ProbesAreAnsweredInTheirOrder) {
+TEST_F(LinksTest, ProbesAreAnsweredInOrder) {
   links.probe(1, true);
   ASSERT_TRUE(gets(0, "p"));
   links.probe(1, false);
@@ -439,7 +437,7 @@
   EXPECT_EQ(probes[1].outcome, Outcome::connect_failed);
 }
 
-TEST_F(LinksTest, IdleConnectionsAreDroppedOnTheWordAndBusyOnesStay) {
+TEST_F(LinksTest, DropIdleClosesIdleConnectionsOnly) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   links.drop_idle(1);
@@ -451,8 +449,8 @@
   ASSERT_TRUE(until([&] { return at(0).ended(); }));
 }
 
-// A node that has gone, moved or started anew: what is out stays out, nothing new goes there the old way.
-TEST_F(LinksTest, ConnectionsToAnEarlierLifeAreUsedNoMore) {
+// A removed, moved or restarted node: attempts in flight stay, new ones use a new connection.
+TEST_F(LinksTest, ConnectionsToAnEarlierProcessAreNotReused) {
   send(1, "q.1");
   ASSERT_TRUE(gets(0, "mq.1"));
   links.place(1, node.address(), 1700000000000.0);
@@ -461,7 +459,7 @@
   ASSERT_TRUE(at(0).write(node_frame('q', "q.1 good 0 -\nold")));
   ASSERT_TRUE(ends_after(1));
   EXPECT_EQ(ended[0].value, "old");
-  EXPECT_EQ(links.connections(), 1u);  // the old one went with its last part
+  EXPECT_EQ(links.connections(), 1u);  // the old one was closed with its last part
   peers::Listener elsewhere;
   links.place(1, elsewhere.address(), 1700000000000.0);
   send(3, "q.3");
@@ -471,8 +469,8 @@
   EXPECT_EQ(links.connections(), 2u);  // both still carry a part
 }
 
-// Seen on a day with a crash: a line for each refused connection, two hundred in four seconds.
-TEST_F(LinksTest, ANodeThatFailsIsLoggedOnceUntilItAnswersAgain) {
+// Guards against a log line for each refused connection of a crashed node.
+TEST_F(LinksTest, FailingNodeIsLoggedOnceUntilItAnswersAgain) {
   int ends[2];
   ASSERT_EQ(::pipe(ends), 0);
   net::Fd out(ends[0]), in(ends[1]);
@@ -506,7 +504,7 @@
   Links brief{loop, peers::quiet_log(), {2, net::Duration(0.02), net::Duration(0.1), true}, *this};
 };
 
-TEST_F(ShortLinksTest, IdleConnectionsEndBeforeTheNodeEndsThem) {
+TEST_F(ShortLinksTest, IdleConnectionsCloseBeforeTheNodeClosesThem) {
   brief.place(1, node.address(), 0);
   Call one = call(1, "q.1");
   brief.send(1, {&one, 1});
@@ -517,9 +515,8 @@
   EXPECT_EQ(brief.counters().closed_idle, 1u);
 }
 
-// A machine that has vanished says nothing: the kernel's queue of connections that nobody takes stands in for
-// it, once it is full.
-TEST_F(ShortLinksTest, AConnectionThatNeverComesUpIsGivenUp) {
+// A listener with a full backlog stands in for a vanished machine.
+TEST_F(ShortLinksTest, ConnectTimesOut) {
   net::Fd full(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   sockaddr_in any{};
   any.sin_family = AF_INET;
@@ -537,7 +534,7 @@
   EXPECT_EQ(brief.connections(), 0u);
 }
 
-TEST_F(ShortLinksTest, AProbeThatIsNotAnsweredTimesOutAndItsLateAnswerIsNotTheNextOnes) {
+TEST_F(ShortLinksTest, LateProbeAnswerIsNotTakenForTheNextProbe) {
   brief.place(1, node.address(), 0);
   brief.probe(1, true);
   ASSERT_TRUE(gets(0, "p"));
--- a/tests/member_status_test.cpp
+++ b/tests/member_status_test.cpp
@@ -1,6 +1,5 @@
-// The merge rules: the table of docs/fleet-view.md cell by cell, and all that can happen to one name among
-// three brokers, looked at exhaustively. What is known of one name never depends on another's, so one name is
-// enough.
+// The merge rules: each cell of the table in docs/fleet-view.md, and an exhaustive exploration of all event
+// sequences for one name among three brokers. Names do not affect each other, so one is enough.
 #include "peers/member_status.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +19,7 @@
   return {run, incarnation, verdict, phase};
 }
 
-TEST(MemberStatusTest, TheTable) {
+TEST(MemberStatusTest, MergeTableRowByRow) {
   const MemberStatus trusted = at(1, 5), suspect = at(1, 5, Verdict::suspect), gone = at(1, 5, Verdict::gone);
   const MemberStatus left = at(1, 6, Verdict::trusted, Phase::left);
   struct Row {
@@ -72,14 +71,14 @@
   }
 }
 
-TEST(MemberStatusTest, AboutOurselves) {
+TEST(MemberStatusTest, UpdatesAboutOurselves) {
   const OwnStatus ours{5, 7};
   EXPECT_EQ(merge_own_status(ours, at(5, 7), AddressMatch::same).effect, OwnEffect::none);
   EXPECT_EQ(merge_own_status(ours, at(5, 6, Verdict::suspect), AddressMatch::same).effect, OwnEffect::none);
   EXPECT_EQ(merge_own_status(ours, at(5, 7, Verdict::suspect), AddressMatch::same).next.incarnation, 8u);
   EXPECT_EQ(merge_own_status(ours, at(5, 9), AddressMatch::same).next.incarnation, 10u);
   EXPECT_EQ(merge_own_status(ours, at(4, 99, Verdict::gone), AddressMatch::same).effect, OwnEffect::none);
-  // A former life of ours, after which the clock went back.
+  // An earlier process of ours, after which the clock went back.
   EXPECT_EQ(merge_own_status(ours, at(9, 1), AddressMatch::same).effect, OwnEffect::outrun);
   EXPECT_EQ(merge_own_status(ours, at(9, 1), AddressMatch::same).next.run, 10u);
   EXPECT_EQ(merge_own_status(ours, at(9, 1, Verdict::gone), AddressMatch::higher).effect, OwnEffect::outrun);
@@ -88,12 +87,12 @@
   // Another process under our name.
   EXPECT_EQ(merge_own_status(ours, at(9, 1), AddressMatch::higher).effect, OwnEffect::yield);
   EXPECT_EQ(merge_own_status(ours, at(9, 1), AddressMatch::lower).effect, OwnEffect::yield);
-  // Started in the same instant: just one of the two yields.
+  // Started at the same instant: exactly one of the two yields.
   EXPECT_EQ(merge_own_status(ours, at(5, 1), AddressMatch::higher).effect, OwnEffect::yield);
   EXPECT_EQ(merge_own_status(ours, at(5, 1), AddressMatch::lower).effect, OwnEffect::outrun);
 }
 
-TEST(MemberStatusTest, TheGreatestIncarnationRaisesTheRun) {
+TEST(MemberStatusTest, IncarnationOverflowRaisesTheRun) {
   constexpr std::uint64_t greatest = std::numeric_limits<std::uint64_t>::max();
   const OwnMergeResult got = merge_own_status({5, 7}, at(5, greatest, Verdict::suspect), AddressMatch::same);
   EXPECT_EQ(got.effect, OwnEffect::refute);
@@ -102,103 +101,105 @@
   EXPECT_EQ(merge_status(at(5, greatest, Verdict::gone), at(6, 0)).effect, MergeEffect::rejoined);
 }
 
-// ---- all that can happen ----
+// ---- exhaustive exploration ----
 
-constexpr std::uint64_t most_runs = 2, most_incarnations = 2;
+constexpr std::uint64_t max_runs = 2, max_incarnations = 2;
 
-// One news or status as a number below 54; the phases of this world are alive, leaving and left.
-int number_of(const MemberStatus& each) {
+// Encodes an update or status as a number below 54; the phases are alive, leaving and left.
+int encode_status(const MemberStatus& each) {
   const int phase = static_cast<int>(each.phase) - 1;
   return static_cast<int>(((each.run - 1) * 3 + each.incarnation) * 9) + static_cast<int>(each.verdict) * 3 +
          phase;
 }
-MemberStatus standing_of(int number) {
+MemberStatus decode_status(int number) {
   return {static_cast<std::uint64_t>(number / 27 + 1), static_cast<std::uint64_t>(number / 9 % 3),
           static_cast<Verdict>(number / 3 % 3), static_cast<Phase>(number % 3 + 1)};
 }
 
 struct World {
-  bool runs = true;  // the subject's process
+  bool running = true;  // the subject's process
   bool ended = false;
   OwnStatus own{1, 0};
   Phase phase = Phase::alive;
-  std::array<std::optional<MemberStatus>, 2> held;  // by the two others
-  std::uint64_t said = 0;  // every news ever uttered, a bit each; any may come any time, and again
+  std::array<std::optional<MemberStatus>, 2> held;  // by the two other brokers
+  std::uint64_t sent_updates =
+      0;  // a bit for each update ever sent; each may arrive at any time and repeatedly
 
   std::pair<std::uint64_t, std::uint64_t> key() const {
-    std::uint64_t rest = (runs ? 1u : 0u) | (ended ? 2u : 0u) | static_cast<unsigned>(phase) << 2 |
+    std::uint64_t rest = (running ? 1u : 0u) | (ended ? 2u : 0u) | static_cast<unsigned>(phase) << 2 |
                          static_cast<unsigned>(own.run) << 4 | static_cast<unsigned>(own.incarnation) << 8;
     for (std::size_t i : {0u, 1u})
-      rest |= static_cast<std::uint64_t>(held[i] ? number_of(*held[i]) + 1 : 0) << (16 + 8 * i);
-    return {rest, said};
+      rest |= static_cast<std::uint64_t>(held[i] ? encode_status(*held[i]) + 1 : 0) << (16 + 8 * i);
+    return {rest, sent_updates};
   }
-  // Beyond the bounds nothing is looked at; add() leaves such worlds out.
-  bool within() const { return own.run <= most_runs && own.incarnation <= most_incarnations; }
-  void say(const MemberStatus& news) { said |= std::uint64_t{1} << number_of(news); }
-  void say_own() {
-    if (within()) say({own.run, own.incarnation, Verdict::trusted, phase});
+  // States beyond the bounds are not explored; add() drops them.
+  bool within() const { return own.run <= max_runs && own.incarnation <= max_incarnations; }
+  void send(const MemberStatus& news) { sent_updates |= std::uint64_t{1} << encode_status(news); }
+  void announce_own() {
+    if (within()) send({own.run, own.incarnation, Verdict::trusted, phase});
   }
-  bool uttered(const MemberStatus& word) const {
-    return (said >> number_of({word.run, word.incarnation, Verdict::trusted, word.phase}) & 1) != 0;
+  bool was_announced(const MemberStatus& word) const {
+    return (sent_updates >> encode_status({word.run, word.incarnation, Verdict::trusted, word.phase}) & 1) !=
+           0;
   }
   template <typename Do>
-  void each_said(Do&& act) const {
+  void for_each_sent(Do&& act) const {
     for (int i = 0; i < 54; ++i)
-      if ((said >> i & 1) != 0) act(standing_of(i));
+      if ((sent_updates >> i & 1) != 0) act(decode_status(i));
   }
 };
 
-bool take(World& world, std::size_t holder, const MemberStatus& heard) {
+bool receive(World& world, std::size_t holder, const MemberStatus& heard) {
   const std::optional<MemberStatus> before = world.held[holder];
   const MergeResult got = merge_status(before, heard);
   if (got.effect == MergeEffect::none || got.effect == MergeEffect::confirmed) return false;
   world.held[holder] = got.next;
-  world.say(got.next);
+  world.send(got.next);
   if (before) {
     const auto word = [](const MemberStatus& each) { return std::pair(each.run, each.incarnation); };
-    // No resurrection: back only by a later word, and one that the subject itself uttered.
+    // No resurrection: in force again only by a later incarnation, announced by the subject itself.
     if (!before->in_force() && got.next.in_force()) {
       EXPECT_LT(word(*before), word(got.next));
     }
-    // No lost leave.
+    // A leave is final for its run.
     if (before->phase == Phase::left) {
       EXPECT_GT(got.next.run, before->run);
     }
     EXPECT_LE(word(*before), word(got.next));
   }
   if (got.next.in_force()) {
-    EXPECT_TRUE(world.uttered(got.next)) << "in force by a word that its owner never said";
+    EXPECT_TRUE(world.was_announced(got.next)) << "in force by an incarnation that its owner never announced";
   }
   return true;
 }
 
-// The subject hears of itself.
-bool answer(World& world, const MemberStatus& heard) {
-  if (!world.runs) return false;
+// The subject receives an update about itself.
+bool receive_own(World& world, const MemberStatus& heard) {
+  if (!world.running) return false;
   if (world.phase == Phase::left && heard.run == world.own.run) return false;
   const OwnMergeResult got = merge_own_status(world.own, heard, AddressMatch::same);
   if (got.effect == OwnEffect::none) return false;
   world.own = got.next;
-  world.say_own();
+  world.announce_own();
   return true;
 }
 
-// After the faults: everything that was said reaches everybody, suspicions run out, probes find who is there.
-void quiet(World world) {
+// After the faults: all updates reach everybody, suspicions expire and probes find the running processes.
+void check_convergence(World world) {
   for (int round = 0; round < 50; ++round) {
     bool moved = false;
     const World before = world;
-    before.each_said([&](const MemberStatus& news) {
-      for (std::size_t holder : {0u, 1u}) moved |= take(world, holder, news);
-      moved |= answer(world, news);
+    before.for_each_sent([&](const MemberStatus& news) {
+      for (std::size_t holder : {0u, 1u}) moved |= receive(world, holder, news);
+      moved |= receive_own(world, news);
     });
-    if (!world.within()) return;  // it would have to say what this small world has no room for
+    if (!world.within()) return;  // the refutation would exceed the bounds
     if (moved) continue;
     for (std::size_t holder : {0u, 1u}) {
       std::optional<MemberStatus>& held = world.held[holder];
-      if (!held || !held->in_force() || world.runs) continue;
+      if (!held || !held->in_force() || world.running) continue;
       held->verdict = held->verdict == Verdict::trusted ? Verdict::suspect : Verdict::gone;
-      world.say(*held);
+      world.send(*held);
       moved = true;
     }
     if (!moved) break;
@@ -206,7 +207,7 @@
   const bool known = world.held[0].has_value() && world.held[1].has_value();
   if (!known) return;
   ASSERT_EQ(world.held[0]->in_force(), world.held[1]->in_force());
-  if (world.runs && world.phase != Phase::left) {
+  if (world.running && world.phase != Phase::left) {
     ASSERT_EQ(world.held[0], world.held[1]);
     ASSERT_EQ(world.held[0]->run, world.own.run);
     ASSERT_EQ(world.held[0]->incarnation, world.own.incarnation);
@@ -218,7 +219,7 @@
   }
 }
 
-TEST(MemberStatusTest, NothingThatCanHappenBreaksTheGuarantees) {
+TEST(MemberStatusTest, ExhaustiveExplorationKeepsTheGuarantees) {
   std::set<std::pair<std::uint64_t, std::uint64_t>> seen;
   std::deque<World> open;
   auto add = [&](const World& world) {
@@ -226,46 +227,46 @@
     if (seen.insert(world.key()).second) open.push_back(world);
   };
   World first;
-  first.say_own();
+  first.announce_own();
   add(first);
   while (!open.empty() && !testing::Test::HasFailure()) {
     const World world = open.front();
     open.pop_front();
-    quiet(world);
-    world.each_said([&](const MemberStatus& news) {
+    check_convergence(world);
+    world.for_each_sent([&](const MemberStatus& news) {
       for (std::size_t holder : {0u, 1u}) {
         World next = world;
-        if (take(next, holder, news)) add(next);
+        if (receive(next, holder, news)) add(next);
       }
       World next = world;
-      if (answer(next, news)) add(next);
+      if (receive_own(next, news)) add(next);
     });
     for (std::size_t holder : {0u, 1u}) {
       if (!world.held[holder] || !world.held[holder]->in_force()) continue;
-      // A probe fails, or a suspicion runs out, whether the subject lives or not.
+      // A probe fails or a suspicion expires, whether the subject running or not.
       World next = world;
       MemberStatus& held = *next.held[holder];
       held.verdict = held.verdict == Verdict::trusted ? Verdict::suspect : Verdict::gone;
-      next.say(held);
+      next.send(held);
       add(next);
     }
-    if (world.runs && world.phase != Phase::left) {
+    if (world.running && world.phase != Phase::left) {
       World crashed = world;
-      crashed.runs = false;
+      crashed.running = false;
       add(crashed);
       World next = world;
       next.phase = world.phase == Phase::alive ? Phase::leaving : Phase::left;
       next.own = next_incarnation(world.own, 0);
-      next.say_own();
+      next.announce_own();
       if (next.phase == Phase::left) next.ended = true;
       add(next);
     }
-    if (!world.runs && !world.ended && world.own.run < most_runs) {
+    if (!world.running && !world.ended && world.own.run < max_runs) {
       World again = world;
-      again.runs = true;
+      again.running = true;
       again.phase = Phase::alive;
       again.own = {world.own.run + 1, 0};
-      again.say_own();
+      again.announce_own();
       add(again);
     }
   }
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -1,5 +1,5 @@
-// Scripted peers on loopback for the broker's tests: they do nothing by themselves, hold no clock, and are
-// driven in the same thread as what is tested.
+// Scripted TCP peers on loopback for the broker's tests. They have no timers and run in the thread of the
+// test.
 #pragma once
 
 #include <fcntl.h>
@@ -21,7 +21,7 @@
 
 namespace pearspar::peers {
 
-// One end of a connection: what was read so far, and raw writing.
+// One end of a connection, with the bytes read so far.
 class Peer {
  public:
   Peer() = default;
@@ -40,7 +40,7 @@
       }
     }
   }
-  // Small enough for the socket's buffer, so it goes out whole.
+  // For texts that fit into the socket buffer.
   bool write(std::string_view bytes) {
     std::size_t written = 0;
     return net::write_from(fd_, bytes, written) == net::IoResult::some && written == bytes.size();
@@ -51,7 +51,7 @@
   bool open() const { return static_cast<bool>(fd_); }
   int descriptor() const { return fd_.get(); }
   void close() { fd_.reset(); }
-  // Ends it as a dying process would: the other side gets a reset.
+  // Closes with a reset, as a dying process would.
   void reset() {
     linger hard{1, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
@@ -64,7 +64,7 @@
   bool ended_ = false;
 };
 
-// A listening party that accepts all and keeps them in order of arrival.
+// Accepts all connections and keeps them in order of arrival.
 class Listener {
  public:
   Listener() : Listener(net::Address{0x7f000001, 0}) {}
@@ -91,14 +91,14 @@
   return Peer(net::start_connect(address, error));
 }
 
-// Nobody listens there, and nobody will while this process runs.
+// An address that refuses connections for the lifetime of this process.
 inline net::Address dead_address() {
   static std::deque<standins::ReservedPort> kept;
   return kept.emplace_back(net::Address{0x7f000001, 0}).address();
 }
 
-// Lets the loop turn, and `each` be called after each turn, until `enough` holds; false where it does not for
-// a long time. The bound is no expectation of the tests: it only ends those that have failed.
+// Runs the loop, calling `each` after each turn, until `enough` holds. False after a timeout that only
+// bounds failing tests.
 inline bool turn_until(net::Loop& loop, const std::function<void()>& each,
                        const std::function<bool()>& enough) {
   auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,5 +1,4 @@
-// The fleet's view in simulated time: every hard case is caused here, and the judge, which shares no code
-// with the protocol, says whether a guarantee broke.
+// The membership protocol in simulated time, checked by a judge that shares no code with it.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 
@@ -29,12 +28,12 @@
       : Network(seed, seeded(std::move(with), size), judge::Terms{}) {
     for (int i = 0; i < size; ++i) start(i);
   }
-  // Quiet until all agree.
+  // Runs without faults until all brokers agree.
   void settle() {
     calm();
     run_for(Duration(judge().settle_bound(static_cast<std::size_t>(size())) + 0.5));
   }
-  // What one broker holds of another; nothing known gives an empty name.
+  // What one broker holds of another; an empty name if nothing.
   peers::MemberView seen(int by, const std::string& name) {
     for (const peers::MemberView& member : core(by).snapshot(time_of(by))->members)
       if (member.name == name) return member;
@@ -54,7 +53,7 @@
   }
 };
 
-TEST(PeersTest, AFleetStartedInOneInstantSettles) {
+TEST(PeersTest, FleetStartedAtOnceSettles) {
   for (int n : {1, 2, 3, 24}) {
     SimulatedFleet fleet(n, 7);
     fleet.settle();
@@ -64,7 +63,7 @@
   }
 }
 
-TEST(PeersTest, AThirdOf24KilledInOneMoment) {
+TEST(PeersTest, KillingAThirdOf24AtOnceIsDetected) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedFleet fleet(24, seed);
     fleet.settle();
@@ -75,12 +74,12 @@
     EXPECT_EQ(report.detected.size(), 8u);
     std::sort(report.detected.begin(), report.detected.end());
     fmt::print("known after {:.2f} to {:.2f} s\n", report.detected.front(), report.detected.back());
-    EXPECT_LT(report.detected.back(), 2.5) << "a few look after each suspect beside their round";
+    EXPECT_LT(report.detected.back(), 2.5) << "several brokers probe each suspect outside their round";
     for (const std::string& fault : report.faults) ADD_FAILURE() << "seed " << seed << ": " << fault;
   }
 }
 
-TEST(PeersTest, HalfFromHalfFor10SecondsAndHealed) {
+TEST(PeersTest, PartitionOfHalvesHeals) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulatedFleet fleet(24, seed);
     fleet.settle();
@@ -105,7 +104,7 @@
     fleet.link = nullptr;
     fleet.settle();
     EXPECT_TRUE(fleet.judge().agreed());
-    EXPECT_EQ(removed(), before) << "what the other side says removes nobody of ours";
+    EXPECT_EQ(removed(), before) << "reports from the other side must not remove members of ours";
     for (int i = 0; i < 24; ++i)
       for (const peers::MemberEvent& note : fleet.notes_of(i))
         EXPECT_NE(note.after, peers::State::gone) << note.name;
@@ -142,7 +141,7 @@
   return link;
 }
 
-TEST(PeersTest, OneWayDeafnessRemovesNobody) {
+TEST(PeersTest, OneWayLossRemovesNobody) {
   SimulatedFleet fleet(24, 5);
   fleet.settle();
   fleet.restless();
@@ -155,7 +154,7 @@
   fleet.expect_good();
 }
 
-TEST(PeersTest, OneThatLosesHalfDoesNotHaveOthersRemoved) {
+TEST(PeersTest, LossyMemberDoesNotRemoveOthers) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedFleet fleet(24, seed);
     fleet.settle();
@@ -174,7 +173,7 @@
   }
 }
 
-TEST(PeersTest, AStopOfHalfASecondRemovesNobodyOneOfTenSecondsDoesAndComesBack) {
+TEST(PeersTest, ShortPauseRemovesNobodyAndLongPauseIsRecovered) {
   SimulatedFleet fleet(24, 11);
   fleet.settle();
   fleet.stop(4);
@@ -187,14 +186,14 @@
   EXPECT_EQ(fleet.core(0).in_force(), 23u);
   fleet.core(0).publish(fleet.time_of(0), "while", "away");
   fleet.resume(4);
-  EXPECT_GT(fleet.core(4).health(), 0) << "it suspects itself first";
+  EXPECT_GT(fleet.core(4).health(), 0) << "its own health score must rise";
   fleet.settle();
   EXPECT_TRUE(fleet.judge().agreed());
-  EXPECT_EQ(fleet.seen(4, "b000").records.at("while").value, "away") << "what it missed";
+  EXPECT_EQ(fleet.seen(4, "b000").records.at("while").value, "away") << "published during the pause";
   fleet.expect_good();
 }
 
-TEST(PeersTest, KilledAndRestartedWithinHalfAPeriod) {
+TEST(PeersTest, RestartWithinHalfAPeriod) {
   SimulatedFleet fleet(24, 12);
   fleet.settle();
   fleet.kill(6);
@@ -206,7 +205,7 @@
   fleet.expect_good();
 }
 
-TEST(PeersTest, ALeaveIsNeverTakenForACrash) {
+TEST(PeersTest, LeaveIsNotReportedAsACrash) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedFleet fleet(24, seed);
     fleet.settle();
@@ -227,7 +226,7 @@
   }
 }
 
-TEST(PeersTest, ThreePartsHealedInTwoSteps) {
+TEST(PeersTest, ThreeWayPartitionHealsInTwoSteps) {
   SimulatedFleet fleet(24, 13);
   fleet.settle();
   fleet.troubled();
@@ -246,8 +245,8 @@
   fleet.expect_good();
 }
 
-// While they were apart the seeds were replaced: nobody lives where the file says.
-TEST(PeersTest, AnHourApartWithAllSeedsReplacedMeanwhile) {
+// The seeds are replaced during the partition: nothing listens at the configured addresses.
+TEST(PeersTest, HourLongPartitionWithAllSeedsReplacedHeals) {
   SimulatedFleet fleet(12, 14);
   fleet.settle();
   fleet.troubled();
@@ -256,7 +255,7 @@
   fleet.run_for(10min);
   for (int i = 0; i < 3; ++i) fleet.leave(i);
   fleet.run_for(1min);
-  // Those that come in their stead know one of their side.
+  // The replacements know one member of their own side.
   for (int i = 0; i < 3; ++i) {
     fleet.start(i, 100 + i);
     fleet.core(i).set_discovered_seeds({fleet.address(6 + i)});
@@ -270,7 +269,7 @@
   fleet.expect_good();
 }
 
-TEST(PeersTest, ANameAtAnotherAddressAndAnAddressUnderAnotherName) {
+TEST(PeersTest, NameMovesToAnotherAddressAndAddressToAnotherName) {
   SimulatedFleet fleet(12, 15);
   fleet.settle();
   fleet.kill(3);
@@ -279,7 +278,7 @@
   fleet.settle();
   EXPECT_TRUE(fleet.judge().agreed());
   EXPECT_EQ(fleet.seen(0, "b003").address, fleet.address(50));
-  // Another name where b005 was.
+  // Another name at the address of b005.
   fleet.kill(5);
   fleet.start(12, 5);
   fleet.run_for(190ms);  // before any probe of b005 can have failed
@@ -294,7 +293,7 @@
   fleet.expect_good();
 }
 
-TEST(PeersTest, OfTwoUnderOneNameTheLaterStaysAndTheOtherComesBackWhenItIsFree) {
+TEST(PeersTest, LaterNamesakeWinsAndTheOtherReturnsWhenTheNameIsFree) {
   SimulatedFleet fleet(8, 16);
   fleet.settle();
   fleet.keep_notes = true;
@@ -303,7 +302,7 @@
   fleet.run_for(5s);
   EXPECT_TRUE(fleet.core(2).yields());
   EXPECT_FALSE(fleet.core(8).yields());
-  EXPECT_GT(fleet.core(8).counters().namesakes, 0u) << "both are told";
+  EXPECT_GT(fleet.core(8).counters().namesakes, 0u) << "both must notice the other";
   EXPECT_EQ(fleet.core(0).in_force(), 8u);
   EXPECT_EQ(fleet.seen(0, "b002").address, fleet.address(8));
   fleet.kill(8);
@@ -313,9 +312,9 @@
   EXPECT_GT(fleet.core(2).self().run, first_run + 1000);
 }
 
-// A clock that went back at a restart gives a lower run: the broker learns of its former life and rises above
-// it.
-TEST(PeersTest, ARestartWithAClockThatWentBack) {
+// A clock that went back at a restart yields a lower run: the broker learns of its earlier process and
+// takes a run above it.
+TEST(PeersTest, RestartAfterTheClockWentBack) {
   for (int place : {4, 60}) {
     SimulatedFleet fleet(12, 17);
     fleet.settle();
@@ -332,11 +331,11 @@
   }
 }
 
-TEST(PeersTest, ClocksHoursApartAndOneThatJumps) {
+TEST(PeersTest, ClockOffsetsAndJumpsAreTolerated) {
   SimulatedFleet fleet(12, 18);
   double jump = 0;
   fleet.clock_ahead = [&](int broker) { return Duration(3600.0 * broker + (broker == 5 ? jump : 0)); };
-  // The brokers were made before the clocks were set apart: made anew.
+  // Restarted, as the brokers were created before their clocks were set.
   for (int i = 0; i < 12; ++i) {
     fleet.kill(i);
     fleet.start(i);
@@ -346,7 +345,7 @@
   fleet.restless();
   jump = 2;
   fleet.run_for(1s);
-  EXPECT_GT(fleet.core(5).counters().held_up, 0u) << "to itself it looks like having been held";
+  EXPECT_GT(fleet.core(5).counters().held_up, 0u) << "a clock jump looks like a stall";
   fleet.settle();
   EXPECT_TRUE(fleet.judge().agreed());
   EXPECT_EQ(fleet.end().removals, 0u);
@@ -360,14 +359,14 @@
   fleet.run_for(120s);
   std::size_t least = 24;
   for (int i = 0; i < 24; ++i) least = std::min(least, fleet.core(i).in_force());
-  EXPECT_GE(least, 12u) << "most hold most";
+  EXPECT_GE(least, 12u) << "every broker must hold at least half of the fleet";
   fleet.link = nullptr;
   fleet.settle();
   EXPECT_TRUE(fleet.judge().agreed());
   fleet.expect_good();
 }
 
-TEST(PeersTest, ARecordChanged1000TimesASecondReachesAllAndCostsNoMore) {
+TEST(PeersTest, RecordChanged1000TimesASecondReachesAllWithinTheGossipRate) {
   SimulatedFleet fleet(12, 20);
   fleet.settle();
   const std::uint64_t before = fleet.core(0).counters().sent;
@@ -375,13 +374,13 @@
     fleet.core(0).publish(fleet.time_of(0), "load", std::to_string(i));
     fleet.run_for(1ms);
   }
-  // Two datagrams a tick of news, four ticks a period, beside the probes.
+  // Two datagrams for each of four gossip ticks a period, beside the probes.
   EXPECT_LT(fleet.core(0).counters().sent - before, 5 * 5 * (4 * 2 + 8));
   fleet.run_for(2s);
   for (int i = 1; i < 12; ++i) EXPECT_EQ(fleet.seen(i, "b000").records.at("load").value, "4999") << i;
 }
 
-TEST(PeersTest, RecordsAreBoundedNewestWinsAndGoWithTheirOwner) {
+TEST(PeersTest, RecordsAreBoundedAndRemovedWithTheirOwner) {
   SimulatedFleet fleet(6, 21);
   fleet.settle();
   EXPECT_FALSE(fleet.core(0).publish(fleet.time_of(0), "k", std::string(257, 'x')));
@@ -406,9 +405,9 @@
   for (int i = 1; i < 6; ++i) EXPECT_TRUE(records_at(i).empty());
 }
 
-// Names come and go all the time; those gone neither fill the table nor are handed on from joiner to joiner
-// for ever.
-TEST(PeersTest, ManyNamesThatComeAndGoLeaveRoomForThoseThatLive) {
+// With many short-lived names, gone members must neither fill the table nor circulate forever among joining
+// members.
+TEST(PeersTest, ShortLivedNamesLeaveRoomForLiveMembers) {
   peers::Options small = options();
   small.max_members = 12;
   small.remember_gone = 100s;
@@ -425,8 +424,8 @@
   fleet.start(50);
   fleet.run_for(2s);
   for (int i = 0; i < 4; ++i) EXPECT_EQ(fleet.core(i).in_force(), 5u) << i;
-  // One newcomer after the other, each told of those gone by the one before: after their time they are
-  // forgotten.
+  // Each joining member learns of the gone ones from the one before; they must be forgotten in time
+  // nevertheless.
   for (int i = 60; i < 68; ++i) {
     fleet.start(i);
     fleet.run_for(25s);
@@ -437,7 +436,7 @@
     EXPECT_TRUE(member.name < "b004" || member.name >= "b050") << member.name;
 }
 
-TEST(PeersTest, AShelfThatWouldBeTooLargeIsNotTaken) {
+TEST(PeersTest, OversizedRecordsAreRejectedWhole) {
   peers::RecordMap held = {{"a", {std::string(250, 'x'), 1}}};
   const peers::RecordMap before = held;
   peers::wire::Shelf heard;
@@ -456,7 +455,7 @@
   EXPECT_EQ(held.size(), 3u);
 }
 
-TEST(PeersTest, AJoinerThatComesLateLearnsAllRecords) {
+TEST(PeersTest, LateJoinerLearnsAllRecords) {
   SimulatedFleet fleet(8, 22);
   fleet.settle();
   for (int i = 0; i < 8; ++i) {
@@ -473,8 +472,8 @@
   EXPECT_EQ(records, 32u);
 }
 
-// What is written down of each datagram is played back much later, to everybody, from where it came.
-TEST(PeersTest, OldDatagramsPlayedBackChangeNothing) {
+// Every recorded datagram is replayed much later to its receiver, from its original source.
+TEST(PeersTest, ReplayedDatagramsChangeNothing) {
   SimulatedFleet fleet(8, 23);
   struct Sent {
     int from;
@@ -506,7 +505,7 @@
   fleet.expect_good();
 }
 
-TEST(PeersTest, StrangersAreDroppedByCauseAndGetNoMoreThanTheySent) {
+TEST(PeersTest, InvalidDatagramsAreCountedByCauseAndNeverAmplified) {
   SimulatedFleet fleet(4, 24);
   fleet.settle();
   const pearspar::net::Address stranger{0x0a0000fe, 7000};
@@ -536,7 +535,7 @@
   EXPECT_EQ(fleet.core(0).counters().unproven - before.unproven, 1u);
   body.mutable_padding()->resize(300);
   send(peers::DatagramCodec("test").encode(body));
-  EXPECT_GT(out, 0u) << "with room it is answered";
+  EXPECT_GT(out, 0u) << "a padded ping must be answered";
   std::string spoilt = good;
   spoilt[spoilt.size() / 2] ^= 1;
   send(spoilt);
@@ -550,11 +549,11 @@
   later.set_body("whatever it may be");
   send(later.SerializeAsString());
   EXPECT_EQ(fleet.core(0).counters().other_format - before.other_format, 1u);
-  // What says that it is somewhere else.
+  // A body whose address differs from the datagram's source.
   body.set_host(stranger.host + 1);
   send(peers::DatagramCodec("test").encode(body));
   EXPECT_EQ(fleet.core(0).counters().wrong_source - before.wrong_source, 1u);
-  // News from one who has not proven its address are not believed.
+  // News from an unverified address is ignored.
   body.set_host(stranger.host);
   peers::wire::News& news = *body.add_news();
   news.set_name("b001");
@@ -574,8 +573,8 @@
   send(peers::DatagramCodec("test").encode(body));
   fleet.run_for(1s);
   EXPECT_EQ(fleet.core(0).in_force(), 4u);
-  EXPECT_EQ(fleet.core(1).counters().refuted, refuted) << "nobody was made a suspect by it";
-  // Many at once: no more than the bound are looked at.
+  EXPECT_EQ(fleet.core(1).counters().refuted, refuted) << "no member may be suspected because of it";
+  // A flood is limited to the rate for unverified addresses.
   for (int i = 0; i < 2000; ++i) fleet.inject(stranger, 0, good);
   fleet.run_for(10ms);
   EXPECT_GT(fleet.core(0).counters().too_many, 1000u);
@@ -583,8 +582,8 @@
   EXPECT_EQ(fleet.core(0).in_force(), 4u);
 }
 
-TEST(PeersTest, TheBudgetOfBytesIsKept) {
-  constexpr double budget = 15'000;  // the least that the options take at this period
+TEST(PeersTest, ByteBudgetIsKept) {
+  constexpr double budget = 15'000;  // the lowest value accepted at this period
   peers::Options tight = options();
   tight.bytes_per_s = static_cast<std::size_t>(budget);
   SimulatedFleet fleet(24, 25, tight);
@@ -602,14 +601,14 @@
   }
   std::uint64_t unpaid = 0;
   for (int k = 1; k < 24; k += 2) unpaid += fleet.core(k).counters().unpaid;
-  EXPECT_GT(unpaid, 0u) << "the budget was not what held them";
-  // One second's worth ahead, one overdrawn by probes and answers.
+  EXPECT_GT(unpaid, 0u) << "the budget was never exhausted";
+  // The bucket holds one second's worth, and probes and answers may overdraw it by one more.
   for (const auto& [broker, sent] : bytes) EXPECT_LT(sent, budget * (fleet.now() - from + 2)) << broker;
   for (int k = 1; k < 24; k += 2) EXPECT_EQ(fleet.core(k).in_force(), 12u);
 }
 
-// A later version says more in its word; what we do not know of it is handed on as it came.
-TEST(PeersTest, WordsOfALaterVersionArePassedOnWhole) {
+// Unknown fields of a later version's word are passed on unchanged.
+TEST(PeersTest, UnknownFieldsOfAWordArePassedOn) {
   SimulatedFleet fleet(3, 26);
   fleet.settle();
   peers::DatagramCodec codec("test");
@@ -655,12 +654,13 @@
   };
   send(2);
   fleet.run_for(200ms);
-  EXPECT_EQ(fleet.core(2).in_force(), 4u) << "it came by the others";
+  EXPECT_EQ(fleet.core(2).in_force(), 4u) << "must be learned by gossip";
   EXPECT_EQ(heard, word.SerializeAsString());
 }
 
-// Stopped for longer than the others remember, a process would bring back those who have crashed meanwhile.
-TEST(PeersTest, StoppedForLongerThanTheOthersRememberItStartsOver) {
+// Paused for longer than the others remember, a process would bring back members that have crashed
+// meanwhile.
+TEST(PeersTest, LongPausedMemberResetsItsMembership) {
   peers::Options brief = options();
   brief.remember_gone = 60s;
   SimulatedFleet fleet(8, 27, brief);
@@ -678,7 +678,7 @@
   EXPECT_EQ(fleet.core(4).in_force(), 7u);
 }
 
-TEST(PeersTest, ASnapshotIsWholeAndItsNumberRises) {
+TEST(PeersTest, SnapshotIsImmutableAndItsNumberRises) {
   SimulatedFleet fleet(6, 28);
   fleet.settle();
   const auto first = fleet.core(0).snapshot(fleet.time_of(0));
@@ -690,7 +690,7 @@
   const auto second = fleet.core(0).snapshot(fleet.time_of(0));
   EXPECT_GT(second->number, first->number);
   EXPECT_EQ(second->in_force, 5u);
-  EXPECT_EQ(first->in_force, 6u) << "what was given out stays";
+  EXPECT_EQ(first->in_force, 6u) << "a published snapshot must not change";
   EXPECT_EQ(first->members.size(), 6u);
   ASSERT_EQ(second->members.size(), 6u);
   EXPECT_EQ(second->members[3].state, peers::State::gone);
@@ -700,7 +700,7 @@
     }
 }
 
-TEST(PeersTest, TheSameSeedGivesTheSameRun) {
+TEST(PeersTest, SameSeedGivesTheSameRun) {
   auto play = [](std::uint64_t seed) {
     SimulatedFleet fleet(12, seed);
     fleet.link = [](int, int) { return lossy(0.1); };
@@ -716,7 +716,7 @@
   EXPECT_NE(play(1), play(2));
 }
 
-TEST(PeersTest, ThreeHundredSettleAndNoticeACrash) {
+TEST(PeersTest, FleetOf300SettlesAndDetectsACrash) {
   SimulatedFleet fleet(300, 29);
   fleet.settle();
   EXPECT_TRUE(fleet.judge().agreed());
