--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -13,6 +13,7 @@
 
 enum class Phase { gone, ready, draining };
 
+// One node.
 struct Entry {
   std::string id;
   net::Address address;
@@ -26,12 +27,14 @@
   bool operator==(const Entry&) const = default;
 };
 
+// An update of the list.
 struct MemberList {
   std::int64_t revision = 0;  // comparable only within one run of one source
   bool complete = false;      // the whole list, not only changes
   std::vector<Entry> entries;
 };
 
+// Receives the updates of a source.
 class MembersHandler {
  public:
   virtual ~MembersHandler() = default;
--- a/src/membership/source_switch.h
+++ b/src/membership/source_switch.h
@@ -10,8 +10,10 @@
 
 namespace pearspar::membership {
 
+// Creates the source that reports to the given handler.
 using MakeSource = std::function<std::unique_ptr<Source>(MembersHandler&)>;
 
+// The node list from a replaceable source.
 class SourceSwitch : MembersHandler {
  public:
   SourceSwitch(log::Logger& log, const MakeSource& make, MembersHandler& handler)
--- a/src/nodelink/frames.h
+++ b/src/nodelink/frames.h
@@ -27,15 +27,18 @@
 std::string give_up_frame(std::string_view id);
 std::string probe_frame(bool for_load);
 
+// A frame within a buffer.
 struct FrameView {
   char letter = 0;
   std::string_view rest;
   std::size_t size = 0;  // of the whole frame, length field included
 };
 enum class FrameResult { more, whole, broken };
+// Reads the frame at the start of `bytes`; `frame` is set only if it is whole.
 FrameResult next_frame(std::string_view bytes, FrameView& frame);
 
 enum class PartOutcome { served, error, refused };
+// The answer to one part, with views into the frame.
 struct PartAnswer {
   std::string_view id;
   PartOutcome end = PartOutcome::error;
--- a/src/nodelink/links.cpp
+++ b/src/nodelink/links.cpp
@@ -134,7 +134,6 @@
 // since it was written, the connection gets no new calls until something is read, and is closed once no
 // answer can arrive. If a whole node hangs, each lost attempt may cost one further connection until the
 // deadline of its query.
-// connection more, until its query's deadline.
 void Links::mark_silent(const Attempt& attempt) {
   Connection* connection = connections_.find(attempt.connection);
   if (!connection || connection->silent || !attempt.written || connection->last_read > attempt.written_at)
@@ -261,19 +260,19 @@
   mark_silent(*attempt);
   net::SlotId id = attempt->connection;
   Connection* connection = connections_.find(id);
-  bool tell = false;
+  bool notify_node = false;
   std::string wire_id = attempt->id;
   if (connection) {
     // An unwritten part is simply removed.
     if (!unqueue(*connection, slot)) {
       connection->abandoned[wire_id] = {attempt->call, attempt->forget_at};
-      tell = limits_.may_cancel;
+      notify_node = limits_.may_cancel;
     }
   }
   end(slot, outcome);
   // Closing the connection cancels whatever the node still has of it.
   if (connection && connection->retired) retire_connection(id);
-  if (tell && connections_.find(id)) {
+  if (notify_node && connections_.find(id)) {
     ++counters_.give_ups_sent;
     enqueue(id, {give_up_frame(wire_id), {}});
   }
--- a/src/nodelink/links.h
+++ b/src/nodelink/links.h
@@ -22,6 +22,7 @@
 
 namespace pearspar::nodelink {
 
+// Limits of all connections.
 struct LinkLimits {
   int calls_per_connection = 1;
   net::Duration connect_timeout{};
@@ -48,6 +49,7 @@
 using engine::Call;
 using engine::ProbeEnd;
 
+// Receives the outcomes of attempts and probes.
 class LinkHandler {
  public:
   virtual ~LinkHandler() = default;
@@ -57,6 +59,7 @@
   virtual bool make_room() = 0;
 };
 
+// All connections to nodes.
 class Links {
  public:
   Links(net::Loop& loop, log::Logger& log, const LinkLimits& limits, LinkHandler& handler)
@@ -126,8 +129,8 @@
     net::Timer timer;  // the connect timeout, then the idle timeout
     bool up = false;
     bool retired = false;
-    bool silent =
-        false;  // an attempt on it was presumed lost and nothing has been read since that was written
+    // An attempt on it was presumed lost and nothing has been read since that was written.
+    bool silent = false;
     net::Time last_read{};
     net::Time last_used{};
     net::Buffer in;
--- a/src/peerlink/fleet.cpp
+++ b/src/peerlink/fleet.cpp
@@ -16,15 +16,15 @@
 
 // Rises with each start: Unix time in milliseconds and the process id, which tells starts in the same
 // millisecond apart.
-std::uint64_t run_of(net::Time now) {
+std::uint64_t new_run_id(net::Time now) {
   const auto ms = static_cast<std::uint64_t>(now.time_since_epoch().count() * 1000);
   return ms << 16 | (static_cast<std::uint64_t>(::getpid()) & 0xffff);
 }
 
-peers::Self self_of(const options::FleetOptions& options, const std::string& name, const net::Fd& fd,
-                    const net::Address& serves, net::Time now) {
-  return {name,   run_of(now),  options.advertise ? *options.advertise : net::local_address(fd),
-          serves, options.zone, options.region,
+peers::Self local_member(const options::FleetOptions& options, const std::string& name, const net::Fd& fd,
+                         const net::Address& serves, net::Time now) {
+  return {name,   new_run_id(now), options.advertise ? *options.advertise : net::local_address(fd),
+          serves, options.zone,    options.region,
           version};
 }
 
@@ -41,7 +41,7 @@
     : loop_(loop),
       log_(log),
       fd_(net::bind_datagrams(options.listen)),
-      core_(options.core, self_of(options, name, fd_, serves, loop.now()), seed, loop.now()),
+      core_(options.core, local_member(options, name, fd_, serves, loop.now()), seed, loop.now()),
       watch_(loop.watch(fd_.get(), POLLIN, [this](short) { readable(); })) {
   log_.info("fleet: {} run {} takes part in {} at {}, {} seeds", name, core_.self().run, options.core.fleet,
             core_.self().address.text(), options.core.seeds.size());
--- a/src/peerlink/fleet.h
+++ b/src/peerlink/fleet.h
@@ -14,6 +14,7 @@
 
 namespace pearspar::peerlink {
 
+// The membership of one broker in its fleet.
 class Fleet {
  public:
   // `serves` is the address for clients. Throws std::system_error if the socket cannot be bound.
--- a/src/peerlink/seeds.cpp
+++ b/src/peerlink/seeds.cpp
@@ -5,7 +5,7 @@
 namespace pearspar::peerlink {
 namespace {
 
-registry::RegistryOptions under(registry::RegistryOptions options, const std::string& prefix) {
+registry::RegistryOptions with_prefix(registry::RegistryOptions options, const std::string& prefix) {
   options.prefix = prefix;
   return options;
 }
@@ -21,31 +21,32 @@
 
 }  // namespace
 
-RegistrySeeds::RegistrySeeds(net::Loop& loop, log::Logger& log, const options::RegistrationOptions& where,
-                             const std::string& prefix, const std::string& name, std::uint64_t seed,
-                             Fleet& fleet)
+RegistrySeeds::RegistrySeeds(net::Loop& loop, log::Logger& log,
+                             const options::RegistrationOptions& registration, const std::string& prefix,
+                             const std::string& name, std::uint64_t seed, Fleet& fleet)
     : fleet_(fleet),
-      own_(loop, log, where.registry, prefix + name, record_of(name, fleet, where.zone), where.lease, seed),
-      others_(loop, log, under(where.registry, prefix), seed, *this) {
-  own_.start();
-  others_.start();
+      registration_(loop, log, registration.registry, prefix + name,
+                    record_of(name, fleet, registration.zone), registration.lease, seed),
+      source_(loop, log, with_prefix(registration.registry, prefix), seed, *this) {
+  registration_.start();
+  source_.start();
 }
 
 void RegistrySeeds::withdraw() {
-  others_.stop();
-  own_.withdraw();
+  source_.stop();
+  registration_.withdraw();
 }
 
 void RegistrySeeds::members_told(const membership::MemberList& list) {
-  if (list.complete) found_.clear();
+  if (list.complete) addresses_by_name_.clear();
   for (const membership::Entry& entry : list.entries) {
     if (entry.phase == membership::Phase::gone)
-      found_.erase(entry.id);
+      addresses_by_name_.erase(entry.id);
     else
-      found_[entry.id] = entry.address;
+      addresses_by_name_[entry.id] = entry.address;
   }
   std::vector<net::Address> seeds;
-  for (const auto& [name, address] : found_) seeds.push_back(address);
+  for (const auto& [name, address] : addresses_by_name_) seeds.push_back(address);
   fleet_.set_discovered_seeds(std::move(seeds));
 }
 
--- a/src/peerlink/seeds.h
+++ b/src/peerlink/seeds.h
@@ -15,20 +15,20 @@
 
 class RegistrySeeds : membership::MembersHandler {
  public:
-  RegistrySeeds(net::Loop& loop, log::Logger& log, const options::RegistrationOptions& where,
+  RegistrySeeds(net::Loop& loop, log::Logger& log, const options::RegistrationOptions& registration,
                 const std::string& prefix, const std::string& name, std::uint64_t seed, Fleet& fleet);
 
   void withdraw();
-  bool done() const { return own_.done(); }
+  bool done() const { return registration_.done(); }
 
  private:
   void members_told(const membership::MemberList& list) override;
   void members_failed() override {}
 
   Fleet& fleet_;
-  registry::Registration own_;
-  registry::RegistrySource others_;
-  std::map<std::string, net::Address> found_;  // by broker name
+  registry::Registration registration_;
+  registry::RegistrySource source_;
+  std::map<std::string, net::Address> addresses_by_name_;
 };
 
 }  // namespace pearspar::peerlink
--- a/src/peers/core.cpp
+++ b/src/peers/core.cpp
@@ -10,7 +10,7 @@
 using net::Duration;
 using net::Time;
 
-constexpr int max_health = 8;
+constexpr int worst_health_score = 8;
 constexpr int indirect_probe_helpers = 3;
 constexpr int max_confirmations = 3;     // independent confirmations with which a suspicion is shortest
 constexpr int trusted_member_draws = 8;  // draws of a random member before a suspect is accepted
@@ -94,11 +94,11 @@
 
 void Core::finish(Time now) {
   if (phase_ == Phase::left) return;
-  const bool spoke = participates();
+  const bool participated = participates();
   phase_ = Phase::left;
   raise_incarnation(now, 0);
   finish_by_ = now;
-  if (!spoke || table_.in_force().empty()) return;
+  if (!participated || table_.in_force().empty()) return;
   finish_by_ = now + options_.period;
   probes_.clear();
   // Sent directly to several members, not only by gossip.
@@ -227,27 +227,27 @@
 }
 
 void Core::degrade_health(int by) {
-  if (options_.local_health) health_ = std::min(max_health, health_ + by);
+  if (options_.local_health) health_ = std::min(worst_health_score, health_ + by);
 }
 void Core::improve_health() { health_ = std::max(0, health_ - 1); }
 
 Duration Core::scaled_period() const { return options_.period * (1 + health_); }
 
 void Core::detect_stall(Time now) {
-  const Time wanted = due();
-  if (wanted == Time::max() || now - wanted <= options_.period / 2) return;
-  const Duration gap = now - wanted;
+  const Time expected = due();
+  if (expected == Time::max() || now - expected <= options_.period / 2) return;
+  const Duration stall = now - expected;
   ++counters_.held_up;
-  degrade_health(gap > options_.period * 2 ? 2 : 1);
+  degrade_health(stall > options_.period * 2 ? 2 : 1);
   // Unanswered probes say nothing about others while our own loop was stalled.
   probes_.clear();
   relays_.clear();
   std::set<std::pair<Time, std::string>> moved;
   for (const auto& [at, name] : suspicion_deadlines_) {
-    moved.insert({at + gap, name});
+    moved.insert({at + stall, name});
     if (Member* member = table_.find(name)) {
-      member->suspicion_deadline += gap;
-      member->suspected_at += gap;
+      member->suspicion_deadline += stall;
+      member->suspected_at += stall;
     }
   }
   suspicion_deadlines_ = std::move(moved);
@@ -255,7 +255,7 @@
   for (Time* each : {&next_period_, &next_reconnect_, &next_forget_, &next_gossip_})
     if (*each < now) *each = now;
   if (finish_by_ < now) finish_by_ = now;
-  if (gap > options_.remember_gone / 2) reset_membership(now);
+  if (stall > options_.remember_gone / 2) reset_membership(now);
 }
 
 // ---- members ----
@@ -453,10 +453,10 @@
 void Core::apply_shelf(Time now, const wire::Shelf& shelf) {
   Member* member = table_.find(shelf.name());
   if (!member || member->status.run != shelf.run() || !member->status.in_force()) return;
-  bool news = false, fits = true;
-  table_.change(*member, [&](Member& each) { fits = merge_records(each.records, shelf, news); });
+  bool changed_any = false, fits = true;
+  table_.change(*member, [&](Member& each) { fits = merge_records(each.records, shelf, changed_any); });
   if (!fits) ++counters_.shelf_full;
-  if (!news) return;
+  if (!changed_any) return;
   snapshot_.reset();
   disseminate(now, member->name, Priority::record);
 }
@@ -529,9 +529,9 @@
   };
   // What is held against the sender takes precedence over our own status.
   const Member* member = table_.find(body.name());
-  const bool against = member && (member->status.run > body.run() ||
-                                  (member->status.run == body.run() && !member->status.in_force()));
-  if (against) {
+  const bool is_accused = member && (member->status.run > body.run() ||
+                                     (member->status.run == body.run() && !member->status.in_force()));
+  if (is_accused) {
     wire::News news = news_of(*member, true);
     if (fits(news)) *answer.add_news() = std::move(news);
   }
@@ -619,16 +619,16 @@
 
   const bool agrees = body.members() == digest();
   if (!agrees) disagreed_at_ = now;
-  auto mark = [&](Time& since, bool alike) {
-    if (alike)
+  auto update_since = [&](Time& since, bool agrees_now) {
+    if (agrees_now)
       since = Time::max();
     else if (since == Time::max())
       since = now;
   };
-  mark(member->digest_differs_since, agrees);
-  mark(member->records_differ_since, body.records() == records_digest());
+  update_since(member->digest_differs_since, agrees);
+  update_since(member->records_differ_since, body.records() == records_digest());
 
-  bool told = false;
+  bool verdict_sent = false;
   switch (body.kind_case()) {
     case wire::Body::kPing: {
       if (!body.ping().target().empty() && body.ping().target() != self_.name) {
@@ -640,7 +640,7 @@
       if (!agrees) *answer.add_news() = own_news();
       piggyback(now, answer, member, room_in(answer));
       send(now, from, answer, SendBudget::always);
-      told = true;
+      verdict_sent = true;
       break;
     }
     case wire::Body::kAnswer:
@@ -655,16 +655,16 @@
     case wire::Body::KIND_NOT_SET:
       break;
   }
-  const bool against = member->status.verdict != Verdict::trusted && member->status.phase != Phase::left;
-  if (against && !told) send_verdict(now, *member);
+  const bool is_accused = member->status.verdict != Verdict::trusted && member->status.phase != Phase::left;
+  if (is_accused && !verdict_sent) send_verdict(now, *member);
   const bool eager = member->status.verdict == Verdict::gone ||
                      (now < join_deadline_ && member->compared_at == Time{} && !agrees);
-  auto stands_out = [&](Time since, double periods) {
+  auto differs_longer_than = [&](Time since, double periods) {
     return since != Time::max() && now - since > options_.period * periods;
   };
   // Records change often and arrive by gossip; only a lasting difference means that one was missed.
-  if (eager || stands_out(member->digest_differs_since, differ_periods) ||
-      stands_out(member->records_differ_since, records_differ_periods))
+  if (eager || differs_longer_than(member->digest_differs_since, differ_periods) ||
+      differs_longer_than(member->records_differ_since, records_differ_periods))
     start_sync(now, *member, eager);
 }
 
@@ -690,9 +690,9 @@
   const Relay found = *relay;
   relays_.erase(relay);
   const Member* requester = table_.find(found.requester_name);
-  wire::Body said = body_for(found.requester, requester);
-  said.mutable_answer()->set_probe(found.requester_probe);
-  send(now, found.requester, said, SendBudget::always);
+  wire::Body reply = body_for(found.requester, requester);
+  reply.mutable_answer()->set_probe(found.requester_probe);
+  send(now, found.requester, reply, SendBudget::always);
 }
 
 void Core::handle_ping_request(Time now, const Member& requester, const wire::Ask& ask) {
@@ -727,33 +727,34 @@
   int pages = 0;
   wire::Body page = body_for(member.address, &member);
   bool full = false;
-  auto turn_page = [&] {
+  auto send_page = [&] {
     if (page.news_size() == 0 && page.shelves_size() == 0) return;
     ++counters_.pages;
     full = !send(now, member.address, page, SendBudget::if_plenty) || ++pages >= max_pages_per_exchange;
     page = body_for(member.address, &member);
   };
-  auto put = [&](const std::string& name, std::uint64_t run, wire::News&& news, const RecordMap* records) {
-    if (size_of(news) > room_in(page)) turn_page();
+  auto add_entry = [&](const std::string& name, std::uint64_t run, wire::News&& news,
+                       const RecordMap* records) {
+    if (size_of(news) > room_in(page)) send_page();
     if (full) return;
     *page.add_news() = std::move(news);
     wire::Shelf item;
     if (!records || records->empty()) return;
     if (!pack_records(name, run, *records, room_in(page), item) ||
         item.records_size() < static_cast<int>(records->size())) {
-      turn_page();
+      send_page();
       if (full) return;
       pack_records(name, run, *records, room_in(page), item);
     }
     if (item.records_size() > 0) *page.add_shelves() = std::move(item);
   };
-  if (differs[MemberTable::bucket(self_.name)]) put(self_.name, own_.run, own_news(), &own_records_);
+  if (differs[MemberTable::bucket(self_.name)]) add_entry(self_.name, own_.run, own_news(), &own_records_);
   for (const Member* each : entries) {
     if (full) break;
-    put(each->name, each->status.run, news_of(*each, true),
-        each->status.in_force() ? &each->records : nullptr);
+    add_entry(each->name, each->status.run, news_of(*each, true),
+              each->status.in_force() ? &each->records : nullptr);
   }
-  if (!full) turn_page();
+  if (!full) send_page();
 }
 
 // ---- probes ----
@@ -795,16 +796,16 @@
 // Probes suspects of others that we have not probed ourselves: in each period a few brokers probe each
 // suspect, which confirms or refutes the suspicion early.
 void Core::probe_suspects(Time now) {
-  const double share = probers_per_suspect / static_cast<double>(in_force());
+  const double probability = probers_per_suspect / static_cast<double>(in_force());
   int checks = 0;
   for (const auto& [at, name] : suspicion_deadlines_) {
     const Member* member = table_.find(name);
     if (!member || static_cast<int>(member->accusers.size()) > max_confirmations) continue;
     const auto own = std::find(member->accusers.begin(), member->accusers.end(), accuser_id(self_.name));
-    const bool out =
+    const bool in_progress =
         std::any_of(probes_.begin(), probes_.end(), [&](const Probe& each) { return each.target == name; });
-    if (own != member->accusers.end() || out) continue;
-    if (std::uniform_real_distribution<double>(0, 1)(random_) >= share) continue;
+    if (own != member->accusers.end() || in_progress) continue;
+    if (std::uniform_real_distribution<double>(0, 1)(random_) >= probability) continue;
     begin_probe(now, *member, true);
     if (++checks >= max_suspect_probes_per_period) return;
   }
@@ -898,10 +899,10 @@
     const Relay relay = relays_[i];
     relays_.erase(relays_.begin() + static_cast<std::ptrdiff_t>(i));
     const Member* requester = table_.find(relay.requester_name);
-    wire::Body said = body_for(relay.requester, requester);
-    said.mutable_answer()->set_probe(relay.requester_probe);
-    said.mutable_answer()->set_missed(true);
-    send(now, relay.requester, said, SendBudget::always);
+    wire::Body reply = body_for(relay.requester, requester);
+    reply.mutable_answer()->set_probe(relay.requester_probe);
+    reply.mutable_answer()->set_missed(true);
+    send(now, relay.requester, reply, SendBudget::always);
   }
   if (phase_ != Phase::left) {
     for (std::size_t i = 0; i < probes_.size();) {
@@ -947,8 +948,8 @@
 
 std::uint64_t Core::cookie_for(const Address& address) const {
   const std::uint64_t words[2] = {address.host, address.port};
-  const std::uint64_t made = hash_of({reinterpret_cast<const char*>(words), sizeof words}, secret_);
-  return made == 0 ? 1 : made;
+  const std::uint64_t cookie = hash_of({reinterpret_cast<const char*>(words), sizeof words}, secret_);
+  return cookie == 0 ? 1 : cookie;
 }
 
 wire::Body Core::body_for(const Address& to, const Member* member) {
--- a/src/peers/core.h
+++ b/src/peers/core.h
@@ -19,6 +19,7 @@
 
 namespace pearspar::peers {
 
+// Settings of the protocol.
 struct Options {
   std::string fleet;
   net::Duration period = std::chrono::milliseconds(200);
@@ -33,6 +34,7 @@
   bool local_health = true;
 };
 
+// What this broker announces of itself.
 struct Self {
   std::string name;
   std::uint64_t run = 0;  // rises with each start under this name
@@ -45,6 +47,7 @@
 
 // ---- the view given to readers ----
 
+// One member as shown to readers.
 struct MemberView {
   std::string name;
   std::uint64_t run = 0;
@@ -75,6 +78,7 @@
 
 // ---- membership events ----
 
+// Why a member changed its state.
 enum class Cause {
   own_update,
   own_probe,
@@ -86,6 +90,7 @@
   own
 };
 
+// A change of one member's state.
 struct MemberEvent {
   std::string name;
   std::uint64_t run = 0;
@@ -99,6 +104,7 @@
 };
 const char* text_of(Cause cause);
 
+// A datagram to send.
 struct Datagram {
   net::Address to;
   std::string bytes;
@@ -114,6 +120,7 @@
   std::uint64_t summaries = 0, pages = 0, startovers = 0, outruns = 0;
 };
 
+// The protocol engine of one broker.
 class Core {
  public:
   Core(Options options, Self self, std::uint64_t seed, net::Time now);
--- a/src/peers/member_status.h
+++ b/src/peers/member_status.h
@@ -11,6 +11,7 @@
 enum class Verdict : std::uint8_t { trusted, suspect, gone };       // as held by the others
 enum class State : std::uint8_t { joining, alive, suspect, leaving, left, gone };
 
+// The merged status of one member; run and incarnation order its announcements.
 struct MemberStatus {
   std::uint64_t run = 0;
   std::uint64_t incarnation = 0;
--- a/src/peers/member_table.h
+++ b/src/peers/member_table.h
@@ -23,6 +23,7 @@
   }
 };
 
+// A value that a broker publishes to all; an empty one is withdrawn.
 struct Record {
   std::string value;
   std::uint64_t version = 0;
@@ -42,6 +43,7 @@
   std::size_t next_ = 0;
 };
 
+// What this broker holds of another.
 struct Member {
   std::string name;
   MemberStatus status;
--- a/src/peers/update_queue.h
+++ b/src/peers/update_queue.h
@@ -13,6 +13,7 @@
 // In the order of sending.
 enum class Priority : std::uint8_t { verdict, joining, record };
 
+// The dissemination queue.
 class UpdateQueue {
  public:
   // Resets the transmit count if the update is queued already.
@@ -25,9 +26,9 @@
   // is dropped after `times` transmissions.
   template <typename Take>
   void offer(int times, Take&& take) {
-    std::size_t looked = 0;
+    std::size_t considered = 0;
     std::set<Key> sent;
-    for (auto at = order_.begin(); at != order_.end() && looked < most_looked_at; ++looked) {
+    for (auto at = order_.begin(); at != order_.end() && considered < max_considered; ++considered) {
       const int answer = take(std::get<3>(*at), std::get<0>(*at));
       if (answer < 0) break;
       if (answer == 0) {
@@ -38,12 +39,12 @@
       at = order_.erase(at);
     }
     for (const Key& key : sent) {
-      auto& [priority, told, turn, name] = key;
+      auto& [priority, transmissions, turn, name] = key;
       const Id id{name, priority == Priority::record};
-      if (told + 1 >= times) {
+      if (transmissions + 1 >= times) {
         keys_.erase(id);
       } else {
-        Key next{priority, told + 1, ++turn_, name};
+        Key next{priority, transmissions + 1, ++turn_, name};
         keys_[id] = next;
         order_.insert(next);
       }
@@ -53,7 +54,7 @@
  private:
   using Key = std::tuple<Priority, int, std::uint64_t, std::string>;  // priority, transmissions, turn, name
   using Id = std::pair<std::string, bool>;                            // the status or the records of a name
-  static constexpr std::size_t most_looked_at = 64;
+  static constexpr std::size_t max_considered = 64;
 
   std::set<Key> order_;
   std::map<Id, Key> keys_;
--- a/src/peers/wire.cpp
+++ b/src/peers/wire.cpp
@@ -6,21 +6,22 @@
 namespace pearspar::peers {
 namespace {
 
-bool name_is_good(std::string_view name) {
+bool is_valid_name(std::string_view name) {
   if (name.empty() || name.size() > max_name_bytes) return false;
   for (char c : name)
     if (c <= 0x20 || c == 0x7f) return false;
   return true;
 }
 
-bool body_is_good(const wire::Body& body) {
-  if (!name_is_good(body.name()) || body.run() == 0 || body.port() == 0 || body.port() > 0xffff) return false;
+bool is_valid_body(const wire::Body& body) {
+  if (!is_valid_name(body.name()) || body.run() == 0 || body.port() == 0 || body.port() > 0xffff)
+    return false;
   for (const wire::News& news : body.news())
-    if (!name_is_good(news.name()) || news.run() == 0 || news.word().size() > max_word_bytes ||
+    if (!is_valid_name(news.name()) || news.run() == 0 || news.word().size() > max_word_bytes ||
         news.accusers_size() > max_accusers || !wire::Verdict_IsValid(news.verdict()))
       return false;
   for (const wire::Shelf& shelf : body.shelves()) {
-    if (!name_is_good(shelf.name()) || shelf.run() == 0 || shelf.records_size() > max_records) return false;
+    if (!is_valid_name(shelf.name()) || shelf.run() == 0 || shelf.records_size() > max_records) return false;
     for (const wire::Record& record : shelf.records())
       if (record.key().empty() || record.key().size() > max_key_bytes ||
           record.value().size() > max_value_bytes)
@@ -29,7 +30,7 @@
   return !body.has_summary() || body.summary().sums_size() == summary_buckets;
 }
 
-std::size_t with_head(std::size_t inner) { return inner + (inner < 128 ? 2 : 3) + 1; }
+std::size_t with_field_header(std::size_t inner) { return inner + (inner < 128 ? 2 : 3) + 1; }
 
 }  // namespace
 
@@ -56,11 +57,11 @@
   if (envelope.format() != wire_format) return DecodeResult::other_format;
   if (hash_of(envelope.body(), salt_) != envelope.check()) return DecodeResult::checksum_mismatch;
   body.Clear();
-  if (!body.ParseFromString(envelope.body()) || !body_is_good(body)) return DecodeResult::malformed;
+  if (!body.ParseFromString(envelope.body()) || !is_valid_body(body)) return DecodeResult::malformed;
   return DecodeResult::good;
 }
 
-std::size_t size_of(const wire::News& news) { return with_head(news.ByteSizeLong()); }
-std::size_t size_of(const wire::Shelf& shelf) { return with_head(shelf.ByteSizeLong()) + 1; }
+std::size_t size_of(const wire::News& news) { return with_field_header(news.ByteSizeLong()); }
+std::size_t size_of(const wire::Shelf& shelf) { return with_field_header(shelf.ByteSizeLong()) + 1; }
 
 }  // namespace pearspar::peers
--- a/src/peers/wire.h
+++ b/src/peers/wire.h
@@ -21,6 +21,7 @@
 constexpr int max_accusers = 8;
 constexpr int summary_buckets = 64;
 
+// Why a datagram was dropped, if not `good`.
 enum class DecodeResult { good, oversized, malformed, foreign, other_format, checksum_mismatch };
 
 // Codec for the datagrams of one fleet.
