--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -5,7 +5,7 @@
 #include <bit>
 #include <chrono>
 
-#include "broker/sources.h"
+#include "broker/member_source.h"
 
 namespace pearspar::broker {
 namespace {
@@ -13,26 +13,26 @@
 using namespace std::chrono_literals;
 
 // Descriptors that are neither a client's nor a node's: the listener, discovery, signals, the log.
-constexpr std::size_t other_descriptors = 24;
+constexpr std::size_t reserved_descriptors = 24;
 // Of the process's memory, for what clients send and have not taken yet. Frames from and to nodes have 66 KB
 // each on a quarter of the descriptors, and open queries are bounded in number.
-constexpr double clients_share = 0.35;
+constexpr double client_memory_share = 0.35;
 
 // How long after the word to end new queries are still taken: those who send them learn of it by then.
-constexpr net::Duration taking_on = 700ms;
+constexpr net::Duration drain_accept_period = 700ms;
 
 nodelink::LinkLimits link_limits(const config::Config& config) {
-  return {config.broker.calls_per_connection, config.module.connect_timeout, config.broker.idle_close,
-          config.module.may_cancel};
+  return {config.broker.calls_per_connection, config.policy.connect_timeout, config.broker.idle_close,
+          config.policy.may_cancel};
 }
 
 // A quarter of the descriptors is kept for nodes.
-std::size_t most_clients(const config::Config& config) {
+std::size_t max_clients(const config::Config& config) {
   return static_cast<std::size_t>(config.max_sockets) * 3 / 4;
 }
 
 // A client's request is named by its connection.
-engine::ClientId client_of(net::SlotId connection) {
+engine::ClientId client_id_of(net::SlotId connection) {
   return std::uint64_t{connection.generation} << 32 | connection.index;
 }
 net::SlotId connection_of(engine::ClientId client) {
@@ -40,7 +40,7 @@
 }
 
 // How often a broker's load is told to the fleet where it has changed.
-constexpr net::Duration records_every = 1s;
+constexpr net::Duration publish_interval = 1s;
 
 constexpr std::string_view outcome_names[] = {"error",          "served", "turned_away", "timed_out",
                                               "connect_failed", "reset",  "called_off",  "moot"};
@@ -54,17 +54,17 @@
       config_(config),
       options_(options),
       front_(
-          loop, [&log](std::string_view what) { log.write(log::Level::warning, what); }, most_clients(config),
+          loop, [&log](std::string_view what) { log.write(log::Level::warning, what); }, max_clients(config),
           *this),
       links_(loop, log, link_limits(config), *this),
-      members_(log, source_of(loop, log, config, options), *this),
-      engine_(config.module, {config.broker.zones, config.broker.kinds}, std::move(policy),
+      members_(log, make_member_source(loop, log, config, options), *this),
+      engine_(config.policy, {config.broker.zones, config.broker.kinds}, std::move(policy),
               {*this, *this, *this, *this}) {
-  front_.set_memory_bound(static_cast<std::size_t>(config_.memory_mb * clients_share * (1 << 20)));
-  for (std::size_t i = 0; i < config_.module.classes.size(); ++i)
-    classes_[config_.module.classes[i].name] = static_cast<int>(i);
-  for (std::size_t i = 0; i < config_.module.tenants.size(); ++i)
-    tenants_[config_.module.tenants[i].name] = static_cast<int>(i);
+  front_.set_memory_bound(static_cast<std::size_t>(config_.memory_mb * client_memory_share * (1 << 20)));
+  for (std::size_t i = 0; i < config_.policy.classes.size(); ++i)
+    classes_[config_.policy.classes[i].name] = static_cast<int>(i);
+  for (std::size_t i = 0; i < config_.policy.tenants.size(); ++i)
+    tenants_[config_.policy.tenants[i].name] = static_cast<int>(i);
 }
 
 // The broker's own record, with the address at which it really listens.
@@ -99,14 +99,14 @@
   // By powers of two: each change goes to all, so what only jitters is not told.
   fleet_->publish("load", std::to_string(std::bit_floor(engine_.open())));
   fleet_->publish("drain", winding_down_ ? "yes" : "no");
-  records_timer_ = loop_.at(loop_.now() + records_every, [this] { publish_records(); });
+  records_timer_ = loop_.at(loop_.now() + publish_interval, [this] { publish_records(); });
 }
 
 void Broker::start() {
   engine_.know(loop_.now(), config_.known);
   front_.listen(config_.listen);
   log_.info("{} listens on {}, {} nodes known", config_.name, front_.address().text(), engine_.nodes());
-  if (!config_.module.membership_by_subscription) members_.start();
+  if (!config_.policy.membership_by_subscription) members_.start();
   make_registration();
   if (registration_) registration_->start();
   make_fleet();
@@ -115,7 +115,7 @@
 }
 
 void Broker::end_turn() {
-  if (listening_ended_ && !done_) {
+  if (listener_closed_ && !done_) {
     front_.close_idle();
     const bool quiet = front_.busy() == 0 && (!registration_ || registration_->done());
     if (quiet && fleet_ && !fleet_finished_) {
@@ -135,12 +135,12 @@
 
 void Broker::reload(const config::Config& config, const options::Options& options) {
   std::string fixed;
-  for (const std::string& key : config::fixed_differences(config_, config))
+  for (const std::string& key : config::restart_required_changes(config_, config))
     fixed += (fixed.empty() ? "" : ", ") + key;
-  for (const std::string& key : options::fixed_differences(options_, options))
+  for (const std::string& key : options::restart_required_changes(options_, options))
     fixed += (fixed.empty() ? "" : ", ") + key;
   if (!fixed.empty()) log_.warning("reload: changes only with a restart: {}", fixed);
-  members_.move(source_of(loop_, log_, config, options));
+  members_.move(make_member_source(loop_, log_, config, options));
   log_.info("reload: the list of nodes comes from {}", members_.where());
 }
 
@@ -155,34 +155,34 @@
     fleet_->leave();
     publish_records();
   }
-  wind_down_timer_ = loop_.at(loop_.now() + taking_on, [this] {
+  wind_down_timer_ = loop_.at(loop_.now() + drain_accept_period, [this] {
     front_.stop_listening();
-    listening_ended_ = true;
+    listener_closed_ = true;
   });
 }
 
 // ---- clients ----
 
 void Broker::request_arrived(net::SlotId connection, const http::Message& message) {
-  if (answer_own_paths(connection, message)) return;
+  if (handle_builtin_path(connection, message)) return;
   std::string_view path = message.target.substr(0, message.target.find('?'));
   std::string_view first = path.substr(0, 1) == "/" ? path.substr(1) : path;
   auto cls = classes_.find(first.substr(0, first.find('/')));
-  if (cls == classes_.end()) return refuse_bad(connection, 404, "path: no such class");
-  if (message.method != "POST") return refuse_bad(connection, 405, "a query is a POST", "POST");
+  if (cls == classes_.end()) return reject_request(connection, 404, "path: no such class");
+  if (message.method != "POST") return reject_request(connection, 405, "a query is a POST", "POST");
   clients::Query asked;
-  clients::QueryLimits limits{config_.module.shards, static_cast<std::size_t>(config_.module.max_open),
+  clients::QueryLimits limits{config_.policy.shards, static_cast<std::size_t>(config_.policy.max_open),
                               !tenants_.empty()};
   if (auto fault = clients::read_query(message, limits, asked))
-    return refuse_bad(connection, fault->status, fault->why);
+    return reject_request(connection, fault->status, fault->why);
   int tenant = 0;
   if (!tenants_.empty()) {
     auto found = tenants_.find(asked.tenant);
-    if (found == tenants_.end()) return refuse_bad(connection, 400, "X-Account: no such tenant");
+    if (found == tenants_.end()) return reject_request(connection, 400, "X-Account: no such tenant");
     tenant = found->second;
   }
   engine::Arrival arrival;
-  arrival.client = client_of(connection);
+  arrival.client = client_id_of(connection);
   arrival.id = asked.id;
   arrival.text = std::move(asked.text);
   arrival.cls = cls->second;
@@ -199,17 +199,17 @@
       return front_.answer(connection,
                            {503, clients::error_body("all places are taken"), "application/json", {}, 0});
     case engine::Engine::Taken::same:
-      return refuse_bad(connection, 409, "X-Correlation-Id: a request under this id is open");
+      return reject_request(connection, 409, "X-Correlation-Id: a request under this id is open");
   }
 }
 
-bool Broker::answer_own_paths(net::SlotId connection, const http::Message& message) {
+bool Broker::handle_builtin_path(net::SlotId connection, const http::Message& message) {
   std::string_view path = message.target.substr(0, message.target.find('?'));
-  if (fleet_ && path.starts_with("/fleet") && answer_fleet(connection, message, path)) return true;
+  if (fleet_ && path.starts_with("/fleet") && handle_fleet_path(connection, message, path)) return true;
   bool ready = path == "/health/ready", live = path == "/health/live", counters = path == "/counters";
   if (!ready && !live && !counters) return false;
   if (message.method != "GET") {
-    refuse_bad(connection, 405, "only GET", "GET");
+    reject_request(connection, 405, "only GET", "GET");
   } else if (counters) {
     front_.answer(connection, {200, counters_json(), "application/json", {}, 0});
   } else if (live || (engine_.ready() && !winding_down_)) {
@@ -221,10 +221,10 @@
   return true;
 }
 
-bool Broker::answer_fleet(net::SlotId connection, const http::Message& message, std::string_view path) {
+bool Broker::handle_fleet_path(net::SlotId connection, const http::Message& message, std::string_view path) {
   if (path == "/fleet") {
     if (message.method != "GET") {
-      refuse_bad(connection, 405, "only GET", "GET");
+      reject_request(connection, 405, "only GET", "GET");
     } else {
       front_.answer(connection, {200, fleet_->view_json(), "application/json", {}, 0});
     }
@@ -232,9 +232,9 @@
   }
   if (path != "/fleet/leave") return false;
   if (message.method != "POST") {
-    refuse_bad(connection, 405, "only POST", "POST");
+    reject_request(connection, 405, "only POST", "POST");
   } else if (!options_.fleet->leave_by_request) {
-    refuse_bad(connection, 403, "fleet.leave_by_request is not set");
+    reject_request(connection, 403, "fleet.leave_by_request is not set");
   } else {
     log_.info("fleet: told to leave by request");
     front_.answer(connection, {200, "{\"leaving\":true}", "application/json", {}, 0});
@@ -243,13 +243,16 @@
   return true;
 }
 
-void Broker::refuse_bad(net::SlotId connection, int status, std::string_view why, std::string_view allow) {
+void Broker::reject_request(net::SlotId connection, int status, std::string_view why,
+                            std::string_view allow) {
   ++bad_queries_;
   log_.debug("no query: {}", why);
   front_.answer(connection, {status, clients::error_body(why), "application/json", allow, 0});
 }
 
-void Broker::client_left(net::SlotId connection) { engine_.client_left(loop_.now(), client_of(connection)); }
+void Broker::client_left(net::SlotId connection) {
+  engine_.client_left(loop_.now(), client_id_of(connection));
+}
 
 void Broker::answered(engine::ClientId client, const engine::Result& result) {
   using Kind = engine::Result::Kind;
@@ -278,7 +281,7 @@
 // ---- nodes ----
 
 bool Broker::make_room() {
-  std::size_t used = front_.connections() + links_.connections() + other_descriptors;
+  std::size_t used = front_.connections() + links_.connections() + reserved_descriptors;
   return used < static_cast<std::size_t>(config_.max_sockets) || front_.close_one_idle() ||
          links_.close_one_idle();
 }
@@ -295,7 +298,7 @@
   log_.debug("node {} is {} at {}", node, id, address.text());
 }
 
-void Broker::probe(NodeId node) { links_.probe(node, config_.module.report_source == ReportSource::pull); }
+void Broker::probe(NodeId node) { links_.probe(node, config_.policy.report_source == ReportSource::pull); }
 
 void Broker::members_told(const membership::MemberList& list) { engine_.members_told(loop_.now(), list); }
 void Broker::members_failed() { engine_.members_failed(); }
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -65,9 +65,9 @@
   void members_told(const membership::MemberList& list) override;
   void members_failed() override;
 
-  bool answer_own_paths(net::SlotId connection, const http::Message& message);
-  void refuse_bad(net::SlotId connection, int status, std::string_view why, std::string_view allow = {});
-  bool answer_fleet(net::SlotId connection, const http::Message& message, std::string_view path);
+  bool handle_builtin_path(net::SlotId connection, const http::Message& message);
+  void reject_request(net::SlotId connection, int status, std::string_view why, std::string_view allow = {});
+  bool handle_fleet_path(net::SlotId connection, const http::Message& message, std::string_view path);
   void make_registration();
   void make_fleet();
   void publish_records();
@@ -101,7 +101,7 @@
   std::map<std::string, int, std::less<>> tenants_;
   bool done_ = false;
   bool winding_down_ = false;
-  bool listening_ended_ = false;
+  bool listener_closed_ = false;
   net::Timer wind_down_timer_;
   std::unique_ptr<registry::Registration> registration_;  // where the operator asks for one
   std::unique_ptr<peerlink::Fleet> fleet_;                // the same
--- a/src/broker/sources.cpp
+++ b/src/broker/member_source.cpp
@@ -1,4 +1,4 @@
-#include "broker/sources.h"
+#include "broker/member_source.h"
 
 #include "discovery/client.h"
 #include "membership/fixed.h"
@@ -6,8 +6,8 @@
 
 namespace pearspar::broker {
 
-membership::MakeSource source_of(net::Loop& loop, log::Logger& log, const config::Config& config,
-                                 const options::Options& options) {
+membership::MakeSource make_member_source(net::Loop& loop, log::Logger& log, const config::Config& config,
+                                          const options::Options& options) {
   switch (options.membership) {
     case options::MembershipKind::registry:
       return [&loop, &log, registry = *options.registry, seed = config.seed](membership::MembersUser& user) {
--- a/src/broker/sources.h
+++ b/src/broker/member_source.h
@@ -8,7 +8,7 @@
 
 namespace pearspar::broker {
 
-membership::MakeSource source_of(net::Loop& loop, log::Logger& log, const config::Config& config,
-                                 const options::Options& options);
+membership::MakeSource make_member_source(net::Loop& loop, log::Logger& log, const config::Config& config,
+                                          const options::Options& options);
 
 }  // namespace pearspar::broker
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -16,14 +16,14 @@
 namespace pearspar::cli {
 namespace {
 
-constexpr int status_unreached = 1;
-constexpr int status_arguments = 2;
-constexpr int status_disagree = 3;
+constexpr int exit_unreachable = 1;
+constexpr int exit_bad_arguments = 2;
+constexpr int exit_disagreement = 3;
 
 struct BadArguments : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-struct Unreached : std::runtime_error {
+struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -34,7 +34,7 @@
   return *address;
 }
 
-struct Seen {
+struct MemberRow {
   std::string name;
   std::string state;
   std::string serves;
@@ -42,7 +42,7 @@
 };
 
 // One broker's view, as it tells it.
-struct View {
+struct FleetView {
   std::string self;
   std::string digest;
   std::int64_t number = 0;
@@ -50,55 +50,56 @@
   bool settled = false;
   bool smaller_part = false;
   bool yields = false;
-  std::vector<Seen> members;
+  std::vector<MemberRow> members;
   std::string raw;
 };
 
-std::string text_at(const json::Value& object, std::string_view key) {
+std::string text_member(const json::Value& object, std::string_view key) {
   const json::Value* value = object.find(key);
   return value ? value->text().value_or("") : "";
 }
-std::int64_t whole_at(const json::Value& object, std::string_view key) {
+std::int64_t integer_member(const json::Value& object, std::string_view key) {
   const json::Value* value = object.find(key);
-  return value ? value->whole().value_or(0) : 0;
+  return value ? value->integer().value_or(0) : 0;
 }
-bool flag_at(const json::Value& object, std::string_view key) {
+bool boolean_member(const json::Value& object, std::string_view key) {
   const json::Value* value = object.find(key);
-  return value && value->flag().value_or(false);
+  return value && value->boolean().value_or(false);
 }
 
-View read_view(std::string body) {
-  View view;
+FleetView read_view(std::string body) {
+  FleetView view;
   view.raw = std::move(body);
   const json::Value all = json::parse(view.raw);
-  view.self = text_at(all, "self");
-  view.digest = text_at(all, "digest");
-  view.number = whole_at(all, "number");
-  view.in_force = whole_at(all, "in_force");
-  view.settled = flag_at(all, "settled");
-  view.smaller_part = flag_at(all, "smaller_part");
-  view.yields = flag_at(all, "yields");
+  view.self = text_member(all, "self");
+  view.digest = text_member(all, "digest");
+  view.number = integer_member(all, "number");
+  view.in_force = integer_member(all, "in_force");
+  view.settled = boolean_member(all, "settled");
+  view.smaller_part = boolean_member(all, "smaller_part");
+  view.yields = boolean_member(all, "yields");
   const json::Value* members = all.find("members");
-  if (!members) throw Unreached("what came is no view of a fleet");
+  if (!members) throw RequestFailed("what came is no view of a fleet");
   for (const json::Value& member : members->items) {
-    Seen seen{text_at(member, "name"), text_at(member, "state"), text_at(member, "serves"), {}};
+    MemberRow row{
+        text_member(member, "name"), text_member(member, "state"), text_member(member, "serves"), {}};
     std::string records;
     if (const json::Value* shelf = member.find("records"))
       for (const auto& [key, value] : shelf->members)
         records += fmt::format("{}{}={}", records.empty() ? "" : " ", key, value.text().value_or(""));
-    seen.line =
-        fmt::format("{:<16} {:<8} {:>8.1f} s {:<21} {:<21} {:<6} {:<6} {:<8} {:>4} {}", seen.name, seen.state,
-                    static_cast<double>(whole_at(member, "for_ms")) / 1000, text_at(member, "address"),
-                    seen.serves, text_at(member, "zone"), text_at(member, "region"),
-                    text_at(member, "version"), whole_at(member, "incarnation"), records);
-    view.members.push_back(std::move(seen));
+    row.line = fmt::format("{:<16} {:<8} {:>8.1f} s {:<21} {:<21} {:<6} {:<6} {:<8} {:>4} {}", row.name,
+                           row.state, static_cast<double>(integer_member(member, "for_ms")) / 1000,
+                           text_member(member, "address"), row.serves, text_member(member, "zone"),
+                           text_member(member, "region"), text_member(member, "version"),
+                           integer_member(member, "incarnation"), records);
+    view.members.push_back(std::move(row));
   }
   return view;
 }
 
-class Asker {
+class FleetClient {
  public:
-  explicit Asker(double timeout_s) : timeout_(timeout_s), call_(loop_) {}
+  explicit FleetClient(double timeout_s) : timeout_(timeout_s), call_(loop_) {}
 
   std::string ask(const std::string& broker, const std::string& method, const std::string& path) {
     std::optional<registry::Reply> got;
@@ -113,16 +114,17 @@
                    fault = why;
                });
     while (!ended) loop_.turn();
-    if (!got) throw Unreached(broker + ": " + fault);
-    if (got->status == 404) throw Unreached(broker + ": takes part in no fleet");
-    if (got->status != 200) throw Unreached(fmt::format("{}: status {}: {}", broker, got->status, got->body));
+    if (!got) throw RequestFailed(broker + ": " + fault);
+    if (got->status == 404) throw RequestFailed(broker + ": takes part in no fleet");
+    if (got->status != 200)
+      throw RequestFailed(fmt::format("{}: status {}: {}", broker, got->status, got->body));
     return got->body;
   }
-  View view(const std::string& broker) {
+  FleetView view(const std::string& broker) {
     try {
       return read_view(ask(broker, "GET", "/fleet"));
     } catch (const json::ParseError& error) {
-      throw Unreached(broker + ": what came is no view of a fleet: " + error.what());
+      throw RequestFailed(broker + ": what came is no view of a fleet: " + error.what());
     }
   }
   net::Loop& loop() { return loop_; }
@@ -133,7 +135,7 @@
   registry::Call call_;
 };
 
-std::string head_of(const View& view) {
+std::string summary_of(const FleetView& view) {
   return fmt::format("{}: digest {}, {} in force, {}{}{}", view.self, view.digest, view.in_force,
                      view.settled ? "settled" : "not settled",
                      view.smaller_part ? ", may be in the smaller part of a split" : "",
@@ -141,25 +143,25 @@
 }
 
 int members(const FleetArguments& arguments) {
-  Asker asker(arguments.timeout_s);
+  FleetClient client(arguments.timeout_s);
   for (const std::string& broker : arguments.brokers) {
-    const View view = asker.view(broker);
+    const FleetView view = client.view(broker);
     if (arguments.json) {
       std::printf("%s\n", view.raw.c_str());
       continue;
     }
-    std::printf("%s\n", head_of(view).c_str());
-    for (const Seen& seen : view.members)
-      if (arguments.all || (seen.state != "gone" && seen.state != "left"))
-        std::printf("  %s\n", seen.line.c_str());
+    std::printf("%s\n", summary_of(view).c_str());
+    for (const MemberRow& row : view.members)
+      if (arguments.all || (row.state != "gone" && row.state != "left"))
+        std::printf("  %s\n", row.line.c_str());
   }
   return 0;
 }
 
 int digest(const FleetArguments& arguments) {
-  Asker asker(arguments.timeout_s);
+  FleetClient client(arguments.timeout_s);
   for (const std::string& broker : arguments.brokers) {
-    const View view = asker.view(broker);
+    const FleetView view = client.view(broker);
     if (arguments.json)
       std::printf("{\"broker\":\"%s\",\"digest\":\"%s\",\"settled\":%s}\n", broker.c_str(),
                   view.digest.c_str(), view.settled ? "true" : "false");
@@ -171,62 +173,62 @@
 
 // Prints what changed from one look to the next.
 int watch(const FleetArguments& arguments) {
-  Asker asker(arguments.timeout_s);
+  FleetClient client(arguments.timeout_s);
   net::Signals signals{SIGINT, SIGTERM};
   bool ended = false;
-  net::Watch watched = signals.watch(asker.loop(), [&](int) { ended = true; });
+  net::Watch watched = signals.watch(client.loop(), [&](int) { ended = true; });
   net::Timer over;
   if (arguments.for_s > 0)
-    over = asker.loop().at(asker.loop().now() + net::Duration(arguments.for_s), [&] { ended = true; });
+    over = client.loop().at(client.loop().now() + net::Duration(arguments.for_s), [&] { ended = true; });
   const std::string& broker = arguments.brokers.front();
   std::map<std::string, std::string> states;
   std::string head;
   bool lost = false;
   while (!ended) {
     try {
-      const View view = asker.view(broker);
+      const FleetView view = client.view(broker);
       lost = false;
       if (arguments.json) {
         if (head != view.raw) std::printf("%s\n", view.raw.c_str());
         head = view.raw;
       } else {
-        for (const Seen& seen : view.members) {
-          std::string& held = states[seen.name];
-          if (held == seen.state) continue;
-          std::printf("%s is %s%s\n", seen.name.c_str(), seen.state.c_str(),
+        for (const MemberRow& row : view.members) {
+          std::string& held = states[row.name];
+          if (held == row.state) continue;
+          std::printf("%s is %s%s\n", row.name.c_str(), row.state.c_str(),
                       held.empty() ? "" : (", was " + held).c_str());
-          held = seen.state;
+          held = row.state;
         }
-        if (head_of(view) != head) std::printf("%s\n", head_of(view).c_str());
-        head = head_of(view);
+        if (summary_of(view) != head) std::printf("%s\n", summary_of(view).c_str());
+        head = summary_of(view);
       }
-    } catch (const Unreached& error) {
+    } catch (const RequestFailed& error) {
       if (!lost) std::printf("%s\n", error.what());
       lost = true;
     }
     std::fflush(stdout);
     bool due = false;
     net::Timer pause =
-        asker.loop().at(asker.loop().now() + net::Duration(arguments.every_s), [&] { due = true; });
-    while (!due && !ended) asker.loop().turn();
+        client.loop().at(client.loop().now() + net::Duration(arguments.every_s), [&] { due = true; });
+    while (!due && !ended) client.loop().turn();
   }
-  return lost ? status_unreached : 0;
+  return lost ? exit_unreachable : 0;
 }
 
 // What speaks against agreement; empty where nothing does.
-std::string disagreement(const std::vector<View>& views, const std::vector<std::string>& unreached) {
+std::string disagreement(const std::vector<FleetView>& views, const std::vector<std::string>& unreached) {
   std::string why;
   auto add = [&](const std::string& text) { why += (why.empty() ? "" : "; ") + text; };
   for (const std::string& each : unreached) add(each);
   std::set<std::string> digests;
-  for (const View& view : views) {
+  for (const FleetView& view : views) {
     digests.insert(view.digest);
     if (!view.settled) add(view.self + " is not settled");
     if (view.yields) add(view.self + " is silent, another broker has its name");
   }
   if (digests.size() > 1) {
     std::string all;
-    for (const View& view : views)
+    for (const FleetView& view : views)
       all += fmt::format("{}{} {} of {}", all.empty() ? "" : ", ", view.self, view.digest, view.in_force);
     add("digests differ: " + all);
   }
@@ -234,22 +236,22 @@
 }
 
 int check(const FleetArguments& arguments) {
-  Asker asker(arguments.timeout_s);
-  const net::Time until = asker.loop().read_clock() + net::Duration(arguments.for_s);
+  FleetClient client(arguments.timeout_s);
+  const net::Time until = client.loop().read_clock() + net::Duration(arguments.for_s);
   for (;;) {
-    std::vector<View> views;
+    std::vector<FleetView> views;
     std::vector<std::string> unreached;
     std::vector<std::string> brokers = arguments.brokers;
     std::set<std::string> asked;
     for (std::size_t i = 0; i < brokers.size(); ++i) {
       if (!asked.insert(brokers[i]).second) continue;
       try {
-        views.push_back(asker.view(brokers[i]));
+        views.push_back(client.view(brokers[i]));
         if (arguments.all && i == 0)
-          for (const Seen& seen : views.front().members)
-            if (seen.state != "gone" && seen.state != "left" && seen.name != views.front().self)
-              brokers.push_back(seen.serves);
-      } catch (const Unreached& error) {
+          for (const MemberRow& row : views.front().members)
+            if (row.state != "gone" && row.state != "left" && row.name != views.front().self)
+              brokers.push_back(row.serves);
+      } catch (const RequestFailed& error) {
         unreached.push_back(error.what());
       }
     }
@@ -263,7 +265,7 @@
                     views.front().digest.c_str(), static_cast<long long>(views.front().in_force));
       return 0;
     }
-    if (asker.loop().read_clock() >= until) {
+    if (client.loop().read_clock() >= until) {
       if (arguments.json) {
         std::string quoted;
         json::append_quoted(quoted, why);
@@ -271,18 +273,18 @@
       } else {
         std::printf("%zu asked, no agreement: %s\n", asked.size(), why.c_str());
       }
-      return views.empty() ? status_unreached : status_disagree;
+      return views.empty() ? exit_unreachable : exit_disagreement;
     }
     bool due = false;
-    net::Timer pause = asker.loop().at(asker.loop().now() + net::Duration(0.1), [&] { due = true; });
-    while (!due) asker.loop().turn();
+    net::Timer pause = client.loop().at(client.loop().now() + net::Duration(0.1), [&] { due = true; });
+    while (!due) client.loop().turn();
   }
 }
 
 int leave(const FleetArguments& arguments) {
-  Asker asker(arguments.timeout_s);
+  FleetClient client(arguments.timeout_s);
   for (const std::string& broker : arguments.brokers) {
-    asker.ask(broker, "POST", "/fleet/leave");
+    client.ask(broker, "POST", "/fleet/leave");
     std::printf("%s leaves\n", broker.c_str());
   }
   return 0;
@@ -290,7 +292,7 @@
 
 }  // namespace
 
-CLI::App* add_fleet(CLI::App& app, FleetArguments& arguments) {
+CLI::App* add_fleet_commands(CLI::App& app, FleetArguments& arguments) {
   CLI::App* fleet = app.add_subcommand("fleet", "what the brokers of a fleet say of it");
   fleet->require_subcommand(1);
   auto add = [&](const char* name, const char* what) {
@@ -319,7 +321,7 @@
   return fleet;
 }
 
-int run_fleet(const FleetArguments& arguments) {
+int run_fleet_command(const FleetArguments& arguments) {
   try {
     if (arguments.command == "members") return members(arguments);
     if (arguments.command == "watch") return watch(arguments);
@@ -328,10 +330,10 @@
     return check(arguments);
   } catch (const BadArguments& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_arguments;
+    return exit_bad_arguments;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_unreached;
+    return exit_unreachable;
   }
 }
 
--- a/src/cli/fleet_commands.h
+++ b/src/cli/fleet_commands.h
@@ -18,9 +18,9 @@
   double for_s = 0;      // watch: 0 = until SIGINT; check: how long to wait for agreement
 };
 
-CLI::App* add_fleet(CLI::App& app, FleetArguments& arguments);
+CLI::App* add_fleet_commands(CLI::App& app, FleetArguments& arguments);
 // 0 done, and for check: all asked agree and are settled; 1 a broker cannot be reached or has no fleet; 2 the
 // arguments are no good; 3 check: they do not agree, or are not settled.
-int run_fleet(const FleetArguments& arguments);
+int run_fleet_command(const FleetArguments& arguments);
 
 }  // namespace pearspar::cli
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -18,15 +18,15 @@
 namespace pearspar::cli {
 namespace {
 
-constexpr int status_unreached = 1;
-constexpr int status_arguments = 2;
-constexpr int status_missing = 3;
-constexpr int conflicts_borne = 5;  // times that somebody else may change a record while we change it
+constexpr int exit_unreachable = 1;
+constexpr int exit_bad_arguments = 2;
+constexpr int exit_not_found = 3;
+constexpr int max_write_conflicts = 5;  // times that somebody else may change a record while we change it
 
 struct BadArguments : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-struct Unreached : std::runtime_error {
+struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -58,20 +58,21 @@
   return read;
 }
 
-const char* word_of(membership::Phase phase) {
+const char* phase_name(membership::Phase phase) {
   constexpr const char* words[] = {"gone", "ready", "draining"};
   return words[static_cast<int>(phase)];
 }
 
-std::string line_of(const membership::Entry& entry) {
+std::string format_entry(const membership::Entry& entry) {
   return fmt::format("{:<20} {:<21} {:<6} {:<6} {:>5} {:<9} {:>5g} {:.0f}", entry.id, entry.address.text(),
-                     entry.zone, entry.kind, entry.cell, word_of(entry.phase), entry.size, entry.up_since_ms);
+                     entry.zone, entry.kind, entry.cell, phase_name(entry.phase), entry.size,
+                     entry.up_since_ms);
 }
 
 // Calls one endpoint after the other until one has answered.
-class Hand {
+class RegistryClient {
  public:
-  explicit Hand(const RegistryArguments& arguments)
+  explicit RegistryClient(const RegistryArguments& arguments)
       : options_(options_of(arguments)),
         timeout_(arguments.timeout_s),
         credentials_(registry::make_dialect(options_)->credentials()),
@@ -100,30 +101,30 @@
       if (got->status < 500) return *got;
       faults += (faults.empty() ? "" : "; ") + address.text() + ": status " + std::to_string(got->status);
     }
-    throw Unreached(faults);
+    throw RequestFailed(faults);
   }
 
-  struct Held {
+  struct StoredRecord {
     std::string value;
     registry::Revision modified = 0;
   };
-  std::optional<Held> get(const std::string& id) {
+  std::optional<StoredRecord> get(const std::string& id) {
     registry::Reply reply = call(etcd() ? registry::etcd::get(key(id)) : registry::consul::get(key(id)));
     if (reply.status == 404) return std::nullopt;
     if (reply.status != 200)
-      throw Unreached(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
+      throw RequestFailed(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
     json::Value value = json::parse(reply.body);
     if (etcd()) {
       registry::Page page = registry::etcd::read_page(value);
       if (page.items.empty()) return std::nullopt;
-      return Held{page.items.front().item.value, page.items.front().item.modified};
+      return StoredRecord{page.items.front().item.value, page.items.front().item.modified};
     }
     if (value.items.empty()) return std::nullopt;
     const json::Value* text = value.items.front().find("Value");
     const json::Value* index = value.items.front().find("ModifyIndex");
-    Held held;
+    StoredRecord held;
     if (text) held.value = registry::decode_base64(text->raw).value_or("");
-    if (index) held.modified = index->whole().value_or(0);
+    if (index) held.modified = index->integer().value_or(0);
     return held;
   }
 
@@ -145,7 +146,7 @@
  private:
   static void check(const registry::Reply& reply) {
     if (reply.status != 200)
-      throw Unreached(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
+      throw RequestFailed(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
   }
 
   registry::RegistryOptions options_;
@@ -159,7 +160,7 @@
   auto address = net::Address::parse(arguments.address);
   if (!address || address->port == 0)
     throw BadArguments("--address " + arguments.address + " is none with a port, like 10.0.0.1:3000");
-  Hand hand(arguments);
+  RegistryClient client(arguments);
   membership::Entry entry{
       arguments.id,   *address,
       arguments.zone, arguments.kind,
@@ -167,65 +168,65 @@
       arguments.size, arguments.start_ms};
   std::string record = registry::write_record(entry);
   if (arguments.if_absent) {
-    if (!hand.put_if(arguments.id, record, 0)) {
-      std::fprintf(stderr, "pearspar: %s is there already\n", hand.key(arguments.id).c_str());
-      return status_missing;
+    if (!client.put_if(arguments.id, record, 0)) {
+      std::fprintf(stderr, "pearspar: %s is there already\n", client.key(arguments.id).c_str());
+      return exit_not_found;
     }
   } else {
-    hand.put(arguments.id, record);
+    client.put(arguments.id, record);
   }
-  std::printf("%s\n", line_of(entry).c_str());
+  std::printf("%s\n", format_entry(entry).c_str());
   return 0;
 }
 
 // Reads, changes and writes back only what nobody else has changed meanwhile.
 int set_phase(const RegistryArguments& arguments, membership::Phase phase) {
-  Hand hand(arguments);
-  for (int i = 0; i < conflicts_borne; ++i) {
-    auto held = hand.get(arguments.id);
+  RegistryClient client(arguments);
+  for (int i = 0; i < max_write_conflicts; ++i) {
+    auto held = client.get(arguments.id);
     if (!held) {
-      std::fprintf(stderr, "pearspar: there is no %s\n", hand.key(arguments.id).c_str());
-      return status_missing;
+      std::fprintf(stderr, "pearspar: there is no %s\n", client.key(arguments.id).c_str());
+      return exit_not_found;
     }
     membership::Entry entry;
     try {
       entry = registry::read_record(arguments.id, held->value);
     } catch (const json::ParseError& error) {
       std::fprintf(stderr, "pearspar: the record under %s cannot be read: %s\n",
-                   hand.key(arguments.id).c_str(), error.what());
-      return status_missing;
+                   client.key(arguments.id).c_str(), error.what());
+      return exit_not_found;
     }
     entry.phase = phase;
-    if (hand.put_if(arguments.id, registry::write_record(entry), held->modified)) {
-      std::printf("%s\n", line_of(entry).c_str());
+    if (client.put_if(arguments.id, registry::write_record(entry), held->modified)) {
+      std::printf("%s\n", format_entry(entry).c_str());
       return 0;
     }
   }
-  throw Unreached(hand.key(arguments.id) + " is being changed by others all the time");
+  throw RequestFailed(client.key(arguments.id) + " is being changed by others all the time");
 }
 
 int remove_node(const RegistryArguments& arguments) {
-  Hand hand(arguments);
-  if (!hand.get(arguments.id)) {
-    std::fprintf(stderr, "pearspar: there is no %s\n", hand.key(arguments.id).c_str());
-    return status_missing;
+  RegistryClient client(arguments);
+  if (!client.get(arguments.id)) {
+    std::fprintf(stderr, "pearspar: there is no %s\n", client.key(arguments.id).c_str());
+    return exit_not_found;
   }
-  hand.remove(arguments.id);
-  std::printf("%s is removed\n", hand.key(arguments.id).c_str());
+  client.remove(arguments.id);
+  std::printf("%s is removed\n", client.key(arguments.id).c_str());
   return 0;
 }
 
 // Follows the prefix as a broker does, and prints what a broker would be told.
-class Printer final : public membership::MembersUser {
+class ListPrinter final : public membership::MembersUser {
  public:
-  explicit Printer(bool json) : json_(json) {}
+  explicit ListPrinter(bool json) : json_(json) {}
   void members_told(const membership::MemberList& list) override {
     told = true;
     for (const membership::Entry& entry : list.entries) {
       if (json_)
         std::printf("%s\n", record(entry, list.revision).c_str());
       else
-        std::printf("%8lld %s\n", static_cast<long long>(list.revision), line_of(entry).c_str());
+        std::printf("%8lld %s\n", static_cast<long long>(list.revision), format_entry(entry).c_str());
     }
     if (list.complete && list.entries.empty())
       std::printf("%8lld (no nodes)\n", static_cast<long long>(list.revision));
@@ -250,7 +251,7 @@
 int follow(const RegistryArguments& arguments, bool once) {
   net::Loop loop;
   log::Logger log(STDERR_FILENO, log::Level::warning, "registry");
-  Printer printer(arguments.json);
+  ListPrinter printer(arguments.json);
   registry::RegistrySource source(loop, log, options_of(arguments), static_cast<std::uint64_t>(::getpid()),
                                   printer);
   net::Signals signals{SIGINT, SIGTERM};
@@ -267,13 +268,13 @@
   while (!ended && !(once && printer.told)) loop.turn();
   for (const auto& [key, why] : source.roster().bad())
     std::fprintf(stderr, "pearspar: the record under %s cannot be read: %s\n", key.c_str(), why.c_str());
-  if (!printer.told) throw Unreached("the registry did not answer in time");
-  return source.roster().bad().empty() ? 0 : status_missing;
+  if (!printer.told) throw RequestFailed("the registry did not answer in time");
+  return source.roster().bad().empty() ? 0 : exit_not_found;
 }
 
 }  // namespace
 
-CLI::App* add_registry(CLI::App& app, RegistryArguments& arguments) {
+CLI::App* add_registry_commands(CLI::App& app, RegistryArguments& arguments) {
   CLI::App* registry = app.add_subcommand("registry", "look at the registry and change it by hand");
   registry->require_subcommand(1);
   auto add = [&](const char* name, const char* what, bool with_id) {
@@ -311,7 +312,7 @@
   return registry;
 }
 
-int run_registry(const RegistryArguments& arguments) {
+int run_registry_command(const RegistryArguments& arguments) {
   try {
     if (arguments.command == "get") return follow(arguments, true);
     if (arguments.command == "watch") return follow(arguments, false);
@@ -320,14 +321,14 @@
     if (arguments.command == "ready") return set_phase(arguments, membership::Phase::ready);
     return remove_node(arguments);
   } catch (const options::OptionsError& error) {
-    for (const std::string& fault : error.faults()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
-    return status_arguments;
+    for (const std::string& fault : error.errors()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
+    return exit_bad_arguments;
   } catch (const BadArguments& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_arguments;
+    return exit_bad_arguments;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_unreached;
+    return exit_unreachable;
   }
 }
 
--- a/src/cli/registry_commands.h
+++ b/src/cli/registry_commands.h
@@ -28,9 +28,9 @@
   double for_s = 0;  // watch: 0 = until SIGINT
 };
 
-CLI::App* add_registry(CLI::App& app, RegistryArguments& arguments);
+CLI::App* add_registry_commands(CLI::App& app, RegistryArguments& arguments);
 // 0 done; 1 the registry cannot be reached or would not; 2 the arguments are no good; 3 there is no such
 // node, or a record that cannot be read.
-int run_registry(const RegistryArguments& arguments);
+int run_registry_command(const RegistryArguments& arguments);
 
 }  // namespace pearspar::cli
--- a/src/clients/query.cpp
+++ b/src/clients/query.cpp
@@ -30,7 +30,7 @@
 std::optional<Fault> read_part(const json::Value& value, const QueryLimits& limits, QueryPart& part) {
   if (!value.is(json::Kind::object)) return Fault{400, "ranges: holds what is no object"};
   const json::Value* shard = value.find("range");
-  auto number = shard ? shard->whole() : std::nullopt;
+  auto number = shard ? shard->integer() : std::nullopt;
   if (!number) return Fault{400, "range: missing or not a whole number"};
   if (*number < 0 || *number >= limits.shards) return Fault{400, "range: no such shard"};
   part.shard = static_cast<int>(*number);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,40 +14,40 @@
 using settings::Form;
 
 constexpr int default_sockets = 1024;
-constexpr int least_sockets = 64;
+constexpr int min_sockets = 64;
 constexpr int default_memory_mb = 192;
-constexpr int least_memory_mb = 16;
-constexpr std::size_t largest_file = std::size_t{16} << 20;
-constexpr int most_open = 1 << 20;
+constexpr int min_memory_mb = 16;
+constexpr std::size_t max_file_size_bytes = std::size_t{16} << 20;
+constexpr int max_open_limit = 1 << 20;
 
 [[noreturn]] void fail(const std::string& key, const std::string& what) {
   throw ConfigError("configuration: " + key + " " + what);
 }
 
-const json::Value& need(const json::Value& object, const std::string& key) {
+const json::Value& require_member(const json::Value& object, const std::string& key) {
   const json::Value* value = object.find(key);
   if (!value) fail(key, "is missing");
   return *value;
 }
 
-std::string take_text(const json::Value& object, const std::string& key) {
-  auto text = need(object, key).text();
+std::string require_text(const json::Value& object, const std::string& key) {
+  auto text = require_member(object, key).text();
   if (!text) fail(key, "is not a text");
   if (text->empty()) fail(key, "is empty");
   return std::move(*text);
 }
 
-net::Address take_address(const json::Value& object, const std::string& key) {
-  auto address = net::Address::parse(take_text(object, key));
+net::Address require_address(const json::Value& object, const std::string& key) {
+  auto address = net::Address::parse(require_text(object, key));
   if (!address) fail(key, "is not an address with a port, like 127.0.0.1:3000");
   return *address;
 }
 
 Form form_of(Kind kind) {
-  return kind == Kind::text ? Form::text : kind == Kind::flag ? Form::flag : Form::number;
+  return kind == Kind::text ? Form::text : kind == Kind::boolean ? Form::flag : Form::number;
 }
 
-std::string plain_text(const json::Value& value) {
+std::string scalar_text(const json::Value& value) {
   return value.is(Kind::text) ? *value.text() : std::string(value.raw);
 }
 
@@ -60,7 +60,7 @@
   }
   if (value.is(Kind::null)) return;
   if (!value.is(Kind::array)) {
-    values.set(path, plain_text(value), form_of(value.kind));
+    values.set(path, scalar_text(value), form_of(value.kind));
     return;
   }
   bool of_objects = !value.items.empty() && value.items.front().is(Kind::object);
@@ -72,7 +72,7 @@
     if (of_objects)
       flatten(item, path + "." + std::to_string(i), values);
     else
-      joined.append(i == 0 ? "" : ",").append(plain_text(item));
+      joined.append(i == 0 ? "" : ",").append(scalar_text(item));
   }
   if (of_objects)
     values.set(path + ".count", std::to_string(value.items.size()), Form::number);
@@ -93,7 +93,7 @@
   const json::Value* limits = root.find("limits");
   const json::Value* limit = limits ? limits->find(key) : nullptr;
   if (!limit) return usual;
-  auto value = limit->whole();
+  auto value = limit->integer();
   if (!value) fail("limits." + key, "is not a whole number");
   if (*value < least) fail("limits." + key, "is below " + std::to_string(least));
   return static_cast<int>(std::min<std::int64_t>(*value, 1 << 20));
@@ -101,15 +101,15 @@
 
 // What this broker's wires cannot carry, or no broker could serve by.
 void check(const Config& config) {
-  if (config.module.classes.empty()) fail("settings.classes", "holds no class");
-  for (const ClassSettings& cls : config.module.classes)
+  if (config.policy.classes.empty()) fail("settings.classes", "holds no class");
+  for (const ClassSettings& cls : config.policy.classes)
     if (cls.fetch_parts > 0)
       fail("settings.specifics.fetch_parts", "asks for a second step, which clients cannot send");
-  if (config.module.shards < 1) fail("settings.specifics.slabs", "is below 1");
-  if (config.module.max_open < 1 || config.module.max_open > most_open)
-    fail("settings.limits.max_open", "is not from 1 to " + std::to_string(most_open));
-  if (config.module.max_attempts < 1) fail("settings.limits.try_limit", "is below 1");
-  if (config.module.connect_timeout <= Duration{})
+  if (config.policy.shards < 1) fail("settings.specifics.slabs", "is below 1");
+  if (config.policy.max_open < 1 || config.policy.max_open > max_open_limit)
+    fail("settings.limits.max_open", "is not from 1 to " + std::to_string(max_open_limit));
+  if (config.policy.max_attempts < 1) fail("settings.limits.try_limit", "is below 1");
+  if (config.policy.connect_timeout <= Duration{})
     fail("settings.limits.connect_timeout_s", "is not above 0");
 }
 
@@ -124,12 +124,12 @@
   }
   if (!root.is(Kind::object)) throw ConfigError("configuration: not an object");
   Config config;
-  config.name = take_text(root, "name");
-  config.listen = take_address(root, "listen");
-  config.discovery = take_address(root, "discovery");
-  config.seed = read_seed(take_text(root, "seed"));
-  config.max_sockets = read_limit(root, "sockets", default_sockets, least_sockets);
-  config.memory_mb = read_limit(root, "memory_mb", default_memory_mb, least_memory_mb);
+  config.name = require_text(root, "name");
+  config.listen = require_address(root, "listen");
+  config.discovery = require_address(root, "discovery");
+  config.seed = read_seed(require_text(root, "seed"));
+  config.max_sockets = read_limit(root, "sockets", default_sockets, min_sockets);
+  config.memory_mb = read_limit(root, "memory_mb", default_memory_mb, min_memory_mb);
   if (const json::Value* known = root.find("known"); known && !known->is(Kind::null)) {
     try {
       config.known = discovery::read_members(*known);
@@ -137,12 +137,12 @@
       fail(std::string("known:"), error.what());
     }
   }
-  const json::Value& all = need(root, "settings");
+  const json::Value& all = require_member(root, "settings");
   if (!all.is(Kind::object)) fail("settings", "is no object");
   settings::Values values;
   flatten(all, "", values);
   try {
-    config.module = settings::read_settings(values);
+    config.policy = settings::read_settings(values);
     config.broker = settings::read_broker_settings(values);
   } catch (const settings::SettingsError& error) {
     throw ConfigError(std::string("configuration: ") + error.what());
@@ -152,7 +152,7 @@
   return config;
 }
 
-std::vector<std::string> fixed_differences(const Config& now, const Config& then) {
+std::vector<std::string> restart_required_changes(const Config& now, const Config& then) {
   std::vector<std::string> keys;
   if (now.name != then.name) keys.push_back("name");
   if (now.listen != then.listen) keys.push_back("listen");
@@ -169,7 +169,7 @@
   char part[16384];
   for (std::size_t got = 0; (got = std::fread(part, 1, sizeof part, file.get())) > 0;) {
     text.append(part, got);
-    if (text.size() > largest_file) throw ConfigError("configuration: " + path + " is too large");
+    if (text.size() > max_file_size_bytes) throw ConfigError("configuration: " + path + " is too large");
   }
   if (std::ferror(file.get())) throw ConfigError("configuration: cannot read " + path);
   return read_config(text);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -28,7 +28,7 @@
   int max_sockets = 0;
   int memory_mb = 0;            // that this process may use
   discovery::MemberList known;  // as this broker last had it; may be old, or empty
-  Settings module;
+  Settings policy;
   settings::BrokerSettings broker;
   settings::Values settings;  // all of them, as they were written
 };
@@ -38,6 +38,6 @@
 
 // The keys that differ between the two and take effect only at a start. The seed and the known list are for
 // the start alone and new each time, so they are not told.
-std::vector<std::string> fixed_differences(const Config& now, const Config& then);
+std::vector<std::string> restart_required_changes(const Config& now, const Config& then);
 
 }  // namespace pearspar::config
--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -9,13 +9,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t read_step = 16 * 1024;
-constexpr std::chrono::milliseconds watch_wait = 5s;
-constexpr net::Duration reply_grace = 2s;    // for the reply beyond that wait, and for the connection
-constexpr net::Duration first_pause = 50ms;  // before a try after a failure, doubled with each in a row
-constexpr net::Duration longest_pause = 1s;
+constexpr std::size_t read_chunk_bytes = 16 * 1024;
+constexpr std::chrono::milliseconds long_poll_wait = 5s;
+constexpr net::Duration reply_timeout = 2s;      // for the reply beyond that wait, and for the connection
+constexpr net::Duration initial_backoff = 50ms;  // before a try after a failure, doubled with each in a row
+constexpr net::Duration max_backoff = 1s;
 // A whole list older than ours is an echo; one that keeps coming is a registry that has begun anew.
-constexpr int older_believed = 5;
+constexpr int older_lists_before_accepting = 5;
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 }
 
 void Client::fetch() {
-  want_whole_ = true;
+  want_full_list_ = true;
   if (!started_) return start();
   disconnect();
   connect();
@@ -42,20 +42,20 @@
   int error = 0;
   fd_ = net::start_connect(address_, error);
   if (!fd_) return fail(std::strerror(error));
-  up_ = false;
+  connected_ = false;
   watch_ = loop_.watch(fd_.get(), POLLOUT, [this](short events) { on_ready(events); });
-  timer_ = loop_.at(loop_.now() + reply_grace, [this] { fail("no connection in time"); });
+  timer_ = loop_.at(loop_.now() + reply_timeout, [this] { fail("no connection in time"); });
 }
 
-void Client::ask() {
-  asked_ = true;
-  asked_at_ = loop_.now();
-  asked_whole_ = want_whole_ || revision_ < 0;
+void Client::send_request() {
+  request_pending_ = true;
+  requested_at_ = loop_.now();
+  requested_full_list_ = want_full_list_ || revision_ < 0;
   out_ = "GET /registry/instances";
-  net::Duration wait = reply_grace;
-  if (!asked_whole_) {
-    out_ += "?after=" + std::to_string(revision_) + "&wait_ms=" + std::to_string(watch_wait.count());
-    wait += watch_wait;
+  net::Duration wait = reply_timeout;
+  if (!requested_full_list_) {
+    out_ += "?after=" + std::to_string(revision_) + "&wait_ms=" + std::to_string(long_poll_wait.count());
+    wait += long_poll_wait;
   }
   out_ += " HTTP/1.1\r\nHost: " + address_.text() + "\r\n\r\n";
   timer_ = loop_.at(loop_.now() + wait, [this] { fail("no reply in time"); });
@@ -63,10 +63,10 @@
 }
 
 void Client::on_ready(short events) {
-  if (!up_) {
+  if (!connected_) {
     if (int error = net::connect_error(fd_)) return fail(std::strerror(error));
-    up_ = true;
-    return ask();
+    connected_ = true;
+    return send_request();
   }
   if ((events & (POLLIN | POLLHUP | POLLERR)) != 0) return read();
   if ((events & POLLOUT) != 0) write();
@@ -84,22 +84,22 @@
 }
 
 void Client::read() {
-  net::IoResult result = net::read_into(fd_, in_, read_step);
+  net::IoResult result = net::read_into(fd_, in_, read_chunk_bytes);
   if (result == net::IoResult::none) return;
   if (result == net::IoResult::ended) return fail("it ended the connection");
   if (result == net::IoResult::failed) return fail("the connection broke");
-  if (!asked_) return fail("it spoke unasked");
+  if (!request_pending_) return fail("it spoke unasked");
   switch (reader_.advance(in_)) {
     case http::Progress::more:
       return;
     case http::Progress::failed:
       return fail(reader_.failed_why());
     case http::Progress::done:
-      return take_reply();
+      return handle_reply();
   }
 }
 
-void Client::take_reply() {
+void Client::handle_reply() {
   const http::Message& reply = reader_.message();
   MemberList list;
   try {
@@ -110,41 +110,41 @@
   }
   bool keep_alive = reply.keep_alive;
   reader_.next(in_);
-  asked_ = false;
-  failures_in_a_row_ = 0;
+  request_pending_ = false;
+  consecutive_failures_ = 0;
   timer_.reset();
-  bool news = take_list(list);
+  bool news = apply_list(list);
   if (!started_) return;
   if (!keep_alive || in_.size() > 0) disconnect();
   // The next call goes out at once: a watch that is renewed in time misses nothing. Only an agent that
   // answers at once with nothing new, again and again, is not allowed to keep us busy.
-  if (news || loop_.now() >= asked_at_ + first_pause) return ask_again();
-  timer_ = loop_.at(asked_at_ + first_pause, [this] { ask_again(); });
+  if (news || loop_.now() >= requested_at_ + initial_backoff) return send_next_request();
+  timer_ = loop_.at(requested_at_ + initial_backoff, [this] { send_next_request(); });
 }
 
-void Client::ask_again() {
-  if (up_) return ask();
+void Client::send_next_request() {
+  if (connected_) return send_request();
   disconnect();
-  if (last_) return timer_.reset();
+  if (no_reconnect_) return timer_.reset();
   connect();
 }
 
-bool Client::take_list(const MemberList& list) {
+bool Client::apply_list(const MemberList& list) {
   if (list.complete) {
     bool older = list.revision < revision_;
-    older_in_a_row_ = older ? older_in_a_row_ + 1 : 0;
-    if (older && older_in_a_row_ < older_believed) {
+    consecutive_older_lists_ = older ? consecutive_older_lists_ + 1 : 0;
+    if (older && consecutive_older_lists_ < older_lists_before_accepting) {
       ++counters_.stale;
-      want_whole_ = true;
+      want_full_list_ = true;
       return false;
     }
-    older_in_a_row_ = 0;
-    want_whole_ = false;
+    consecutive_older_lists_ = 0;
+    want_full_list_ = false;
     ++counters_.lists;
   } else {
     // Changes that are not newer than what stands have been told already, or refer to another list.
-    if (asked_whole_ || list.revision <= revision_) {
-      if (!list.entries.empty() || asked_whole_) ++counters_.stale;
+    if (requested_full_list_ || list.revision <= revision_) {
+      if (!list.entries.empty() || requested_full_list_) ++counters_.stale;
       return false;
     }
     if (!list.entries.empty()) ++counters_.changes;
@@ -157,19 +157,19 @@
 void Client::fail(const std::string& why) {
   ++counters_.failures;
   disconnect();
-  if (last_) return timer_.reset();
+  if (no_reconnect_) return timer_.reset();
   // Said once for each run of failures.
-  if (failures_in_a_row_ == 0) log_.warning("discovery: {}; the list stands", why);
-  net::Duration pause = first_pause * static_cast<double>(1 << std::min(failures_in_a_row_, 5));
-  ++failures_in_a_row_;
-  timer_ = loop_.at(loop_.now() + std::min(pause, longest_pause), [this] { connect(); });
+  if (consecutive_failures_ == 0) log_.warning("discovery: {}; the list stands", why);
+  net::Duration pause = initial_backoff * static_cast<double>(1 << std::min(consecutive_failures_, 5));
+  ++consecutive_failures_;
+  timer_ = loop_.at(loop_.now() + std::min(pause, max_backoff), [this] { connect(); });
   user_.members_failed();
 }
 
 void Client::disconnect() {
   watch_.reset();
   fd_.reset();
-  up_ = asked_ = false;
+  connected_ = request_pending_ = false;
   in_.release();
   out_.clear();
   reader_ = http::MessageReader(http::MessageKind::reply);
--- a/src/discovery/client.h
+++ b/src/discovery/client.h
@@ -25,19 +25,19 @@
   void stop() override;
   void fetch() override;
   // The connection that stands is the last one: once it ends, no other is made.
-  void make_last() override { last_ = true; }
+  void make_last() override { no_reconnect_ = true; }
   std::int64_t revision() const override { return revision_; }
   membership::SourceCounters counters() const override { return counters_; }
 
  private:
   void connect();
-  void ask();
+  void send_request();
   void on_ready(short events);
   void read();
   void write();
-  void take_reply();
-  bool take_list(const MemberList& list);  // true where it told anything
-  void ask_again();
+  void handle_reply();
+  bool apply_list(const MemberList& list);  // true where it told anything
+  void send_next_request();
   void fail(const std::string& why);
   void disconnect();
 
@@ -47,15 +47,15 @@
   std::string where_;
   MembersUser& user_;
   bool started_ = false;
-  bool last_ = false;
-  bool want_whole_ = true;
-  bool up_ = false;
-  bool asked_ = false;
-  bool asked_whole_ = false;
-  net::Time asked_at_{};
+  bool no_reconnect_ = false;
+  bool want_full_list_ = true;
+  bool connected_ = false;
+  bool request_pending_ = false;
+  bool requested_full_list_ = false;
+  net::Time requested_at_{};
   std::int64_t revision_ = -1;
-  int failures_in_a_row_ = 0;
-  int older_in_a_row_ = 0;
+  int consecutive_failures_ = 0;
+  int consecutive_older_lists_ = 0;
   net::Fd fd_;
   net::Watch watch_;
   net::Timer timer_;
--- a/src/discovery/members.cpp
+++ b/src/discovery/members.cpp
@@ -7,14 +7,14 @@
   throw json::ParseError(std::string(name) + " " + what);
 }
 
-const json::Value& need(const json::Value& object, const char* name) {
+const json::Value& require_member(const json::Value& object, const char* name) {
   const json::Value* value = object.find(name);
   if (!value) fail(name, "is missing");
   return *value;
 }
 
-std::string take_text(const json::Value& object, const char* name) {
-  auto text = need(object, name).text();
+std::string require_text(const json::Value& object, const char* name) {
+  auto text = require_member(object, name).text();
   if (!text) fail(name, "is not a text");
   return std::move(*text);
 }
@@ -22,9 +22,9 @@
 Entry read_entry(const json::Value& value) {
   if (!value.is(json::Kind::object)) fail("members", "holds what is no object");
   Entry entry;
-  entry.id = take_text(value, "id");
+  entry.id = require_text(value, "id");
   if (entry.id.empty()) fail("id", "is empty");
-  std::string phase = take_text(value, "phase");
+  std::string phase = require_text(value, "phase");
   if (phase == "ready") {
     entry.phase = Phase::ready;
   } else if (phase == "draining") {
@@ -35,12 +35,12 @@
   } else {
     fail("phase", "has an unknown value");
   }
-  auto address = net::Address::parse(take_text(value, "host_port"));
+  auto address = net::Address::parse(require_text(value, "host_port"));
   if (!address || address->port == 0) fail("host_port", "is no address");
   entry.address = *address;
-  entry.zone = take_text(value, "locality");
-  entry.kind = take_text(value, "flavor");
-  auto cell = need(value, "cell").whole();
+  entry.zone = require_text(value, "locality");
+  entry.kind = require_text(value, "flavor");
+  auto cell = require_member(value, "cell").integer();
   if (!cell || *cell < 0 || *cell > 65535) fail("cell", "is no cell");
   entry.cell = static_cast<int>(*cell);
   if (const json::Value* size = value.find("size")) {
@@ -61,13 +61,13 @@
 MemberList read_members(const json::Value& value) {
   if (!value.is(json::Kind::object)) fail("the list", "is no object");
   MemberList list;
-  auto revision = need(value, "revision").whole();
+  auto revision = require_member(value, "revision").integer();
   if (!revision || *revision < 0) fail("revision", "is no version");
   list.revision = *revision;
-  auto complete = need(value, "complete").flag();
+  auto complete = require_member(value, "complete").boolean();
   if (!complete) fail("complete", "is neither true nor false");
   list.complete = *complete;
-  const json::Value& members = need(value, "members");
+  const json::Value& members = require_member(value, "members");
   if (!members.is(json::Kind::array)) fail("members", "is no list");
   for (const json::Value& member : members.items) list.entries.push_back(read_entry(member));
   return list;
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -12,7 +12,7 @@
  public:
   Parser(std::string_view text, int max_depth) : text_(text), depth_left_(max_depth) {}
 
-  Value whole_text() {
+  Value parse_document() {
     Value value = parse_value();
     skip_space();
     if (at_ != text_.size()) fail("something follows the value");
@@ -24,7 +24,7 @@
     throw ParseError(std::string("JSON: ") + what + " at byte " + std::to_string(at_));
   }
   char peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
-  bool take(char c) {
+  bool consume(char c) {
     if (at_ >= text_.size() || text_[at_] != c) return false;
     ++at_;
     return true;
@@ -45,21 +45,21 @@
       case '"': {
         Value value;
         value.kind = Kind::text;
-        value.raw = take_text(&value.escaped);
+        value.raw = parse_string(&value.escaped);
         return value;
       }
       case 't':
-        return take_word("true", Kind::flag);
+        return parse_literal("true", Kind::boolean);
       case 'f':
-        return take_word("false", Kind::flag);
+        return parse_literal("false", Kind::boolean);
       case 'n':
-        return take_word("null", Kind::null);
+        return parse_literal("null", Kind::null);
       default:
-        return take_number();
+        return parse_number();
     }
   }
 
-  Value take_word(std::string_view word, Kind kind) {
+  Value parse_literal(std::string_view word, Kind kind) {
     if (text_.substr(at_, word.size()) != word) fail("an unknown word");
     Value value;
     value.kind = kind;
@@ -68,19 +68,19 @@
     return value;
   }
 
-  void take_digits() {
+  void skip_digits() {
     if (!is_digit(peek())) fail("a digit is missing");
     while (is_digit(peek())) ++at_;
   }
 
-  Value take_number() {
+  Value parse_number() {
     std::size_t start = at_;
-    take('-');
-    if (!take('0')) take_digits();
-    if (take('.')) take_digits();
-    if (take('e') || take('E')) {
-      if (!take('+')) take('-');
-      take_digits();
+    consume('-');
+    if (!consume('0')) skip_digits();
+    if (consume('.')) skip_digits();
+    if (consume('e') || consume('E')) {
+      if (!consume('+')) consume('-');
+      skip_digits();
     }
     Value value;
     value.kind = Kind::number;
@@ -88,8 +88,8 @@
     return value;
   }
 
-  std::string_view take_text(bool* escaped) {
-    if (!take('"')) fail("a text is missing");
+  std::string_view parse_string(bool* escaped) {
+    if (!consume('"')) fail("a text is missing");
     std::size_t start = at_;
     while (at_ < text_.size() && text_[at_] != '"') {
       if (static_cast<unsigned char>(text_[at_]) < 0x20) fail("a control character in a text");
@@ -111,24 +111,24 @@
       }
     }
     std::string_view inside = text_.substr(start, at_ - start);
-    if (!take('"')) fail("a text without its end");
+    if (!consume('"')) fail("a text without its end");
     return inside;
   }
 
-  void go_deeper() {
+  void enter_nested() {
     if (depth_left_-- <= 0) fail("nested too deep");
   }
 
   Value parse_array() {
     Value value;
     value.kind = Kind::array;
-    go_deeper();
-    take('[');
+    enter_nested();
+    consume('[');
     skip_space();
-    if (!take(']')) {
+    if (!consume(']')) {
       do value.items.push_back(parse_value());
-      while (skip_space(), take(','));
-      if (!take(']')) fail("an array without its end");
+      while (skip_space(), consume(','));
+      if (!consume(']')) fail("an array without its end");
     }
     ++depth_left_;
     return value;
@@ -137,20 +137,20 @@
   Value parse_object() {
     Value value;
     value.kind = Kind::object;
-    go_deeper();
-    take('{');
+    enter_nested();
+    consume('{');
     skip_space();
-    if (!take('}')) {
+    if (!consume('}')) {
       do {
         skip_space();
         bool escaped = false;
-        std::string_view name = take_text(&escaped);
+        std::string_view name = parse_string(&escaped);
         skip_space();
-        if (!take(':')) fail("a colon is missing");
+        if (!consume(':')) fail("a colon is missing");
         value.members.emplace_back(name, parse_value());
         skip_space();
-      } while (take(','));
-      if (!take('}')) fail("an object without its end");
+      } while (consume(','));
+      if (!consume('}')) fail("an object without its end");
     }
     ++depth_left_;
     return value;
@@ -236,7 +236,7 @@
   return value;
 }
 
-std::optional<std::int64_t> Value::whole() const {
+std::optional<std::int64_t> Value::integer() const {
   std::int64_t value = 0;
   if (kind != Kind::number) return std::nullopt;
   auto [stop, error] = std::from_chars(raw.data(), raw.data() + raw.size(), value);
@@ -247,8 +247,8 @@
   return static_cast<std::int64_t>(*wide);
 }
 
-std::optional<bool> Value::flag() const {
-  if (kind != Kind::flag) return std::nullopt;
+std::optional<bool> Value::boolean() const {
+  if (kind != Kind::boolean) return std::nullopt;
   return raw == "true";
 }
 
@@ -257,7 +257,7 @@
   return escaped ? unescape(raw) : std::string(raw);
 }
 
-Value parse(std::string_view text, int max_depth) { return Parser(text, max_depth).whole_text(); }
+Value parse(std::string_view text, int max_depth) { return Parser(text, max_depth).parse_document(); }
 
 void append_quoted(std::string& out, std::string_view text) {
   constexpr std::string_view hex = "0123456789abcdef";
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -17,7 +17,7 @@
   using std::runtime_error::runtime_error;
 };
 
-enum class Kind { null, flag, number, text, array, object };
+enum class Kind { null, boolean, number, text, array, object };
 
 class Value {
  public:
@@ -41,8 +41,8 @@
 
   // Nothing where the value is of another kind or does not fit.
   std::optional<double> number() const;
-  std::optional<std::int64_t> whole() const;
-  std::optional<bool> flag() const;
+  std::optional<std::int64_t> integer() const;
+  std::optional<bool> boolean() const;
   std::optional<std::string> text() const;  // escapes resolved
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,8 +24,8 @@
 
 namespace {
 
-constexpr int status_fault = 1;   // it could not start or go on
-constexpr int status_config = 2;  // its configuration is no good
+constexpr int exit_failure = 1;                // it could not start or go on
+constexpr int exit_invalid_configuration = 2;  // its configuration is no good
 
 pearspar::config::Config read_config(const std::string& path) {
   pearspar::config::Config config = pearspar::config::read_config_file(path);
@@ -48,7 +48,7 @@
     const pearspar::options::Options options = read_options(options_path);
     broker.reload(read_config(path), options);
   } catch (const pearspar::options::OptionsError& error) {
-    for (const std::string& fault : error.faults()) log.error("reload: {}", fault);
+    for (const std::string& fault : error.errors()) log.error("reload: {}", fault);
     log.error("reload: the options in force stay");
   } catch (const std::exception& error) {
     log.error("reload: {}; the configuration in force stays", error.what());
@@ -56,7 +56,7 @@
 }
 
 // The system has refused memory: what clients hold makes way until the reserve is whole again.
-void restore_reserve(pearspar::broker::Broker& broker, pearspar::log::Logger& log) {
+void refill_memory_reserve(pearspar::broker::Broker& broker, pearspar::log::Logger& log) {
   int given_up = 0;
   while (!pearspar::allocation::fill_reserve() && broker.shed()) ++given_up;
   log.warning("short of memory: {} allocations refused so far, {} clients given up",
@@ -69,7 +69,7 @@
   const pearspar::options::Options options = read_options(options_path);
   pearspar::log::Logger log(STDERR_FILENO, level, config.name, options.log);
   pearspar::net::Loop loop;
-  pearspar::broker::Broker broker(loop, log, config, pearspar::make_policy(config.module, config.seed),
+  pearspar::broker::Broker broker(loop, log, config, pearspar::make_policy(config.policy, config.seed),
                                   options);
   pearspar::net::Watch watch = signals.watch(loop, [&](int signal) {
     if (signal == SIGUSR1)
@@ -85,7 +85,7 @@
   while (!broker.done()) {
     loop.turn();
     broker.end_turn();
-    if (!pearspar::allocation::reserve_is_whole()) restore_reserve(broker, log);
+    if (!pearspar::allocation::reserve_is_whole()) refill_memory_reserve(broker, log);
   }
   log.info("ended, counters {}", broker.counters_json());
   return 0;
@@ -117,17 +117,17 @@
   add_config(check_command);
   CLI::App* version_command = app.add_subcommand("version", "print the version");
   pearspar::cli::RegistryArguments registry_arguments;
-  CLI::App* registry_command = pearspar::cli::add_registry(app, registry_arguments);
+  CLI::App* registry_command = pearspar::cli::add_registry_commands(app, registry_arguments);
   pearspar::cli::FleetArguments fleet_arguments;
-  CLI::App* fleet_command = pearspar::cli::add_fleet(app, fleet_arguments);
+  CLI::App* fleet_command = pearspar::cli::add_fleet_commands(app, fleet_arguments);
   CLI11_PARSE(app, argc, argv);
   try {
     if (*version_command) {
       std::printf("pearspar %s\n", pearspar::version);
       return 0;
     }
-    if (*fleet_command) return pearspar::cli::run_fleet(fleet_arguments);
-    if (*registry_command) return pearspar::cli::run_registry(registry_arguments);
+    if (*fleet_command) return pearspar::cli::run_fleet_command(fleet_arguments);
+    if (*registry_command) return pearspar::cli::run_registry_command(registry_arguments);
     // An operator's file can be checked without the platform's.
     if (*check_command && !options_path.empty()) {
       read_options(options_path);
@@ -144,13 +144,13 @@
     }
     return serve(config_path, options_path, level);
   } catch (const pearspar::options::OptionsError& error) {
-    for (const std::string& fault : error.faults()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
-    return status_config;
+    for (const std::string& fault : error.errors()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
+    return exit_invalid_configuration;
   } catch (const pearspar::config::ConfigError& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_config;
+    return exit_invalid_configuration;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_fault;
+    return exit_failure;
   }
 }
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -20,21 +20,21 @@
 namespace pb = google::protobuf;
 using std::chrono::milliseconds;
 
-constexpr std::size_t largest_file = std::size_t{4} << 20;
-constexpr std::size_t most_faults = 20;
-constexpr int most_endpoints = 16;
+constexpr std::size_t max_file_size_bytes = std::size_t{4} << 20;
+constexpr std::size_t max_reported_errors = 20;
+constexpr int max_endpoints = 16;
 
-// Gathers faults with the place they stand at.
-class Faults : public pb::io::ErrorCollector {
+// Gathers errors with the place they stand at.
+class ErrorList : public pb::io::ErrorCollector {
  public:
-  Faults(std::string name, std::string_view text) : name_(std::move(name)), text_(text) {}
+  ErrorList(std::string name, std::string_view text) : name_(std::move(name)), text_(text) {}
 
   // The parser counts lines and columns from 0.
   void AddError(int line, pb::io::ColumnNumber column, const std::string& what) override {
     add(line, column, {}, what);
   }
   void add(int line, int column, const std::string& field, const std::string& what) {
-    if (all_.size() >= most_faults) return;
+    if (all_.size() >= max_reported_errors) return;
     std::string place = line < 0 ? name_ : fmt::format("{}:{}:{}", name_, line + 1, column + 1);
     all_.push_back(place + ": " + (field.empty() ? "" : field + ": ") + what);
   }
@@ -46,41 +46,42 @@
   std::vector<std::string> all_;
 };
 
-// One message of the file with the places of its fields.
-class Reader {
+// One message of the file with the locations of its fields.
+class MessageReader {
  public:
-  Reader(Faults& faults, const pb::Message& message, const pb::TextFormat::ParseInfoTree* places,
-         std::string path)
-      : faults_(faults), message_(message), places_(places), path_(std::move(path)) {}
+  MessageReader(ErrorList& errors, const pb::Message& message, const pb::TextFormat::ParseInfoTree* locations,
+                std::string path)
+      : errors_(errors), message_(message), locations_(locations), path_(std::move(path)) {}
 
-  void fault(const char* field, const std::string& what, int index = -1) const {
+  void report(const char* field, const std::string& what, int index = -1) const {
     const pb::FieldDescriptor* found = message_.GetDescriptor()->FindFieldByName(field);
     pb::TextFormat::ParseLocation at;
-    if (places_ && found) at = places_->GetLocation(found, found->is_repeated() ? std::max(index, 0) : -1);
+    if (locations_ && found)
+      at = locations_->GetLocation(found, found->is_repeated() ? std::max(index, 0) : -1);
     std::string name = path_ + field;
     if (index >= 0) name += fmt::format("[{}]", index);
     // A field that is missing has no place of its own.
-    faults_.add(at.line, at.column, name, what);
+    errors_.add(at.line, at.column, name, what);
   }
-  Reader inner(const char* field, const pb::Message& message, int index = -1) const {
+  MessageReader nested(const char* field, const pb::Message& message, int index = -1) const {
     const pb::FieldDescriptor* found = message_.GetDescriptor()->FindFieldByName(field);
     std::string name = path_ + field + (index >= 0 ? fmt::format("[{}].", index) : ".");
-    return {faults_, message, places_ ? places_->GetTreeForNested(found, index) : nullptr, name};
+    return {errors_, message, locations_ ? locations_->GetTreeForNested(found, index) : nullptr, name};
   }
   template <typename T>
-  void range(const char* field, T value, T least, T most) const {
-    if (value < least || value > most)
-      fault(field, fmt::format("{} is not from {} to {}", value, least, most));
+  void check_range(const char* field, T value, T min_value, T max_value) const {
+    if (value < min_value || value > max_value)
+      report(field, fmt::format("{} is not from {} to {}", value, min_value, max_value));
   }
 
  private:
-  Faults& faults_;
+  ErrorList& errors_;
   const pb::Message& message_;
-  const pb::TextFormat::ParseInfoTree* places_;
+  const pb::TextFormat::ParseInfoTree* locations_;
   std::string path_;
 };
 
-std::string read_token(const std::string& path, const Reader& at) {
+std::string read_token(const std::string& path, const MessageReader& at) {
   std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(path.c_str(), "rb"), &std::fclose);
   char text[4096];
   std::size_t got = file ? std::fread(text, 1, sizeof text, file.get()) : 0;
@@ -88,45 +89,45 @@
   while (!token.empty() && std::isspace(static_cast<unsigned char>(token.back()))) token.pop_back();
   bool clean = std::all_of(token.begin(), token.end(), [](char c) { return c > 0x20 && c < 0x7f; });
   if (!file)
-    at.fault("token_file", "cannot open " + path);
+    at.report("token_file", "cannot open " + path);
   else if (token.empty() || got == sizeof text || !clean)
-    at.fault("token_file", path + " holds no token");
+    at.report("token_file", path + " holds no token");
   return token;
 }
 
-std::string read_prefix(const std::string& prefix, const char* field, const Reader& at) {
-  if (prefix.empty()) at.fault(field, "is empty: it would take in the whole registry");
-  if (prefix.size() > 1024) at.fault(field, "is longer than 1024 bytes");
+std::string read_prefix(const std::string& prefix, const char* field, const MessageReader& at) {
+  if (prefix.empty()) at.report(field, "is empty: it would take in the whole registry");
+  if (prefix.size() > 1024) at.report(field, "is longer than 1024 bytes");
   return prefix;
 }
 
-#define PEARSPAR_TAKE(message, at, field, target, least, most)         \
-  if ((message).has_##field()) {                                       \
-    (at).range<std::uint64_t>(#field, (message).field(), least, most); \
-    (target) = std::decay_t<decltype(target)>((message).field());      \
+#define PEARSPAR_READ_FIELD(message, at, field, target, min_value, max_value)         \
+  if ((message).has_##field()) {                                                      \
+    (at).check_range<std::uint64_t>(#field, (message).field(), min_value, max_value); \
+    (target) = std::decay_t<decltype(target)>((message).field());                     \
   }
-#define PEARSPAR_TAKE_MS(message, at, field, target, least, most)      \
-  if ((message).has_##field()) {                                       \
-    (at).range<std::uint64_t>(#field, (message).field(), least, most); \
-    (target) = milliseconds((message).field());                        \
+#define PEARSPAR_READ_FIELD_MS(message, at, field, target, min_value, max_value)      \
+  if ((message).has_##field()) {                                                      \
+    (at).check_range<std::uint64_t>(#field, (message).field(), min_value, max_value); \
+    (target) = milliseconds((message).field());                                       \
   }
 
-registry::RegistryOptions read_registry(const Registry& file, const Reader& at) {
+registry::RegistryOptions read_registry(const Registry& file, const MessageReader& at) {
   registry::RegistryOptions read;
   const bool etcd = file.dialect() == Registry::ETCD;
-  if (file.dialect() == Registry::DIALECT_UNSET) at.fault("dialect", "is missing: ETCD or CONSUL");
+  if (file.dialect() == Registry::DIALECT_UNSET) at.report("dialect", "is missing: ETCD or CONSUL");
   read.dialect = etcd ? registry::DialectKind::etcd : registry::DialectKind::consul;
 
-  if (file.endpoints_size() == 0) at.fault("endpoints", "is missing: at least one address");
-  if (file.endpoints_size() > most_endpoints)
-    at.fault("endpoints", fmt::format("are {}, {} at most", file.endpoints_size(), most_endpoints));
+  if (file.endpoints_size() == 0) at.report("endpoints", "is missing: at least one address");
+  if (file.endpoints_size() > max_endpoints)
+    at.report("endpoints", fmt::format("are {}, {} at most", file.endpoints_size(), max_endpoints));
   for (int i = 0; i < file.endpoints_size(); ++i) {
     auto address = net::Address::parse(file.endpoints(i));
     if (!address || address->port == 0) {
-      at.fault("endpoints",
-               fmt::format("'{}' is no address with a port, like 10.0.0.5:2379", file.endpoints(i)), i);
+      at.report("endpoints",
+                fmt::format("'{}' is no address with a port, like 10.0.0.5:2379", file.endpoints(i)), i);
     } else if (std::find(read.endpoints.begin(), read.endpoints.end(), *address) != read.endpoints.end()) {
-      at.fault("endpoints", fmt::format("{} stands twice", file.endpoints(i)), i);
+      at.report("endpoints", fmt::format("{} stands twice", file.endpoints(i)), i);
     } else {
       read.endpoints.push_back(*address);
     }
@@ -136,92 +137,93 @@
                 : etcd            ? "/pearspar/nodes/"
                                   : "pearspar/nodes/";
   if (!etcd && file.has_prefix() && !read.prefix.empty() && read.prefix.front() == '/')
-    at.fault("prefix", "begins with a slash, which no key of CONSUL does");
+    at.report("prefix", "begins with a slash, which no key of CONSUL does");
   if (file.has_token_file()) read.token = read_token(file.token_file(), at);
 
   registry::FollowerOptions& follower = read.follower;
-  PEARSPAR_TAKE_MS(file, at, reply_timeout_ms, follower.reply_timeout, 50, 60'000)
-  PEARSPAR_TAKE_MS(file, at, look_every_ms, follower.look_every, 50, 600'000)
-  PEARSPAR_TAKE_MS(file, at, watch_patience_ms, follower.watch_patience, 10, 60'000)
-  PEARSPAR_TAKE_MS(file, at, first_pause_ms, follower.pacing.first, 1, 10'000)
-  PEARSPAR_TAKE_MS(file, at, longest_pause_ms, follower.pacing.longest, 10, 600'000)
-  PEARSPAR_TAKE_MS(file, at, poll_wait_ms, follower.poll_wait, 100, 600'000)
-  PEARSPAR_TAKE(file, at, page_keys, follower.page, 1, 100'000)
-  PEARSPAR_TAKE(file, at, max_keys, follower.view.keys, 1, 1'000'000)
-  PEARSPAR_TAKE(file, at, max_bytes, follower.view.bytes, 1024, std::uint64_t{1} << 30)
-  PEARSPAR_TAKE(file, at, max_value_bytes, read.wire.value, 64, 1 << 20)
-  PEARSPAR_TAKE(file, at, max_message_bytes, read.wire.message, 4096, 256u << 20)
+  PEARSPAR_READ_FIELD_MS(file, at, reply_timeout_ms, follower.reply_timeout, 50, 60'000)
+  PEARSPAR_READ_FIELD_MS(file, at, look_every_ms, follower.look_every, 50, 600'000)
+  PEARSPAR_READ_FIELD_MS(file, at, watch_patience_ms, follower.watch_patience, 10, 60'000)
+  PEARSPAR_READ_FIELD_MS(file, at, first_pause_ms, follower.pacing.first, 1, 10'000)
+  PEARSPAR_READ_FIELD_MS(file, at, longest_pause_ms, follower.pacing.longest, 10, 600'000)
+  PEARSPAR_READ_FIELD_MS(file, at, poll_wait_ms, follower.poll_wait, 100, 600'000)
+  PEARSPAR_READ_FIELD(file, at, page_keys, follower.page, 1, 100'000)
+  PEARSPAR_READ_FIELD(file, at, max_keys, follower.view.keys, 1, 1'000'000)
+  PEARSPAR_READ_FIELD(file, at, max_bytes, follower.view.bytes, 1024, std::uint64_t{1} << 30)
+  PEARSPAR_READ_FIELD(file, at, max_value_bytes, read.wire.value, 64, 1 << 20)
+  PEARSPAR_READ_FIELD(file, at, max_message_bytes, read.wire.message, 4096, 256u << 20)
   if (follower.pacing.longest < follower.pacing.first)
-    at.fault("longest_pause_ms", "is below first_pause_ms");
+    at.report("longest_pause_ms", "is below first_pause_ms");
   if (read.wire.message < read.wire.value * 2)
-    at.fault("max_message_bytes", "is below twice max_value_bytes");
+    at.report("max_message_bytes", "is below twice max_value_bytes");
 
   for (const char* field : {"look_every_ms", "watch_patience_ms", "page_keys"}) {
     const pb::FieldDescriptor* found = file.GetDescriptor()->FindFieldByName(field);
-    if (!etcd && file.GetReflection()->HasField(file, found)) at.fault(field, "is for ETCD only");
+    if (!etcd && file.GetReflection()->HasField(file, found)) at.report(field, "is for ETCD only");
   }
   for (const char* field : {"poll_wait_ms", "consistency", "most_behind_ms"}) {
     const pb::FieldDescriptor* found = file.GetDescriptor()->FindFieldByName(field);
-    if (etcd && file.GetReflection()->HasField(file, found)) at.fault(field, "is for CONSUL only");
+    if (etcd && file.GetReflection()->HasField(file, found)) at.report(field, "is for CONSUL only");
   }
   read.consul.consistency = file.consistency() == Registry::CONSISTENT
                                 ? registry::consul::Consistency::consistent
                             : file.consistency() == Registry::STALE ? registry::consul::Consistency::stale
                                                                     : registry::consul::Consistency::plain;
-  PEARSPAR_TAKE_MS(file, at, most_behind_ms, read.consul.most_behind, 1, 600'000)
+  PEARSPAR_READ_FIELD_MS(file, at, most_behind_ms, read.consul.most_behind, 1, 600'000)
   if (file.has_most_behind_ms() && file.consistency() != Registry::STALE)
-    at.fault("most_behind_ms", "says something with consistency: STALE only");
+    at.report("most_behind_ms", "says something with consistency: STALE only");
 
   if (file.has_hold_removals()) {
     const HoldRemovals& hold = file.hold_removals();
-    Reader inner = at.inner("hold_removals", hold);
+    MessageReader nested = at.nested("hold_removals", hold);
     if (!(hold.above_share() > 0 && hold.above_share() < 1))
-      inner.fault("above_share", fmt::format("{} is not between 0 and 1", hold.above_share()));
-    inner.range<std::uint64_t>("for_ms", hold.for_ms(), 100, 3'600'000);
+      nested.report("above_share", fmt::format("{} is not between 0 and 1", hold.above_share()));
+    nested.check_range<std::uint64_t>("for_ms", hold.for_ms(), 100, 3'600'000);
     read.hold = {hold.above_share(), milliseconds(hold.for_ms())};
   }
   return read;
 }
 
-membership::MemberList read_fixed(const Fixed& file, const Reader& at) {
+membership::MemberList read_fixed(const Fixed& file, const MessageReader& at) {
   membership::MemberList list;
   list.complete = true;
   list.revision = 1;
-  if (file.nodes_size() == 0) at.fault("nodes", "is missing: at least one node");
+  if (file.nodes_size() == 0) at.report("nodes", "is missing: at least one node");
   std::set<std::string> ids;
   for (int i = 0; i < file.nodes_size(); ++i) {
     const Node& node = file.nodes(i);
-    Reader inner = at.inner("nodes", node, i);
+    MessageReader nested = at.nested("nodes", node, i);
     membership::Entry entry;
     entry.id = node.id();
-    if (entry.id.empty()) inner.fault("id", "is missing");
-    if (!ids.insert(entry.id).second) inner.fault("id", "'" + entry.id + "' stands twice");
+    if (entry.id.empty()) nested.report("id", "is missing");
+    if (!ids.insert(entry.id).second) nested.report("id", "'" + entry.id + "' stands twice");
     auto address = net::Address::parse(node.address());
     if (!address || address->port == 0)
-      inner.fault("address", "'" + node.address() + "' is no address with a port, like 10.0.0.1:3000");
+      nested.report("address", "'" + node.address() + "' is no address with a port, like 10.0.0.1:3000");
     else
       entry.address = *address;
-    inner.range<std::uint64_t>("cell", node.cell(), 0, 65535);
+    nested.check_range<std::uint64_t>("cell", node.cell(), 0, 65535);
     entry.zone = node.zone();
     entry.kind = node.kind();
     entry.cell = static_cast<int>(node.cell());
     entry.phase = node.draining() ? membership::Phase::draining : membership::Phase::ready;
     entry.size = node.has_size() ? node.size() : 1;
-    if (!(entry.size >= 0) || !std::isfinite(entry.size)) inner.fault("size", "is not a number from 0 on");
+    if (!(entry.size >= 0) || !std::isfinite(entry.size)) nested.report("size", "is not a number from 0 on");
     entry.up_since_ms = static_cast<double>(node.start_ms());
     list.entries.push_back(std::move(entry));
   }
   return list;
 }
 
-RegistrationOptions read_registration(const Registration& file, const Reader& at, const Options& options) {
+RegistrationOptions read_registration(const Registration& file, const MessageReader& at,
+                                      const Options& options) {
   RegistrationOptions read;
   if (file.has_registry()) {
-    read.registry = read_registry(file.registry(), at.inner("registry", file.registry()));
+    read.registry = read_registry(file.registry(), at.nested("registry", file.registry()));
   } else if (options.registry) {
     read.registry = *options.registry;
   } else {
-    at.fault("registry", "is missing, and the list of nodes comes from no registry");
+    at.report("registry", "is missing, and the list of nodes comes from no registry");
   }
   if (read.registry.dialect == registry::DialectKind::consul) read.prefix = "pearspar/brokers/";
   if (file.has_prefix()) read.prefix = read_prefix(file.prefix(), "prefix", at);
@@ -229,11 +231,11 @@
   if (!file.has_registry() && !read.prefix.empty() &&
       (nodes.compare(0, read.prefix.size(), read.prefix) == 0 ||
        read.prefix.compare(0, nodes.size(), nodes) == 0))
-    at.fault("prefix", "'" + read.prefix + "' and that of the nodes, '" + nodes + "', hold one another");
+    at.report("prefix", "'" + read.prefix + "' and that of the nodes, '" + nodes + "', hold one another");
   if (file.has_lease_s()) {
     // Consul takes no session below 10 s.
-    std::uint64_t least = read.registry.dialect == registry::DialectKind::consul ? 10 : 1;
-    at.range<std::uint64_t>("lease_s", file.lease_s(), least, 3600);
+    std::uint64_t min_value = read.registry.dialect == registry::DialectKind::consul ? 10 : 1;
+    at.check_range<std::uint64_t>("lease_s", file.lease_s(), min_value, 3600);
     read.lease = std::chrono::seconds(file.lease_s());
   } else if (read.registry.dialect == registry::DialectKind::consul) {
     read.lease = std::chrono::seconds(10);
@@ -242,76 +244,78 @@
   return read;
 }
 
-net::Address read_address(const std::string& text, const char* field, const Reader& at, int index = -1) {
+net::Address read_address(const std::string& text, const char* field, const MessageReader& at,
+                          int index = -1) {
   auto address = net::Address::parse(text);
   if (address && address->port != 0) return *address;
-  at.fault(field, fmt::format("'{}' is no address with a port, like 10.0.0.5:7400", text), index);
+  at.report(field, fmt::format("'{}' is no address with a port, like 10.0.0.5:7400", text), index);
   return {};
 }
 
-std::string read_word(const std::string& word, const char* field, std::size_t most, const Reader& at) {
+std::string read_label(const std::string& word, const char* field, std::size_t max_value,
+                       const MessageReader& at) {
   const bool clean = std::all_of(word.begin(), word.end(), [](char c) { return c > 0x20 && c < 0x7f; });
-  if (word.size() > most) at.fault(field, fmt::format("is longer than {} bytes", most));
-  if (!clean) at.fault(field, "holds what is no letter, digit or plain sign");
+  if (word.size() > max_value) at.report(field, fmt::format("is longer than {} bytes", max_value));
+  if (!clean) at.report(field, "holds what is no letter, digit or plain sign");
   return word;
 }
 
-FleetOptions read_fleet(const Fleet& file, const Reader& at, const Options& options) {
+FleetOptions read_fleet(const Fleet& file, const MessageReader& at, const Options& options) {
   FleetOptions read;
-  read.core.fleet = read_word(file.name(), "name", peers::longest_fleet, at);
-  if (file.name().empty()) at.fault("name", "is missing");
+  read.core.fleet = read_label(file.name(), "name", peers::longest_fleet, at);
+  if (file.name().empty()) at.report("name", "is missing");
   if (file.listen().empty()) {
-    at.fault("listen", "is missing: an address for datagrams, like 10.0.0.5:7400");
+    at.report("listen", "is missing: an address for datagrams, like 10.0.0.5:7400");
   } else if (auto address = net::Address::parse(file.listen())) {
     read.listen = *address;
     // Another broker must be able to come back to the address that it is told.
     if (address->host == 0 && !file.has_advertise())
-      at.fault("listen", "names no host, and advertise is missing: others could not find this broker");
+      at.report("listen", "names no host, and advertise is missing: others could not find this broker");
   } else {
-    at.fault("listen", fmt::format("'{}' is no address with a port, like 10.0.0.5:7400", file.listen()));
+    at.report("listen", fmt::format("'{}' is no address with a port, like 10.0.0.5:7400", file.listen()));
   }
   if (file.has_advertise()) read.advertise = read_address(file.advertise(), "advertise", at);
-  if (file.seeds_size() > 64) at.fault("seeds", fmt::format("are {}, 64 at most", file.seeds_size()));
+  if (file.seeds_size() > 64) at.report("seeds", fmt::format("are {}, 64 at most", file.seeds_size()));
   for (int i = 0; i < file.seeds_size(); ++i) {
     net::Address seed = read_address(file.seeds(i), "seeds", at, i);
     auto& seeds = read.core.seeds;
     if (seed.port == 0) continue;
     if (std::find(seeds.begin(), seeds.end(), seed) != seeds.end())
-      at.fault("seeds", fmt::format("{} stands twice", file.seeds(i)), i);
+      at.report("seeds", fmt::format("{} stands twice", file.seeds(i)), i);
     seeds.push_back(seed);
   }
   if (file.has_registry_prefix()) {
     read.registry_prefix = read_prefix(file.registry_prefix(), "registry_prefix", at);
     if (!options.registration)
-      at.fault("registry_prefix", "needs a registration, whose registry it stands in");
+      at.report("registry_prefix", "needs a registration, whose registry it stands in");
     for (const std::string& other : {options.registry ? options.registry->prefix : std::string(),
                                      options.registration ? options.registration->prefix : std::string()})
       if (!other.empty() &&
           (other.starts_with(*read.registry_prefix) || read.registry_prefix->starts_with(other)))
-        at.fault("registry_prefix", "and the prefix '" + other + "' hold one another");
+        at.report("registry_prefix", "and the prefix '" + other + "' hold one another");
   }
-  read.zone = read_word(file.zone(), "zone", 32, at);
-  read.region = read_word(file.region(), "region", 32, at);
-  PEARSPAR_TAKE_MS(file, at, period_ms, read.core.period, 20, 60'000)
-  PEARSPAR_TAKE(file, at, suspicion_periods, read.core.suspicion_periods, 1, 100)
-  PEARSPAR_TAKE(file, at, bytes_per_s, read.core.bytes_per_s, 4096, 1u << 30)
-  PEARSPAR_TAKE(file, at, max_members, read.core.max_members, 2, 65'536)
+  read.zone = read_label(file.zone(), "zone", 32, at);
+  read.region = read_label(file.region(), "region", 32, at);
+  PEARSPAR_READ_FIELD_MS(file, at, period_ms, read.core.period, 20, 60'000)
+  PEARSPAR_READ_FIELD(file, at, suspicion_periods, read.core.suspicion_periods, 1, 100)
+  PEARSPAR_READ_FIELD(file, at, bytes_per_s, read.core.bytes_per_s, 4096, 1u << 30)
+  PEARSPAR_READ_FIELD(file, at, max_members, read.core.max_members, 2, 65'536)
   if (file.has_remember_gone_s()) {
-    at.range<std::uint64_t>("remember_gone_s", file.remember_gone_s(), 60, 7 * 24 * 3600);
+    at.check_range<std::uint64_t>("remember_gone_s", file.remember_gone_s(), 60, 7 * 24 * 3600);
     read.core.remember_gone = std::chrono::seconds(file.remember_gone_s());
   }
   // A probe and an answer each period, and what a helper's errands take, have to fit.
-  const double least = 3000 / read.core.period.count();
-  if (static_cast<double>(read.core.bytes_per_s) < least)
-    at.fault("bytes_per_s", fmt::format("{} is below what probes alone take at this period, {:.0f}",
-                                        read.core.bytes_per_s, least));
+  const double min_value = 3000 / read.core.period.count();
+  if (static_cast<double>(read.core.bytes_per_s) < min_value)
+    at.report("bytes_per_s", fmt::format("{} is below what probes alone take at this period, {:.0f}",
+                                         read.core.bytes_per_s, min_value));
   read.leave_by_request = file.leave_by_request();
   return read;
 }
 
-std::string joined(const std::vector<std::string>& faults) {
+std::string join_lines(const std::vector<std::string>& errors) {
   std::string all;
-  for (const std::string& fault : faults) all += (all.empty() ? "" : "\n") + fault;
+  for (const std::string& fault : errors) all += (all.empty() ? "" : "\n") + fault;
   return all;
 }
 
@@ -326,10 +330,10 @@
   return text;
 }
 
-OptionsError::OptionsError(std::vector<std::string> faults)
-    : std::runtime_error(joined(faults)), faults_(std::move(faults)) {}
+OptionsError::OptionsError(std::vector<std::string> errors)
+    : std::runtime_error(join_lines(errors)), errors_(std::move(errors)) {}
 
-std::vector<std::string> fixed_differences(const Options& now, const Options& then) {
+std::vector<std::string> restart_required_changes(const Options& now, const Options& then) {
   auto words = [](const std::optional<RegistrationOptions>& each) {
     return each ? each->registry.text() + " " + each->prefix + " " + std::to_string(each->lease.count()) +
                       " " + each->zone
@@ -345,47 +349,47 @@
 }
 
 Options read_options(std::string_view text, const std::string& name) {
-  Faults faults(name, text);
+  ErrorList errors(name, text);
   File file;
-  pb::TextFormat::ParseInfoTree places;
+  pb::TextFormat::ParseInfoTree locations;
   pb::TextFormat::Parser parser;
-  parser.RecordErrorsTo(&faults);
-  parser.WriteLocationsTo(&places);
+  parser.RecordErrorsTo(&errors);
+  parser.WriteLocationsTo(&locations);
   pb::io::ArrayInputStream stream(text.data(), static_cast<int>(text.size()));
-  if (!parser.Parse(&stream, &file)) throw OptionsError(faults.all());
+  if (!parser.Parse(&stream, &file)) throw OptionsError(errors.all());
 
   Options options;
-  Reader top(faults, file, &places, "");
+  MessageReader top(errors, file, &locations, "");
   if (file.has_membership()) {
     const Membership& membership = file.membership();
-    Reader at = top.inner("membership", membership);
+    MessageReader at = top.nested("membership", membership);
     switch (membership.source_case()) {
       case Membership::kAgent:
         break;
       case Membership::kRegistry:
         options.membership = MembershipKind::registry;
-        options.registry = read_registry(membership.registry(), at.inner("registry", membership.registry()));
+        options.registry = read_registry(membership.registry(), at.nested("registry", membership.registry()));
         break;
       case Membership::kFixed:
         options.membership = MembershipKind::fixed;
-        options.fixed = read_fixed(membership.fixed(), at.inner("fixed", membership.fixed()));
+        options.fixed = read_fixed(membership.fixed(), at.nested("fixed", membership.fixed()));
         break;
       case Membership::SOURCE_NOT_SET:
-        top.fault("membership", "names no source: agent, registry or fixed");
+        top.report("membership", "names no source: agent, registry or fixed");
     }
   }
   if (file.has_registration())
     options.registration =
-        read_registration(file.registration(), top.inner("registration", file.registration()), options);
-  if (file.has_fleet()) options.fleet = read_fleet(file.fleet(), top.inner("fleet", file.fleet()), options);
+        read_registration(file.registration(), top.nested("registration", file.registration()), options);
+  if (file.has_fleet()) options.fleet = read_fleet(file.fleet(), top.nested("fleet", file.fleet()), options);
   if (file.has_log()) {
     const Log& log = file.log();
-    Reader at = top.inner("log", log);
+    MessageReader at = top.nested("log", log);
     options.log.json = log.form() == Log::JSON;
-    PEARSPAR_TAKE(log, at, lines_per_s, options.log.lines_per_s, 1, 100'000)
-    PEARSPAR_TAKE(log, at, burst, options.log.burst, 1, 1'000'000)
+    PEARSPAR_READ_FIELD(log, at, lines_per_s, options.log.lines_per_s, 1, 100'000)
+    PEARSPAR_READ_FIELD(log, at, burst, options.log.burst, 1, 1'000'000)
   }
-  if (!faults.all().empty()) throw OptionsError(faults.all());
+  if (!errors.all().empty()) throw OptionsError(errors.all());
   return options;
 }
 
@@ -396,7 +400,7 @@
   char part[16384];
   for (std::size_t got = 0; (got = std::fread(part, 1, sizeof part, file.get())) > 0;) {
     text.append(part, got);
-    if (text.size() > largest_file) throw OptionsError({path + ": is too large"});
+    if (text.size() > max_file_size_bytes) throw OptionsError({path + ": is too large"});
   }
   if (std::ferror(file.get())) throw OptionsError({path + ": cannot be read"});
   return read_options(text, path);
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -17,11 +17,11 @@
 // One fault a line, each as `FILE:LINE:COLUMN: FIELD: what is wrong`.
 class OptionsError : public std::runtime_error {
  public:
-  explicit OptionsError(std::vector<std::string> faults);
-  const std::vector<std::string>& faults() const { return faults_; }
+  explicit OptionsError(std::vector<std::string> errors);
+  const std::vector<std::string>& errors() const { return errors_; }
 
  private:
-  std::vector<std::string> faults_;
+  std::vector<std::string> errors_;
 };
 
 enum class MembershipKind { agent, registry, fixed };
@@ -56,9 +56,9 @@
 };
 
 // The parts that differ between the two and take effect only at a start.
-std::vector<std::string> fixed_differences(const Options& now, const Options& then);
+std::vector<std::string> restart_required_changes(const Options& now, const Options& then);
 
-// `name` stands in the faults. Throws OptionsError with every fault that was found.
+// `name` stands in the errors. Throws OptionsError with every fault that was found.
 Options read_options(std::string_view text, const std::string& name);
 Options read_options_file(const std::string& path);
 
--- a/src/registry/consul.cpp
+++ b/src/registry/consul.cpp
@@ -36,7 +36,7 @@
 
 std::int64_t number_of(const json::Value& object, const char* name) {
   const json::Value* value = object.find(name);
-  auto number = value ? value->whole() : std::nullopt;
+  auto number = value ? value->integer() : std::nullopt;
   if (!number) throw json::ParseError(std::string(name) + " is no whole number");
   return *number;
 }
--- a/src/registry/etcd.cpp
+++ b/src/registry/etcd.cpp
@@ -45,7 +45,7 @@
 bool flag_of(const json::Value& object, const char* name) {
   const json::Value* value = object.find(name);
   if (!value) return false;
-  auto flag = value->flag();
+  auto flag = value->boolean();
   if (!flag) fail(name, "is neither true nor false");
   return *flag;
 }
@@ -264,7 +264,8 @@
 
 ErrorReply read_error(const json::Value& reply) {
   ErrorReply error;
-  if (const json::Value* code = reply.find("code")) error.code = static_cast<int>(code->whole().value_or(0));
+  if (const json::Value* code = reply.find("code"))
+    error.code = static_cast<int>(code->integer().value_or(0));
   for (const char* name : {"message", "error"})
     if (const json::Value* text = reply.find(name); text && error.text.empty())
       error.text = text->text().value_or("");
--- a/src/registry/records.cpp
+++ b/src/registry/records.cpp
@@ -52,7 +52,7 @@
   entry.kind = text_of(record, "kind").value_or("");
   const json::Value* cell = record.find("cell");
   if (!cell) fail("cell", "is missing");
-  auto number = cell->whole();
+  auto number = cell->integer();
   if (!number || *number < 0 || *number > 65535) fail("cell", "is not from 0 to 65535");
   entry.cell = static_cast<int>(*number);
   std::string phase = text_of(record, "phase").value_or("ready");
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -59,7 +59,7 @@
     if (scripted)
       policy = std::make_unique<ScriptedPolicy>(script);
     else
-      policy = make_policy(config.module, config.seed);
+      policy = make_policy(config.policy, config.seed);
     broker = std::make_unique<Broker>(loop, peers::quiet_log(), config, std::move(policy));
     broker->start();
   }
@@ -140,7 +140,7 @@
   Peer client;
 };
 
-TEST_F(BrokerTest, AQueryIsServedWithTheValuesOfItsNodes) {
+TEST_F(BrokerTest, QueryReturnsTheValuesOfAllShards) {
   start(false);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("9b1f", two_parts())),
@@ -151,7 +151,7 @@
 
 // Each of them keeps inside its own bounds; together they would take more than the process may hold for
 // clients.
-TEST_F(BrokerTest, ClientsBytesAreBoundedTogether) {
+TEST_F(BrokerTest, ClientMemoryIsBoundedInTotal) {
   peers::ConfigText text;
   text.limits = R"({"memory_mb":16,"sockets":1024})";
   start(false, text);
@@ -189,7 +189,7 @@
 }
 
 // Ready from the first moment on the saved list, with discovery down.
-TEST_F(BrokerTest, TheSavedListServesWhileDiscoveryIsDown) {
+TEST_F(BrokerTest, SavedMemberListServesWhileDiscoveryIsDown) {
   agent.close();
   start(false);
   ASSERT_TRUE(connect(client));
@@ -197,7 +197,7 @@
   EXPECT_EQ(ask(client, query("9b1f", two_parts())).substr(0, 3), "200");
 }
 
-TEST_F(BrokerTest, WithoutAnyNodeItIsNotReady) {
+TEST_F(BrokerTest, NotReadyWithoutNodes) {
   peers::ConfigText text;
   text.known = "null";
   start(false, text);
@@ -214,7 +214,7 @@
   EXPECT_EQ(reply.substr(0, 3), "200");
 }
 
-TEST_F(BrokerTest, WhatIsNoQueryNeverReachesTheModule) {
+TEST_F(BrokerTest, InvalidRequestsDoNotReachThePolicy) {
   start(true);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("q", two_parts(), "3000", "/unknown")).substr(0, 3), "404");
@@ -229,7 +229,7 @@
   EXPECT_NE(broker->counters_json().find("\"bad_queries\":5"), std::string::npos);
 }
 
-TEST_F(BrokerTest, AQueryIsToldWithItsPartsAndListNewsComesFirst) {
+TEST_F(BrokerTest, MemberListIsDeliveredBeforeQueryAndParts) {
   start(true);
   ASSERT_TRUE(connect(client));
   ASSERT_TRUE(client.write(query(
@@ -257,7 +257,7 @@
 }
 
 // What comes in within one quantum is told together, and never more often than that.
-TEST_F(BrokerTest, BatchesKeepTheirDistance) {
+TEST_F(BrokerTest, BatchesKeepTheMinimumInterval) {
   start(true);
   ASSERT_TRUE(connect(client));
   script->on_event = [](const Event& event, std::vector<Action>& actions) {
@@ -270,7 +270,7 @@
     EXPECT_GE(Duration(script->times[i] - script->times[i - 1]).count(), 0.005 - 1e-9);
 }
 
-TEST_F(BrokerTest, APartialAnswerHoldsWhatIsIn) {
+TEST_F(BrokerTest, PartialAnswerContainsReceivedParts) {
   start(true);
   ASSERT_TRUE(connect(client));
   QueryId asked = 0;
@@ -288,7 +288,7 @@
             R"(200 {"total":false,"answers":[{"range":8,"blob":"value of q.8"}]})");
 }
 
-TEST_F(BrokerTest, AFailedQueryIsNeitherServedNorRefused) {
+TEST_F(BrokerTest, FailedQueryReturns500) {
   start(true);
   ASSERT_TRUE(connect(client));
   script->on_event = [](const Event& event, std::vector<Action>& actions) {
@@ -299,14 +299,14 @@
 
 // The module ends each query in time; where it does not, the client is not left without an answer, and the
 // module learns that nobody waits any more.
-TEST_F(BrokerTest, AQueryLeftOpenIsAnsweredAtItsDeadline) {
+TEST_F(BrokerTest, UnfinishedQueryReturns504AtDeadline) {
   start(true);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("q", two_parts(), "20")).substr(0, 3), "504");
   ASSERT_TRUE(until([&] { return script->all<ClientDisconnected>().size() == 1; }));
 }
 
-TEST_F(BrokerTest, AClientThatGoesIsToldAndItsAnswerGoesNowhere) {
+TEST_F(BrokerTest, DisconnectIsReportedAndLateAnswerIsDropped) {
   start(true);
   ASSERT_TRUE(connect(client));
   ASSERT_TRUE(client.write(query("q", two_parts())));
@@ -323,7 +323,7 @@
 }
 
 // Two open queries under one id would share the ids of their parts at the nodes.
-TEST_F(BrokerTest, TheIdOfAnOpenQueryIsNotTakenTwice) {
+TEST_F(BrokerTest, DuplicateIdOfOpenQueryIsRejected) {
   start(true);
   Peer other;
   ASSERT_TRUE(connect(client));
@@ -343,7 +343,7 @@
 
 // max_open was the bench's to keep; here it is the broker's: with so many held, the next is turned away
 // before the module, and a place that is given back is there again.
-TEST_F(BrokerTest, WithAllPlacesTakenAQueryIsTurnedAwayAtOnce) {
+TEST_F(BrokerTest, QueryBeyondMaxOpenIsRefused) {
   peers::ConfigText text;
   text.max_open = "6";
   start(true, text);
@@ -395,7 +395,7 @@
 }
 
 // What a batch itself brings about is told by the next one, also when nothing else wakes the loop until then.
-TEST_F(BrokerTest, TheEndOfAnAttemptCalledOffDoesNotWaitForOtherNews) {
+TEST_F(BrokerTest, CancelledAttemptIsReportedWithoutOtherEvents) {
   start(true);
   nodes_serve = false;
   ASSERT_TRUE(connect(client));
@@ -415,7 +415,7 @@
 }
 
 // A node's connection comes before a client's that says nothing.
-TEST_F(BrokerTest, IdleClientsMakeWayForNodes) {
+TEST_F(BrokerTest, IdleClientsAreClosedForNodeConnections) {
   peers::ConfigText text;
   text.limits = R"({"sockets":64})";
   start(false, text);
@@ -427,7 +427,7 @@
 }
 
 // The answer ends the query; a part of it that still waits for its connection must not reach a node.
-TEST_F(BrokerTest, NoPartGoesOutOnceItsQueryHasEnded) {
+TEST_F(BrokerTest, PendingPartIsNotSentAfterQueryEnds) {
   start(true);
   ASSERT_TRUE(connect(client));
   script->on_event = [&](const Event& event, std::vector<Action>& actions) {
@@ -475,7 +475,7 @@
   EXPECT_NE(frames[1].find("q.4 4"), std::string::npos);
 }
 
-TEST_F(BrokerTest, ListNewsReachesTheModuleWithNodesUnderTheirNumbers) {
+TEST_F(BrokerTest, MemberChangesReachThePolicyWithStableNodeIds) {
   start(true);
   ASSERT_TRUE(until([&] { return !agent.peers.empty() && !agent.peers[0]->seen().empty(); }));
   std::string address = nodes[0].address().text();
@@ -508,7 +508,7 @@
 
 // Where nodes come under new ids all day, what is known of those that are gone has to be given back; but not
 // before the rules have done with them, since a node that returns by then has to be known again.
-TEST_F(BrokerTest, ANodeThatIsGoneIsForgottenOnceItCouldCountAsWarm) {
+TEST_F(BrokerTest, RemovedNodeIsForgottenAfterTheWarmUpTime) {
   peers::ConfigText text;
   text.fall_s = text.warm_up_time = "0.25";
   start(true, text);
@@ -541,7 +541,7 @@
   EXPECT_NE(tell(back), first);
 }
 
-TEST_F(BrokerTest, ProbesComeBackWithTheirReport) {
+TEST_F(BrokerTest, ProbeResultCarriesTheReport) {
   start(true);
   nodes_serve = false;
   script->next = {ProbeNode{2}};
@@ -555,7 +555,7 @@
 }
 
 // A planned end: what is open is answered, what still arrives for a while too, and only then it is over.
-TEST_F(BrokerTest, WindingDownAnswersWhatItHasTaken) {
+TEST_F(BrokerTest, ShutdownAnswersOpenQueries) {
   start(true);
   ASSERT_TRUE(connect(client));
   QueryId open = 0;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -15,7 +15,7 @@
   return text.replace(at, what.size(), by);
 }
 
-std::string fault_of(const std::string& text) {
+std::string config_error(const std::string& text) {
   try {
     read_config(text);
   } catch (const ConfigError& error) {
@@ -24,7 +24,7 @@
   return "";
 }
 
-TEST(Config, AGoodOneIsRead) {
+TEST(Config, ValidConfigurationIsRead) {
   ConfigText text;
   text.known =
       peers::list_text(41, true, peers::member_text("s-1", "10.1.0.18:3000", 3, "draining", "1700000000000"));
@@ -38,38 +38,38 @@
   EXPECT_EQ(config.known.entries[0].address.text(), "10.1.0.18:3000");
   EXPECT_EQ(config.known.entries[0].phase, discovery::Phase::draining);
   EXPECT_EQ(config.known.entries[0].up_since_ms, 1700000000000.0);
-  ASSERT_EQ(config.module.classes.size(), 2u);
-  EXPECT_EQ(config.module.classes[1].name, "fetch");
-  EXPECT_EQ(config.module.classes[0].min_coverage, 0.4);
-  EXPECT_EQ(config.module.classes[0].latency_target, Duration(2.0));
-  ASSERT_EQ(config.module.tenants.size(), 2u);
-  EXPECT_EQ(config.module.tenants[1].quota_per_s, 50);
-  EXPECT_EQ(config.module.max_open, 200);
-  EXPECT_EQ(config.module.min_batch_interval, Duration(0.005));
-  EXPECT_EQ(config.module.report_source, ReportSource::pull);
+  ASSERT_EQ(config.policy.classes.size(), 2u);
+  EXPECT_EQ(config.policy.classes[1].name, "fetch");
+  EXPECT_EQ(config.policy.classes[0].min_coverage, 0.4);
+  EXPECT_EQ(config.policy.classes[0].latency_target, Duration(2.0));
+  ASSERT_EQ(config.policy.tenants.size(), 2u);
+  EXPECT_EQ(config.policy.tenants[1].quota_per_s, 50);
+  EXPECT_EQ(config.policy.max_open, 200);
+  EXPECT_EQ(config.policy.min_batch_interval, Duration(0.005));
+  EXPECT_EQ(config.policy.report_source, ReportSource::pull);
   EXPECT_EQ(config.broker.zones, (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(config.broker.kinds, (std::vector<std::string>{"m1", "m2"}));
   EXPECT_EQ(config.broker.calls_per_connection, 32);
 }
 
-TEST(Config, WhatAReloadCannotChangeIsNamed) {
+TEST(Config, RestartRequiredChangesAreListed) {
   ConfigText text;
   Config now = read_config(text.text());
-  EXPECT_TRUE(fixed_differences(now, read_config(text.text())).empty());
+  EXPECT_TRUE(restart_required_changes(now, read_config(text.text())).empty());
   text.discovery = "127.0.0.1:2";
   text.known = peers::list_text(41, true, "");
-  EXPECT_TRUE(fixed_differences(now, read_config(text.text())).empty());
+  EXPECT_TRUE(restart_required_changes(now, read_config(text.text())).empty());
   text.max_open = "201";
   text.listen = "127.0.0.1:7";
   text.limits = R"({"sockets":256,"memory_mb":128})";
   EXPECT_EQ(
-      fixed_differences(now, read_config(text.text())),
+      restart_required_changes(now, read_config(text.text())),
       (std::vector<std::string>{"listen", "limits.sockets", "limits.memory_mb", "settings.limits.max_open"}));
 }
 
 // The same settings give the module the same, whichever way they are written.
-TEST(Config, SettingsMeanTheSameAsLinesAndAsJson) {
-  Settings json = read_config(ConfigText().text()).module;
+TEST(Config, LineAndJsonSettingsAreEquivalent) {
+  Settings json = read_config(ConfigText().text()).policy;
   Settings lines = settings::read_settings(settings::values_of_lines(
       "balancers=2\ncallers.marks_retry=true\nclasses.count=1\nclasses.0.aim_s=2.0\nclasses.0.effect="
       "retryable\n"
@@ -90,9 +90,9 @@
   EXPECT_EQ(json.has_retry_budget, lines.has_retry_budget);
 }
 
-TEST(Config, TheFaultyKeyIsNamed) {
+TEST(Config, InvalidKeyIsNamed) {
   const std::string good = ConfigText().text();
-  ASSERT_EQ(fault_of(good), "");
+  ASSERT_EQ(config_error(good), "");
   struct Case {
     const char* what;
     const char* by;
@@ -126,14 +126,14 @@
            {"\"fetch_parts\":[0,0]", "\"fetch_parts\":[0,2]", "specifics.fetch_parts asks for a second step"},
            {"\"slabs\":16", "\"slabs\":0", "specifics.slabs is below 1"},
            {"\"settings\":{", "\"other\":{", "settings is missing"}})
-    EXPECT_NE(fault_of(replaced(good, c.what, c.by)).find(c.named), std::string::npos)
-        << c.what << " -> " << c.by << ": " << fault_of(replaced(good, c.what, c.by));
-  EXPECT_NE(fault_of("{"), "");
-  EXPECT_NE(fault_of("[]"), "");
+    EXPECT_NE(config_error(replaced(good, c.what, c.by)).find(c.named), std::string::npos)
+        << c.what << " -> " << c.by << ": " << config_error(replaced(good, c.what, c.by));
+  EXPECT_NE(config_error("{"), "");
+  EXPECT_NE(config_error("[]"), "");
   EXPECT_THROW(read_config_file("/nonexistent/config.json"), ConfigError);
 }
 
-TEST(Config, DefaultsStandInForWhatMayBeAbsent) {
+TEST(Config, AbsentValuesUseDefaults) {
   ConfigText text;
   text.limits = "{}";
   text.known = "null";
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -57,7 +57,7 @@
   Client client{loop, peers::quiet_log(), agent.address(), *this};
 };
 
-TEST_F(DiscoveryTest, TheWholeListFirstThenOneWatchAfterTheOther) {
+TEST_F(DiscoveryTest, FetchesFullListThenLongPolls) {
   start_with_list();
   EXPECT_TRUE(told[0].complete);
   EXPECT_EQ(target.substr(0, 37), "/registry/instances?after=41&wait_ms=");
@@ -73,7 +73,7 @@
   EXPECT_EQ(failed, 0);
 }
 
-TEST_F(DiscoveryTest, AWatchMayEndWithNothingOrWithTheWholeList) {
+TEST_F(DiscoveryTest, LongPollMayReturnNothingOrAFullList) {
   start_with_list();
   reply(list_text(41, false, ""));
   ASSERT_TRUE(asks());
@@ -86,7 +86,7 @@
   EXPECT_EQ(target.substr(0, 28), "/registry/instances?after=50");
 }
 
-TEST_F(DiscoveryTest, AReplyMayComeInChunksAndInPieces) {
+TEST_F(DiscoveryTest, ReplyMayBeChunkedAndFragmented) {
   client.start();
   ASSERT_TRUE(asks());
   std::string body = list_text(41, true, one),
@@ -104,7 +104,7 @@
   ASSERT_TRUE(tells(1));
 }
 
-TEST_F(DiscoveryTest, ChangesThatRepeatOrGoBackAreNotTold) {
+TEST_F(DiscoveryTest, StaleChangesAreIgnored) {
   start_with_list();
   for (int revision : {41, 40}) {
     reply(list_text(revision, false, member_text("s-1", "127.0.0.1:9", 0, "draining")));
@@ -117,7 +117,7 @@
 
 // An older list that comes once is an echo of the past; a registry that has begun anew keeps giving it, and
 // must not be waited for until it has counted as far again.
-TEST_F(DiscoveryTest, AnOlderListIsBelievedOnlyOnceItKeepsComing) {
+TEST_F(DiscoveryTest, OlderListIsAcceptedOnlyWhenRepeated) {
   start_with_list();
   int asked = 0;
   while (told.size() == 1 && asked < 20) {
@@ -130,7 +130,7 @@
   EXPECT_EQ(client.revision(), 3);
 }
 
-TEST_F(DiscoveryTest, NonsenseLeavesTheListAndIsAskedAgain) {
+TEST_F(DiscoveryTest, InvalidReplyKeepsTheListAndIsRetried) {
   start_with_list();
   const std::string bad[] = {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}",
                              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
@@ -151,7 +151,7 @@
   ASSERT_TRUE(tells(2));
 }
 
-TEST_F(DiscoveryTest, AConnectionThatBreaksIsMadeAgain) {
+TEST_F(DiscoveryTest, BrokenConnectionIsReopened) {
   start_with_list();
   agent.peers.back()->reset();
   ASSERT_TRUE(until([&] { return agent.peers.size() == 2; }));
@@ -162,7 +162,7 @@
   EXPECT_EQ(told.size(), 1u);
 }
 
-TEST_F(DiscoveryTest, ASilentAgentIsAskedAnewAndTheListStands) {
+TEST_F(DiscoveryTest, UnansweredRequestTimesOutAndIsRetried) {
   client.start();
   ASSERT_TRUE(asks());
   ASSERT_TRUE(until([&] { return failed == 1; }));
@@ -173,7 +173,7 @@
 }
 
 // Refused at once each time: the tries are paced, or the loop would do nothing else.
-TEST_F(DiscoveryTest, ARefusingAgentIsAskedAtAMeasuredPace) {
+TEST_F(DiscoveryTest, RefusedConnectionsAreRetriedWithBackoff) {
   net::Address address = agent.address();
   agent.close();
   client.start();
@@ -187,7 +187,7 @@
 }
 
 // Found by reading: each reply was followed by the next call at once, whatever it held.
-TEST_F(DiscoveryTest, AnAgentThatNeverWaitsIsAskedAtAMeasuredPace) {
+TEST_F(DiscoveryTest, ImmediateEmptyRepliesAreRateLimited) {
   start_with_list();
   int asked = 0;
   for (int i = 0; i < 300; ++i) {
@@ -205,7 +205,7 @@
   ASSERT_TRUE(asks());
 }
 
-TEST_F(DiscoveryTest, EndedByItsUserItAsksNoMore) {
+TEST_F(DiscoveryTest, StopEndsRequestsUntilFetch) {
   start_with_list();
   client.stop();
   ASSERT_TRUE(until([&] { return agent.peers.back()->ended(); }));
@@ -269,7 +269,7 @@
 };
 
 // The versions of another registry count from anywhere: its list is believed at once, however low.
-TEST_F(SwitchTest, AnotherPlaceTakesOverWithItsWholeListWhateverItsVersion) {
+TEST_F(SwitchTest, NewSourceTakesOverWithAnyRevision) {
   start_at_first();
   registry.move(at(second.address()));
   ASSERT_TRUE(until([&] { return second.asked(); }));
@@ -287,7 +287,7 @@
   EXPECT_EQ(registry.counters().lists, 2u);  // those of the place that was left stay counted
 }
 
-TEST_F(SwitchTest, TheFormerPlaceIsNotConnectedToAgain) {
+TEST_F(SwitchTest, PreviousSourceIsNotReconnected) {
   start_at_first();
   std::size_t connections = first.peers.size();
   registry.move(at(second.address()));
@@ -303,7 +303,7 @@
   ASSERT_TRUE(until([&] { return told.size() == 2; }));
 }
 
-TEST_F(SwitchTest, MovedTwiceInARowTheLastPlaceCounts) {
+TEST_F(SwitchTest, LastOfSeveralMovesWins) {
   start_at_first();
   registry.move(at(second.address()));
   ASSERT_TRUE(until([&] { return second.asked(); }));
@@ -319,7 +319,7 @@
   ASSERT_TRUE(until([&] { return told.size() == 3; }));
 }
 
-TEST(Members, TheFaultyMemberIsNamed) {
+TEST(Members, InvalidMemberIsNamed) {
   auto fault = [](const std::string& text) {
     try {
       read_members(json::parse(text));
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <random>
 
-#include "harness.h"
+#include "policy_harness.h"
 
 namespace pearspar::engine {
 namespace {
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -5,17 +5,17 @@
 namespace pearspar::json {
 namespace {
 
-TEST(Json, ValuesAreSlicesOfTheirText) {
+TEST(Json, ValuesReferenceTheSourceText) {
   std::string text = R"( {"a":[1,-2.5e1,true,null],"b":{"c":"x\ny"},"d":"plain"} )";
   Value root = parse(text);
   ASSERT_TRUE(root.is(Kind::object));
   const Value* a = root.find("a");
   ASSERT_NE(a, nullptr);
   ASSERT_EQ(a->items.size(), 4u);
-  EXPECT_EQ(a->items[0].whole(), 1);
+  EXPECT_EQ(a->items[0].integer(), 1);
   EXPECT_EQ(a->items[1].number(), -25.0);
-  EXPECT_EQ(a->items[1].whole(), -25);
-  EXPECT_EQ(a->items[2].flag(), true);
+  EXPECT_EQ(a->items[1].integer(), -25);
+  EXPECT_EQ(a->items[2].boolean(), true);
   EXPECT_TRUE(a->items[3].is(Kind::null));
   EXPECT_EQ(root.find("b")->find("c")->text(), "x\ny");
   std::string_view plain = root.find("d")->raw;
@@ -24,13 +24,13 @@
   EXPECT_EQ(root.find("nothing"), nullptr);
 }
 
-TEST(Json, AValueOfAnotherKindIsNothing) {
+TEST(Json, AccessorsReturnNulloptForOtherKinds) {
   EXPECT_FALSE(parse("\"1\"").number());
   EXPECT_FALSE(parse("1").text());
-  EXPECT_FALSE(parse("1").flag());
-  EXPECT_FALSE(parse("1.5").whole());
+  EXPECT_FALSE(parse("1").boolean());
+  EXPECT_FALSE(parse("1.5").integer());
   EXPECT_FALSE(parse("1e400").number());
-  EXPECT_EQ(parse("3.0").whole(), 3);
+  EXPECT_EQ(parse("3.0").integer(), 3);
 }
 
 TEST(Json, EscapesAreResolved) {
@@ -39,7 +39,7 @@
   EXPECT_EQ(parse(R"("\ud83dx")").text(), "\xef\xbf\xbdx");  // half of a pair
 }
 
-TEST(Json, WhatIsNoJsonIsRefused) {
+TEST(Json, InvalidJsonIsRejected) {
   for (const char* bad :
        {"",           " ",     "{",   "[",      "[1",      "[1,]",      "{\"a\"}",     "{\"a\":}",
         "{\"a\":1,}", "{a:1}", "tru", "nul",    "+1",      "01",        "1.",          ".5",
@@ -48,14 +48,14 @@
     EXPECT_THROW(parse(bad), ParseError) << bad;
 }
 
-TEST(Json, NestingHasABound) {
+TEST(Json, NestingDepthIsLimited) {
   EXPECT_NO_THROW(parse("[[[[]]]]", 4));
   EXPECT_THROW(parse("[[[[[]]]]]", 4), ParseError);
   EXPECT_THROW(parse(std::string(100000, '[')), ParseError);
   EXPECT_NO_THROW(parse("[[],[],[],[],[]]", 2));  // beside each other is not deeper
 }
 
-TEST(Json, QuotedTextReadsBackAsItWas) {
+TEST(Json, QuotedTextRoundTrips) {
   std::string all;
   for (int c = 0; c < 256; ++c) all.push_back(static_cast<char>(c));
   std::string quoted;
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -149,7 +149,7 @@
 }
 
 // The adapter's side: a damaged batch gives a plain error or a reply.
-TEST(Mutation, TheBenchsBatches) {
+TEST(Mutation, SimulatorBatches) {
   Mutator mutate(4);
   auto word = [](std::uint32_t value) { return std::string(reinterpret_cast<const char*>(&value), 4); };
   std::string settings =
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -22,14 +22,14 @@
   return "membership { registry { " + etcd + " " + more + " } }";
 }
 
-TEST(Options, AnEmptyFileChangesNothing) {
+TEST(Options, EmptyFileGivesDefaults) {
   Options options = read_options("# nothing\n", "f");
   EXPECT_EQ(options.membership, MembershipKind::agent);
   EXPECT_FALSE(options.registry);
   EXPECT_FALSE(options.registration);
 }
 
-TEST(Options, ARegistryWithItsDefaults) {
+TEST(Options, RegistryDefaults) {
   Options options = read_options(registry_of(R"(endpoints: "10.0.0.6:2379" look_every_ms: 1500)"), "f");
   ASSERT_EQ(options.membership, MembershipKind::registry);
   EXPECT_EQ(options.registry->endpoints.size(), 2u);
@@ -38,7 +38,7 @@
   EXPECT_EQ(options.registry->hold.above_share, 0);
 }
 
-TEST(Options, AFixedList) {
+TEST(Options, FixedMemberList) {
   Options options =
       read_options(R"(membership { fixed { nodes { id: "s-1" address: "10.0.0.1:3000" cell: 2 zone: "a" )"
                    R"(draining: true } } })",
@@ -50,7 +50,7 @@
 }
 
 // Every fault has its own line, with the place and the field.
-TEST(Options, FaultsNameFileLineAndField) {
+TEST(Options, ErrorsNameFileLineAndField) {
   struct Case {
     std::string text, fault;
   };
@@ -98,19 +98,19 @@
         << each.text << "\n  " << faults(each.text);
 }
 
-TEST(Options, AllFaultsAreToldAtOnce) {
+TEST(Options, AllErrorsAreReportedTogether) {
   std::string all = faults(registry_of("reply_timeout_ms: 5 look_every_ms: 1 prefix: ''"));
   EXPECT_EQ(std::count(all.begin(), all.end(), '\n'), 2);
 }
 
-TEST(Options, TheExampleInTheRepositoryIsGood) {
+TEST(Options, ExampleFileIsValid) {
   Options options = read_options_file(PEARSPAR_ROOT "/deploy/options.example.textproto");
   EXPECT_EQ(options.membership, MembershipKind::registry);
   EXPECT_TRUE(options.registration);
   EXPECT_THROW(read_options_file("/nowhere/at/all"), OptionsError);
 }
 
-TEST(Options, ATokenIsReadFromItsFile) {
+TEST(Options, TokenIsReadFromFile) {
   char path[] = "/tmp/pearspar-token-XXXXXX";
   int fd = ::mkstemp(path);
   ASSERT_EQ(::write(fd, "secret\n", 7), 7);
--- a/tests/harness.h
+++ b/tests/policy_harness.h
@@ -53,7 +53,7 @@
   return s;
 }
 
-struct Bench {
+struct PolicyHarness {
   Settings settings;
   std::unique_ptr<Policy> policy;
   Time now{100s};
@@ -63,7 +63,7 @@
   QueryId next_query = 1;
   PartId next_part = 1000;
 
-  explicit Bench(Settings s = plain_settings(), std::uint64_t seed = 7) : settings(std::move(s)) {
+  explicit PolicyHarness(Settings s = plain_settings(), std::uint64_t seed = 7) : settings(std::move(s)) {
     policy = make_policy(settings, seed);
   }
 
--- a/tests/policy_rules_test.cpp
+++ b/tests/policy_rules_test.cpp
@@ -4,20 +4,20 @@
 
 #include <map>
 
-#include "harness.h"
+#include "policy_harness.h"
 
 namespace pearspar::testing {
 namespace {
 
 // Number of final answers in the last step.
-std::size_t final_answers(const Bench& bench) {
+std::size_t final_answers(const PolicyHarness& bench) {
   return bench.answers().size() + bench.refusals().size() + bench.failures().size();
 }
 
 // ---- exactly one final answer ----
 
 TEST(ClientResponse, OneAnswerBeforeTheDeadline) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(1, {0.5, 0.5}, {}, 3s);
   Time deadline = bench.now + 3s;
@@ -33,7 +33,7 @@
 }
 
 TEST(ClientResponse, ArrivalNearItsDeadlineEndsInTheSameBatch) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(1, {1.0}, {}, 6ms);
   bench.step();
@@ -42,7 +42,7 @@
 }
 
 TEST(ClientResponse, NoSendAfterTheEnd) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(0, {0.6, 0.4});
   bench.step();
@@ -63,7 +63,7 @@
 }
 
 TEST(ClientResponse, NoSendForADisconnectedClient) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   QueryId id = bench.query(1, {1.0});
   bench.step();
@@ -78,7 +78,7 @@
 // A timer may fire slightly early, since its time is rounded on the way. If the module still took it for
 // pending, it would set no other, and waiting queries would never end.
 TEST(ClientResponse, TimerThatFiresEarlyIsSetAgain) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(1, {1.0}, {}, 3s);
   Time deadline = bench.now + 3s;
@@ -105,7 +105,7 @@
 
 TEST(RetrySafety, NonIdempotentPartThatMayHaveRunFailsItsQuery) {
   for (Outcome outcome : {Outcome::error, Outcome::timeout, Outcome::reset}) {
-    Bench bench(with_idempotency(Idempotency::non_idempotent));
+    PolicyHarness bench(with_idempotency(Idempotency::non_idempotent));
     bench.list_all();
     bench.query(1, {1.0});
     bench.step();
@@ -120,7 +120,7 @@
 
 TEST(RetrySafety, NonIdempotentPartThatDidNotRunIsRetried) {
   for (Outcome outcome : {Outcome::refused, Outcome::connect_failed}) {
-    Bench bench(with_idempotency(Idempotency::non_idempotent));
+    PolicyHarness bench(with_idempotency(Idempotency::non_idempotent));
     bench.list_all();
     bench.query(1, {1.0});
     bench.step();
@@ -132,7 +132,7 @@
 }
 
 TEST(RetrySafety, NonIdempotentPartIsNotHedged) {
-  Bench bench(with_idempotency(Idempotency::non_idempotent));
+  PolicyHarness bench(with_idempotency(Idempotency::non_idempotent));
   bench.list_all();
   bench.query(1, {1.0});
   bench.step();
@@ -144,7 +144,7 @@
   for (bool late : {false, true}) {
     Settings settings = with_idempotency(Idempotency::deduplicated);
     settings.may_hedge = false;
-    Bench bench(settings);
+    PolicyHarness bench(settings);
     bench.list_all();
     bench.query(1, {1.0});
     bench.step();
@@ -160,7 +160,7 @@
     Settings settings = plain_settings();
     settings.may_hedge = false;
     settings.may_cancel = may_cancel;
-    Bench bench(settings);
+    PolicyHarness bench(settings);
     bench.list_all();
     bench.warm_up(40);
     bench.query(1, {1.0});
@@ -178,10 +178,10 @@
 // ---- drains ----
 
 TEST(Drains, NoSendToADrainingNode) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.step();
-  bench.list({Bench::member(1, 0, NodeStatus::draining)});
+  bench.list({PolicyHarness::member(1, 0, NodeStatus::draining)});
   bench.query(1, std::vector<double>(8, 0.125));
   bench.step();
   EXPECT_EQ(bench.sends().size(), 8u);
@@ -190,10 +190,10 @@
 
 TEST(Drains, NoSendEvenIfNoOtherNodeIsLeft) {
   for (NodeStatus status : {NodeStatus::draining, NodeStatus::gone}) {
-    Bench bench;
-    bench.list({Bench::member(1, 0)}, MemberListForm::saved);
+    PolicyHarness bench;
+    bench.list({PolicyHarness::member(1, 0)}, MemberListForm::saved);
     bench.step();
-    bench.list({Bench::member(1, 0, status)});
+    bench.list({PolicyHarness::member(1, 0, status)});
     bench.step();
     for (int i = 0; i < 300; ++i) {
       bench.query(1, {1.0});
@@ -204,10 +204,10 @@
 }
 
 TEST(Drains, NodeMissingFromAFullListIsGone) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.step();
-  bench.list({Bench::member(2, 0), Bench::member(12, 1)}, MemberListForm::full);
+  bench.list({PolicyHarness::member(2, 0), PolicyHarness::member(12, 1)}, MemberListForm::full);
   bench.step();
   for (int i = 0; i < 40; ++i) {
     bench.query(1, {0.5, 0.5}, {0, 1});
@@ -219,7 +219,7 @@
 TEST(Drains, SubscribesAgainAfterAFailure) {
   Settings settings = plain_settings();
   settings.membership_by_subscription = true;
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all();
   bench.step();
   EXPECT_EQ(bench.of<SubscribeMembers>().size(), 1u);
@@ -232,10 +232,10 @@
 // ---- load on cold nodes ----
 
 TEST(ColdNode, GetsAFractionOfTheLoadOfWarmNodes) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(60, 50ms);
-  Member fresh = Bench::member(1, 0);
+  Member fresh = PolicyHarness::member(1, 0);
   fresh.start_known = true;
   fresh.started = bench.now;
   bench.list({fresh});
@@ -256,10 +256,10 @@
 }
 
 TEST(ColdNode, PartsWaitWhenEveryReplicaIsCold) {
-  Bench bench;
+  PolicyHarness bench;
   std::vector<Member> members;
   for (NodeId node = 1; node <= 2; ++node) {
-    members.push_back(Bench::member(node, 0));
+    members.push_back(PolicyHarness::member(node, 0));
     members.back().start_known = true;
     members.back().started = bench.now;
   }
@@ -270,7 +270,7 @@
 }
 
 TEST(ColdNode, UnreachableNodeThatAnswersAgainIsCold) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(60, 50ms);
   for (int i = 0; i < 40; ++i) {  // node 1 is down
@@ -299,7 +299,7 @@
 // If every broken connection were taken for a restart, a lossy network would make all nodes cold and nearly
 // all queries would be refused.
 TEST(ColdNode, BrokenConnectionsDoNotMakeNodesCold) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(3);
   bench.warm_up(30, 50ms);
   int broken = 0, sent = 0;
@@ -323,7 +323,7 @@
 // ---- answer accuracy ----
 
 TEST(AnswerAccuracy, NoAnswerBelowTheMinimumCoverage) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(0, {0.35, 0.33, 0.32});
   bench.step();
@@ -335,7 +335,7 @@
 }
 
 TEST(AnswerAccuracy, PartCountsOnce) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.query(0, {0.3, 0.7});
   bench.step();
@@ -351,7 +351,7 @@
   Settings settings = plain_settings();
   settings.classes[0].whole_coverage = 0.9;
   for (bool whole : {false, true}) {
-    Bench bench(settings);
+    PolicyHarness bench(settings);
     bench.list_all();
     bench.query(0, {0.5, 0.38, 0.12});
     bench.step();
@@ -367,7 +367,7 @@
 TEST(AnswerAccuracy, SecondStepAfterAPartialFirstIsNotWhole) {
   Settings settings = plain_settings();
   settings.classes[0].fetch_parts = 1;
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all();
   QueryId id = bench.query(0, {0.5, 0.5});
   bench.step();
@@ -392,7 +392,7 @@
   settings.retry_budget_base = 2;
   settings.retry_budget_ratio = 0.1;
   settings.retry_budget_window = 2s;
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all();
   std::vector<Time> arrivals, retries;
   std::map<PartId, int> attempts;
--- a/tests/policy_sequence_test.cpp
+++ b/tests/policy_sequence_test.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <random>
 
-#include "harness.h"
+#include "policy_harness.h"
 
 namespace pearspar::testing {
 namespace {
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -6,13 +6,13 @@
 #include <map>
 #include <set>
 
-#include "harness.h"
+#include "policy_harness.h"
 
 namespace pearspar::testing {
 namespace {
 
 // Sends one query of which `good` parts are answered and `bad` ones refused.
-void record_outcomes(Bench& bench, int good, int bad, int shard = 0) {
+void record_outcomes(PolicyHarness& bench, int good, int bad, int shard = 0) {
   std::size_t count = static_cast<std::size_t>(good + bad);
   bench.query(1, std::vector<double>(count, 1.0 / (good + bad)), std::vector<int>(count, shard));
   bench.step();
@@ -26,7 +26,7 @@
 }
 
 // Sends a query of eight parts and returns how many of them were sent.
-std::size_t parts_sent(Bench& bench) {
+std::size_t parts_sent(PolicyHarness& bench) {
   bench.query(0, {0.05, 0.3, 0.1, 0.05, 0.2, 0.1, 0.1, 0.1});
   bench.step();
   std::size_t count = bench.sends().size();
@@ -35,7 +35,7 @@
 }
 
 TEST(Coverage, StartsWithAllParts) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(0, {0.1, 0.4, 0.2, 0.3});
   bench.step();
@@ -45,7 +45,7 @@
 }
 
 TEST(Coverage, FallsUnderOverloadAndSkipsTheLightestParts) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   EXPECT_EQ(parts_sent(bench), 8u);
   record_outcomes(bench, 20, 10);
@@ -60,7 +60,7 @@
 }
 
 TEST(Coverage, ClassWithoutPartialAnswersSendsAllParts) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   record_outcomes(bench, 20, 10);
   bench.query(1, {0.05, 0.3, 0.1, 0.05, 0.2, 0.1, 0.1, 0.1});
@@ -69,7 +69,7 @@
 }
 
 TEST(Coverage, StaysAboveTheMinimumAndRecovers) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   for (int i = 0; i < 12; ++i) {
     record_outcomes(bench, 20, 20);
@@ -87,9 +87,11 @@
 // The state of nodes that are gone must be freed, since nodes come under new ids all the time. A node that
 // returns later counts as a new one.
 TEST(Membership, ForgetsNodesThatAreGone) {
-  Bench bench;
-  auto node = [](NodeId id, NodeStatus status) { return std::vector<Member>{Bench::member(id, 0, status)}; };
-  bench.list({Bench::member(1, 0), Bench::member(2, 0)}, MemberListForm::saved);
+  PolicyHarness bench;
+  auto node = [](NodeId id, NodeStatus status) {
+    return std::vector<Member>{PolicyHarness::member(id, 0, status)};
+  };
+  bench.list({PolicyHarness::member(1, 0), PolicyHarness::member(2, 0)}, MemberListForm::saved);
   for (int i = 0; i < 40; ++i) {  // node 1 answers slowly
     bench.query(1, {1.0});
     bench.step();
@@ -122,7 +124,7 @@
 // Optional parts of wide queries must not lengthen the queues of a hot shard, where queries that need all
 // their parts would fail.
 TEST(Coverage, SkipsOptionalPartsOfHotShards) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   auto serve = [&](int shard, Duration took) {
     for (int i = 0; i < 9; ++i) {
@@ -152,7 +154,7 @@
 }
 
 TEST(Coverage, UnchangedWithFewOutcomes) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   for (int i = 0; i < 3; ++i) {  // so that the nodes used below are known to be quick
     bench.query(1, {1.0});
@@ -165,7 +167,7 @@
 
 // A broker with little traffic does not see enough outcomes in one window and has to look further back.
 TEST(Coverage, LooksFurtherBackAtLowTraffic) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   for (int i = 0; i < 8; ++i) {  // four outcomes a second, half of them refusals
     record_outcomes(bench, 1, 2);
@@ -175,7 +177,7 @@
 }
 
 TEST(Coverage, ReducedQueryGetsAPartialAnswerOnceItsPartsAreIn) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   record_outcomes(bench, 20, 10);
   bench.query(0, {0.05, 0.3, 0.1, 0.05, 0.2, 0.1, 0.1, 0.1});
@@ -186,7 +188,7 @@
 }
 
 TEST(ReplicaSelection, MinimizesLatencyTimesOpenCalls) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   // node 1 answers in 50 ms, node 2 in 200 ms
   for (int i = 0; i < 12; ++i) {
@@ -207,10 +209,10 @@
 }
 
 TEST(ReplicaSelection, UnknownNodeCountsAsAverage) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(16, 100ms);
-  bench.list({Bench::member(3, 0)});
+  bench.list({PolicyHarness::member(3, 0)});
   bench.query(1, std::vector<double>(3, 1.0 / 3));
   bench.step();
   std::set<NodeId> nodes;
@@ -223,8 +225,8 @@
 TEST(ReplicaSelection, UnknownNodeCountsAsItsCell) {
   Settings settings = plain_settings();
   settings.cells_per_shard = 2;  // both cells hold every shard
-  Bench bench(settings);
-  bench.list({Bench::member(1, 0), Bench::member(11, 1)}, MemberListForm::saved);
+  PolicyHarness bench(settings);
+  bench.list({PolicyHarness::member(1, 0), PolicyHarness::member(11, 1)}, MemberListForm::saved);
   for (int i = 0; i < 6; ++i) {
     bench.query(1, {0.5, 0.5});
     bench.step();
@@ -232,7 +234,7 @@
       bench.outcome(send.part, send.node, 0, Outcome::ok, send.node == 1 ? 400ms : 100ms);
     bench.step(400ms);
   }
-  bench.list({Bench::member(2, 0), Bench::member(12, 1)});
+  bench.list({PolicyHarness::member(2, 0), PolicyHarness::member(12, 1)});
   bench.query(1, {0.5, 0.5});
   bench.step();
   std::set<NodeId> nodes;
@@ -243,8 +245,8 @@
 TEST(ReplicaSelection, PartsOfOneCallCountOnce) {
   Settings settings = plain_settings();
   settings.parts_per_call = 4;
-  Bench bench(settings);
-  bench.list({Bench::member(1, 0), Bench::member(2, 0)}, MemberListForm::saved);
+  PolicyHarness bench(settings);
+  bench.list({PolicyHarness::member(1, 0), PolicyHarness::member(2, 0)}, MemberListForm::saved);
   // Node 2 is 3.5 times slower. Counted by calls of four parts, node 1 is cheaper for all eight parts;
   // counted by parts, it would not be from the fourth part on.
   for (int i = 0; i < 6; ++i) {
@@ -266,7 +268,7 @@
   Settings settings = plain_settings();
   settings.cells = 1;
   settings.parts_per_call = 8;
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all(4);
   for (int i = 0; i < 10; ++i) {
     bench.query(1, std::vector<double>(4, 0.25));
@@ -285,7 +287,7 @@
 TEST(ReplicaSelection, AvoidsSilentNodesBeforeTheTimeout) {
   Settings settings = plain_settings();
   settings.may_hedge = false;
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all(2);
   bench.warm_up(8, 100ms);
   bench.query(1, {0.5, 0.5});
@@ -301,7 +303,7 @@
 }
 
 TEST(ReplicaSelection, StillSendsWhenAllNodesFail) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   for (int i = 0; i < 6; ++i) {
     bench.query(1, {1.0});
@@ -318,7 +320,7 @@
 }
 
 TEST(Health, AvoidsNodesThatFailFast) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(8, 100ms);
   int to_failing = 0;
@@ -344,7 +346,7 @@
 
 // The hedge goes to another node, and the first attempt is not cancelled.
 TEST(Attempts, HedgesOnAnotherNodeWhenTheFirstIsSilent) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(40, 100ms);
   bench.query(1, {1.0});
@@ -364,7 +366,7 @@
 // A hedge that would wait as long as the first attempt only lengthens the queue of a hot shard.
 TEST(Attempts, NoHedgeToAReplicaThatIsNoQuicker) {
   for (bool hot : {false, true}) {
-    Bench bench;
+    PolicyHarness bench;
     bench.list_all(2);
     for (int i = 0; i < 40; ++i) {
       int shard = i % 10 == 0 ? 0 : 1;  // the other cell answers, so that 100 ms is the usual latency
@@ -382,7 +384,7 @@
 
 // The hedge credit is kept for parts that the query cannot do without.
 TEST(Attempts, NoHedgeForOptionalParts) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(40, 100ms);
   bench.query(0, {0.6, 0.2, 0.2}, {0, 0, 1});
@@ -399,7 +401,7 @@
 TEST(Attempts, FalseAlarmsReduceHedging) {
   std::size_t hedges[2] = {0, 0};
   for (bool answers_late : {false, true}) {
-    Bench bench;
+    PolicyHarness bench;
     bench.list_all(3);
     bench.warm_up(40, 100ms);
     for (int i = 0; i < 40; ++i) {
@@ -424,9 +426,9 @@
 // A part that waits on a node which goes on answering others is not lost; a hedge would add to the node's
 // load.
 TEST(Attempts, NoHedgeWhileTheNodeAnswersOtherParts) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(1);
-  bench.list({Bench::member(2, 0)});
+  bench.list({PolicyHarness::member(2, 0)});
   bench.warm_up(8, 100ms);
   bench.query(1, std::vector<double>(40, 0.025));
   bench.step();
@@ -450,7 +452,7 @@
 
 // A node that answers later attempts but not an earlier one has lost the earlier one.
 TEST(Attempts, HedgesWhenLaterAttemptsAreAnsweredFirst) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(16, 50ms);
   bench.query(1, {1.0});
@@ -475,9 +477,9 @@
 // Nodes that are full or unreachable fail at once. A part must not spend all its attempts on them within a
 // few batches.
 TEST(Attempts, PausesBeforeRetryingOnTheSameNode) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(1);
-  bench.list({Bench::member(2, 0)});
+  bench.list({PolicyHarness::member(2, 0)});
   bench.step();
   bench.query(1, {1.0});
   Time start = bench.now;
@@ -497,7 +499,7 @@
 }
 
 TEST(Attempts, HedgesAreLimitedByTraffic) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(3);
   bench.warm_up(10, 100ms);
   bench.query(0, std::vector<double>(100, 0.01));
@@ -512,7 +514,7 @@
 
 // Attempts in flight count in the usual latency, so that a general slowdown does not look like lost attempts.
 TEST(Attempts, NoHedgeWhenNothingAnswers) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(3);
   bench.warm_up(40, 100ms);
   bench.query(0, std::vector<double>(200, 0.005));
@@ -524,7 +526,7 @@
 
 // Under overload, queries above the limit wait, and those without enough time left are refused.
 TEST(Admission, QueriesWaitAtTheConcurrencyLimit) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(60, 700ms);  // far above the latency that is controlled for
   std::size_t sent = 0, refused = 0;
@@ -544,7 +546,7 @@
 // Nodes may refuse many parts while the median latency still looks good; the limit must not wait for the
 // median.
 TEST(Admission, RefusalsLowerTheLimitBeforeTheMedianRises) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(3);
   bench.warm_up(120, 20ms);
   bool lowered = false;
@@ -563,7 +565,7 @@
 // A query with less time than its parts have recently taken is refused on arrival, even below the limit. Once
 // these latencies are old, it is admitted again.
 TEST(Admission, RefusesQueriesWithTooLittleTime) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   bench.warm_up(40, 500ms);
   bench.query(1, std::vector<double>(10, 0.1), {}, 400ms);
@@ -581,7 +583,7 @@
 TEST(Admission, RandomlyRefusesAClassThatEarnsNothing) {
   Settings settings = plain_settings();
   settings.classes.push_back(class_of(1, 1));  // not affected by the first class's timeouts
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all(2);
   std::size_t sent = 0, refused = 0, other = 0;
   for (int i = 0; i < 40; ++i) {
@@ -607,7 +609,7 @@
 
 // Queries of one tenant are not refused for the failures of another tenant of the same class.
 TEST(Admission, OneTenantsFailuresDoNotAffectAnother) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(2);
   auto ask = [&](int tenant, bool answer) {
     bench.query(1, {0.5, 0.5}, {tenant, tenant});
@@ -637,7 +639,7 @@
 TEST(Admission, SkipsOrRefusesPartsOfAFailingShard) {
   Settings settings = plain_settings();
   settings.classes.push_back(class_of(1, 1));  // not affected by the first class's failures
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all(2);
   std::size_t whole_sent = 0, other_sent = 0, partial_without = 0;
   for (int i = 0; i < 60; ++i) {
@@ -666,7 +668,7 @@
 
 // A part that fails too late for another attempt ends its query at once, not at the deadline.
 TEST(Answering, EndsAtOnceWhenAPartCannotFinishInTime) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all(3);
   bench.warm_up(40, 300ms);
   bench.query(1, {0.5, 0.5});
@@ -692,10 +694,11 @@
   Settings settings = plain_settings();
   settings.cells = 75;
   settings.shards = 75;
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   std::vector<Member> members;
   for (int cell = 0; cell < 75; ++cell)
-    for (int i = 0; i < 4; ++i) members.push_back(Bench::member(static_cast<NodeId>(cell * 10 + i), cell));
+    for (int i = 0; i < 4; ++i)
+      members.push_back(PolicyHarness::member(static_cast<NodeId>(cell * 10 + i), cell));
   bench.list(members, MemberListForm::saved);
   std::vector<int> shards;
   for (int i = 0; i < 200; ++i) shards.push_back(i % 75);
@@ -720,7 +723,7 @@
 }
 
 TEST(Answering, PartialAnswerMeetsTheLatencyTarget) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   QueryId id = bench.query(0, {0.5, 0.3, 0.2});
   Time start = bench.now;
@@ -737,7 +740,7 @@
 
 // If the deadline is before the latency target, a partial answer has to be given before the deadline.
 TEST(Answering, PartialAnswerMeetsADeadlineBeforeTheTarget) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(0, {0.6, 0.4}, {1, 1}, 800ms);
   Time start = bench.now;
@@ -750,8 +753,8 @@
 }
 
 TEST(Answering, RefusesUnservableQueriesAtOnceWithRetryAfter) {
-  Bench bench;
-  bench.list({Bench::member(1, 0)}, MemberListForm::saved);
+  PolicyHarness bench;
+  bench.list({PolicyHarness::member(1, 0)}, MemberListForm::saved);
   bench.query(1, {0.5, 0.5}, {0, 1});  // no node holds shard 1
   bench.step();
   ASSERT_EQ(bench.refusals().size(), 1u);
@@ -759,7 +762,7 @@
 }
 
 TEST(Answering, QueryWithoutPartsEndsAtOnce) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.query(0, {});
   bench.step();
@@ -768,7 +771,7 @@
 }
 
 TEST(Answering, IgnoresEventsAfterTheEnd) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   QueryId id = bench.query(1, {1.0});
   bench.step();
@@ -787,7 +790,7 @@
 TEST(Answering, SecondStepIsAnsweredFromItsOwnParts) {
   Settings settings = plain_settings();
   settings.classes[1].fetch_parts = 2;
-  Bench bench(settings);
+  PolicyHarness bench(settings);
   bench.list_all();
   QueryId id = bench.query(1, {0.5, 0.5});
   bench.step();
@@ -806,7 +809,7 @@
 #if defined(__GLIBC__) && !defined(__SANITIZE_ADDRESS__)
 // Without a retry budget, the times of arrivals and retries must not be kept: nothing would ever remove them.
 TEST(Memory, EndedQueriesAreFreed) {
-  Bench bench;
+  PolicyHarness bench;
   bench.list_all();
   bench.warm_up(4000, 10ms);
   std::size_t before = mallinfo2().uordblks;
@@ -818,7 +821,7 @@
 
 TEST(Determinism, SameEventsGiveSameActions) {
   auto play = [](std::uint64_t seed) {
-    Bench bench(plain_settings(), seed);
+    PolicyHarness bench(plain_settings(), seed);
     bench.list_all();
     std::vector<std::pair<PartId, NodeId>> sent;
     for (int i = 0; i < 50; ++i) {
@@ -840,8 +843,8 @@
 }
 
 TEST(Determinism, InstancesShareNoState) {
-  Bench alone, beside, noisy;
-  for (Bench* bench : {&alone, &beside, &noisy}) bench->list_all();
+  PolicyHarness alone, beside, noisy;
+  for (PolicyHarness* bench : {&alone, &beside, &noisy}) bench->list_all();
   for (int i = 0; i < 20; ++i) {
     noisy.query(1, {1.0});
     noisy.step();
--- a/tests/registry_broker_test.cpp
+++ b/tests/registry_broker_test.cpp
@@ -36,7 +36,7 @@
     broker_options.membership = options::MembershipKind::registry;
     broker_options.registry = options;
     broker = std::make_unique<Broker>(loop, peers::quiet_log(), config,
-                                      make_policy(config.module, config.seed), broker_options);
+                                      make_policy(config.policy, config.seed), broker_options);
     broker->start();
     ASSERT_TRUE(turn([&] { return ready(); }));
     clients.resize(6);
@@ -126,8 +126,8 @@
     ASSERT_TRUE(turn([&] { return broker->counters_json().find(revision) != std::string::npos; }));
     net::Time told = loop.now();
     if (i % 2 == 1) world->store().remove(key("s-" + std::to_string(i)));
-    turn_for(config.module.drain_grace + 300ms);
-    EXPECT_LE(node.last_part(), told + config.module.drain_grace) << "node " << i;
+    turn_for(config.policy.drain_grace + 300ms);
+    EXPECT_LE(node.last_part(), told + config.policy.drain_grace) << "node " << i;
     std::uint64_t parts = node.parts();
     turn_for(100ms);
     EXPECT_EQ(node.parts(), parts);
@@ -149,7 +149,7 @@
   std::uint64_t last = 0;
   ASSERT_TRUE(
       turn([&] { return broker->counters_json().find("\"state\":\"following\"") != std::string::npos; }));
-  turn_for(config.module.drain_grace);
+  turn_for(config.policy.drain_grace);
   last = nodes[0]->parts();
   turn_for(200ms);
   EXPECT_EQ(nodes[0]->parts(), last);
