--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -12,13 +12,13 @@
 
 using namespace std::chrono_literals;
 
-// Descriptors that are neither a client's nor a node's: the listener, discovery, signals, the log.
+// File descriptors for the listener, discovery, signals and the log.
 constexpr std::size_t reserved_descriptors = 24;
-// Of the process's memory, for what clients send and have not taken yet. Frames from and to nodes have 66 KB
-// each on a quarter of the descriptors, and open queries are bounded in number.
+// Share of the process memory for client input and unsent responses. The rest covers node connections (up to
+// 66 KB each) and open queries, both limited in number.
 constexpr double client_memory_share = 0.35;
 
-// How long after the word to end new queries are still taken: those who send them learn of it by then.
+// New queries are accepted this long after shutdown starts, until clients have noticed it.
 constexpr net::Duration drain_accept_period = 700ms;
 
 nodelink::LinkLimits link_limits(const config::Config& config) {
@@ -26,12 +26,12 @@
           config.policy.may_cancel};
 }
 
-// A quarter of the descriptors is kept for nodes.
+// A quarter of the descriptors is reserved for node connections.
 std::size_t max_clients(const config::Config& config) {
   return static_cast<std::size_t>(config.max_sockets) * 3 / 4;
 }
 
-// A client's request is named by its connection.
+// A client request is identified by its connection, which has one request at a time.
 engine::ClientId client_id_of(net::SlotId connection) {
   return std::uint64_t{connection.generation} << 32 | connection.index;
 }
@@ -39,7 +39,7 @@
   return {static_cast<std::uint32_t>(client), static_cast<std::uint32_t>(client >> 32)};
 }
 
-// How often a broker's load is told to the fleet where it has changed.
+// Interval at which the broker publishes its load to the fleet.
 constexpr net::Duration publish_interval = 1s;
 
 constexpr std::string_view outcome_names[] = {"error",          "served", "turned_away", "timed_out",
@@ -67,36 +67,36 @@
     tenants_[config_.policy.tenants[i].name] = static_cast<int>(i);
 }
 
-// The broker's own record, with the address at which it really listens.
+// Registers the broker under its bound address, which may differ from the configured one.
 void Broker::make_registration() {
   if (!options_.registration) return;
-  const options::RegistrationOptions& wanted = *options_.registration;
+  const options::RegistrationOptions& registration = *options_.registration;
   membership::Entry self;
   self.id = config_.name;
   self.address = front_.address();
-  self.zone = wanted.zone;
+  self.zone = registration.zone;
   self.kind = "broker";
   self.up_since_ms = std::chrono::duration<double, std::milli>(loop_.now().time_since_epoch()).count();
-  registration_ =
-      std::make_unique<registry::Registration>(loop_, log_, wanted.registry, wanted.prefix + config_.name,
-                                               registry::write_record(self), wanted.lease, config_.seed);
+  registration_ = std::make_unique<registry::Registration>(
+      loop_, log_, registration.registry, registration.prefix + config_.name, registry::write_record(self),
+      registration.lease, config_.seed);
 }
 
 void Broker::make_fleet() {
   if (!options_.fleet) return;
-  const options::FleetOptions& wanted = *options_.fleet;
+  const options::FleetOptions& fleet = *options_.fleet;
   fleet_ =
-      std::make_unique<peerlink::Fleet>(loop_, log_, wanted, config_.name, front_.address(), config_.seed);
-  if (wanted.registry_prefix && options_.registration)
+      std::make_unique<peerlink::Fleet>(loop_, log_, fleet, config_.name, front_.address(), config_.seed);
+  if (fleet.registry_prefix && options_.registration)
     seeds_ = std::make_unique<peerlink::RegistrySeeds>(
-        loop_, log_, *options_.registration, *wanted.registry_prefix, config_.name, config_.seed, *fleet_);
+        loop_, log_, *options_.registration, *fleet.registry_prefix, config_.name, config_.seed, *fleet_);
   fleet_->publish("settings", fmt::format("{:016x}", config_.settings.fingerprint()));
   publish_records();
 }
 
-// What each broker tells the others of itself, beside its word.
+// Publishes this broker's records to the other members of the fleet.
 void Broker::publish_records() {
-  // By powers of two: each change goes to all, so what only jitters is not told.
+  // Rounded to a power of two, since every change is gossiped to all members.
   fleet_->publish("load", std::to_string(std::bit_floor(engine_.open())));
   fleet_->publish("drain", winding_down_ ? "yes" : "no");
   records_timer_ = loop_.at(loop_.now() + publish_interval, [this] { publish_records(); });
@@ -130,16 +130,16 @@
   if (due == net::Time::max())
     engine_timer_.reset();
   else
-    engine_timer_ = loop_.at(due, [this] { engine_.tick(loop_.now()); });  // the turn's end does the rest
+    engine_timer_ = loop_.at(due, [this] { engine_.tick(loop_.now()); });  // end_turn() follows
 }
 
 void Broker::reload(const config::Config& config, const options::Options& options) {
-  std::string fixed;
+  std::string unchanged;
   for (const std::string& key : config::restart_required_changes(config_, config))
-    fixed += (fixed.empty() ? "" : ", ") + key;
+    unchanged += (unchanged.empty() ? "" : ", ") + key;
   for (const std::string& key : options::restart_required_changes(options_, options))
-    fixed += (fixed.empty() ? "" : ", ") + key;
-  if (!fixed.empty()) log_.warning("reload: changes only with a restart: {}", fixed);
+    unchanged += (unchanged.empty() ? "" : ", ") + key;
+  if (!unchanged.empty()) log_.warning("reload: changes only with a restart: {}", unchanged);
   members_.move(make_member_source(loop_, log_, config, options));
   log_.info("reload: the list of nodes comes from {}", members_.where());
 }
@@ -166,30 +166,30 @@
 void Broker::request_arrived(net::SlotId connection, const http::Message& message) {
   if (handle_builtin_path(connection, message)) return;
   std::string_view path = message.target.substr(0, message.target.find('?'));
-  std::string_view first = path.substr(0, 1) == "/" ? path.substr(1) : path;
-  auto cls = classes_.find(first.substr(0, first.find('/')));
+  std::string_view relative = path.substr(0, 1) == "/" ? path.substr(1) : path;
+  auto cls = classes_.find(relative.substr(0, relative.find('/')));
   if (cls == classes_.end()) return reject_request(connection, 404, "path: no such class");
   if (message.method != "POST") return reject_request(connection, 405, "a query is a POST", "POST");
-  clients::Query asked;
+  clients::Query query;
   clients::QueryLimits limits{config_.policy.shards, static_cast<std::size_t>(config_.policy.max_open),
                               !tenants_.empty()};
-  if (auto fault = clients::read_query(message, limits, asked))
+  if (auto fault = clients::read_query(message, limits, query))
     return reject_request(connection, fault->status, fault->why);
   int tenant = 0;
   if (!tenants_.empty()) {
-    auto found = tenants_.find(asked.tenant);
+    auto found = tenants_.find(query.tenant);
     if (found == tenants_.end()) return reject_request(connection, 400, "X-Account: no such tenant");
     tenant = found->second;
   }
   engine::Arrival arrival;
   arrival.client = client_id_of(connection);
-  arrival.id = asked.id;
-  arrival.text = std::move(asked.text);
+  arrival.id = query.id;
+  arrival.text = std::move(query.text);
   arrival.cls = cls->second;
   arrival.tenant = tenant;
-  arrival.deadline = loop_.now() + net::Duration(asked.time_left_ms / 1000);
-  arrival.repeat = asked.repeat;
-  for (const clients::QueryPart& part : asked.parts)
+  arrival.deadline = loop_.now() + net::Duration(query.time_left_ms / 1000);
+  arrival.repeat = query.repeat;
+  for (const clients::QueryPart& part : query.parts)
     arrival.parts.push_back({part.shard, part.weight, part.key, part.cost_us.has_value(),
                              Duration(part.cost_us.value_or(0) / 1e6)});
   switch (engine_.take(loop_.now(), std::move(arrival))) {
@@ -236,7 +236,7 @@
   } else if (!options_.fleet->leave_by_request) {
     reject_request(connection, 403, "fleet.leave_by_request is not set");
   } else {
-    log_.info("fleet: told to leave by request");
+    log_.info("fleet: leaving on request");
     front_.answer(connection, {200, "{\"leaving\":true}", "application/json", {}, 0});
     wind_down();
   }
@@ -246,7 +246,7 @@
 void Broker::reject_request(net::SlotId connection, int status, std::string_view why,
                             std::string_view allow) {
   ++bad_queries_;
-  log_.debug("no query: {}", why);
+  log_.debug("request rejected: {}", why);
   front_.answer(connection, {status, clients::error_body(why), "application/json", allow, 0});
 }
 
@@ -342,11 +342,11 @@
     out += "\"registry\":{" + details + "},";
   if (registration_) out += "\"registration\":{" + registration_->counters_json() + "},";
   if (fleet_) out += "\"fleet\":{" + fleet_->counters_json() + "},";
-  rusage used{};
-  ::getrusage(RUSAGE_SELF, &used);
+  rusage usage{};
+  ::getrusage(RUSAGE_SELF, &usage);
   auto ms = [](const timeval& time) { return time.tv_sec * 1000 + time.tv_usec / 1000; };
   out += fmt::format("\"process\":{{\"peak_memory_kb\":{},\"cpu_ms\":{}}},\"log_lines_dropped\":{}}}",
-                     used.ru_maxrss, ms(used.ru_utime) + ms(used.ru_stime), log_.dropped());
+                     usage.ru_maxrss, ms(usage.ru_utime) + ms(usage.ru_stime), log_.dropped());
   return out;
 }
 
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -1,5 +1,5 @@
-// Joins the engine, which holds the queries and speaks with the decision module, with the sockets: the
-// clients' front, the connections to nodes, the source of the list. Nothing here decides.
+// The broker process: connects the query engine, which runs the policy, to the client front end, the node
+// connections, the membership source, the registry and the fleet. Makes no routing decisions itself.
 #pragma once
 
 #include <cstdint>
@@ -26,6 +26,7 @@
 
 namespace pearspar::broker {
 
+// All members run on the loop's thread.
 class Broker : clients::FrontUser,
                nodelink::LinkUser,
                membership::MembersUser,
@@ -38,17 +39,17 @@
          const options::Options& options = {});
 
   void start();
-  // To be called after each turn of the loop: hands the module what has come in.
+  // Must be called after each loop iteration: passes the collected events to the policy.
   void end_turn();
 
-  // A new configuration, whole and checked: what can change while the broker runs takes effect, and a line
-  // names what can't.
+  // Applies the settings of a validated configuration that can change at run time and logs those that need a
+  // restart.
   void reload(const config::Config& config, const options::Options& options = {});
 
-  // Gives up what one client's connection holds; false where nothing is left to give up.
+  // Frees the memory held by one client connection; false if there is none to free.
   bool shed() { return front_.shed(); }
 
-  // A planned end: queries are taken for a while yet, and what was taken is answered.
+  // Starts a graceful shutdown: queries are accepted for a short time and accepted queries are answered.
   void wind_down();
   bool done() const { return done_; }
 
@@ -56,7 +57,7 @@
   std::string counters_json() const;
 
  private:
-  // What comes in.
+  // Callbacks of the client front end, the node connections and the membership source.
   void request_arrived(net::SlotId connection, const http::Message& message) override;
   void client_left(net::SlotId connection) override;
   void attempt_ended(const nodelink::AttemptEnd& end) override;
@@ -72,7 +73,7 @@
   void make_fleet();
   void publish_records();
 
-  // What the engine asks for.
+  // Interfaces that the engine calls.
   void answered(engine::ClientId client, const engine::Result& result) override;
   void place(NodeId node, const net::Address& address, double up_since_ms) override {
     links_.place(node, address, up_since_ms);
@@ -91,7 +92,7 @@
   net::Loop& loop_;
   log::Logger& log_;
   config::Config config_;
-  options::Options options_;  // of the start
+  options::Options options_;  // as of start-up
   clients::Front front_;
   nodelink::Links links_;
   membership::Switch members_;
@@ -103,12 +104,12 @@
   bool winding_down_ = false;
   bool listener_closed_ = false;
   net::Timer wind_down_timer_;
-  std::unique_ptr<registry::Registration> registration_;  // where the operator asks for one
-  std::unique_ptr<peerlink::Fleet> fleet_;                // the same
-  std::unique_ptr<peerlink::RegistrySeeds> seeds_;        // the same
+  std::unique_ptr<registry::Registration> registration_;  // null if not configured
+  std::unique_ptr<peerlink::Fleet> fleet_;                // null if not configured
+  std::unique_ptr<peerlink::RegistrySeeds> seeds_;        // null if not configured
   net::Timer records_timer_;
   bool fleet_finished_ = false;
-  std::uint64_t bad_queries_ = 0;  // never reached the engine: no query, or of an unknown class or tenant
+  std::uint64_t bad_queries_ = 0;  // rejected before the engine: malformed, or unknown class or tenant
 };
 
 }  // namespace pearspar::broker
--- a/src/broker/member_source.h
+++ b/src/broker/member_source.h
@@ -1,4 +1,4 @@
-// Which source of membership a broker's configuration and its operator's file name together.
+// Creates the membership source that the configuration and the options file select.
 #pragma once
 
 #include "config/config.h"
@@ -8,6 +8,7 @@
 
 namespace pearspar::broker {
 
+// Returns a factory for the source: registry, fixed list or the platform's discovery agent.
 membership::MakeSource make_member_source(net::Loop& loop, log::Logger& log, const config::Config& config,
                                           const options::Options& options);
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// The one place where a broker's configuration is read, checked and given its defaults.
+// Reads and validates the broker's JSON configuration and applies defaults.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,32 @@
 
 namespace pearspar::config {
 
-// The text is one line that names the faulty key.
+// The message is one line that names the invalid key.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// The validated configuration of one broker.
 struct Config {
   std::string name;
   net::Address listen;
   net::Address discovery;
   std::uint64_t seed = 0;
   int max_sockets = 0;
-  int memory_mb = 0;            // that this process may use
-  discovery::MemberList known;  // as this broker last had it; may be old, or empty
+  int memory_mb = 0;            // memory budget of the process
+  discovery::MemberList known;  // last list saved by this broker; may be stale or empty
   Settings policy;
   settings::BrokerSettings broker;
-  settings::Values settings;  // all of them, as they were written
+  settings::Values settings;  // all settings in textual form
 };
 
+// Both throw ConfigError.
 Config read_config(std::string_view text);
 Config read_config_file(const std::string& path);
 
-// The keys that differ between the two and take effect only at a start. The seed and the known list are for
-// the start alone and new each time, so they are not told.
+// Keys that differ and take effect only after a restart. The seed and the known list change with every
+// start and are not reported.
 std::vector<std::string> restart_required_changes(const Config& now, const Config& then);
 
 }  // namespace pearspar::config
--- a/src/config/version.h
+++ b/src/config/version.h
@@ -1,4 +1,4 @@
-// The program's version, as it is printed and told to other brokers.
+// The program version, as printed and as reported to other brokers.
 #pragma once
 
 namespace pearspar {
--- a/src/discovery/client.h
+++ b/src/discovery/client.h
@@ -1,5 +1,5 @@
-// Keeps the list of nodes up to date: the whole list once, then one watch after the other. Whatever goes
-// wrong, the list that stands is kept and the next try is paced.
+// Client of the platform's discovery agent: fetches the full node list once, then follows changes by long
+// polling. On errors the last list stays in use and requests are retried with backoff.
 #pragma once
 
 #include <cstdint>
@@ -15,6 +15,7 @@
 
 using membership::MembersUser;
 
+// A membership source that follows one discovery agent over HTTP.
 class Client final : public membership::Source {
  public:
   Client(net::Loop& loop, log::Logger& log, const net::Address& address, MembersUser& user)
@@ -24,7 +25,7 @@
   void start() override;
   void stop() override;
   void fetch() override;
-  // The connection that stands is the last one: once it ends, no other is made.
+  // Stops reconnecting: the current connection is used until it ends.
   void make_last() override { no_reconnect_ = true; }
   std::int64_t revision() const override { return revision_; }
   membership::SourceCounters counters() const override { return counters_; }
@@ -36,7 +37,7 @@
   void read();
   void write();
   void handle_reply();
-  bool apply_list(const MemberList& list);  // true where it told anything
+  bool apply_list(const MemberList& list);  // true if the user was notified
   void send_next_request();
   void fail(const std::string& why);
   void disconnect();
--- a/src/discovery/members.h
+++ b/src/discovery/members.h
@@ -1,4 +1,4 @@
-// The list of nodes as the platform's discovery writes it.
+// Parses the JSON node list of the platform's discovery service.
 #pragma once
 
 #include "json/json.h"
@@ -10,7 +10,7 @@
 using membership::MemberList;
 using membership::Phase;
 
-// Throws json::ParseError, with the member's name, on what is no such list.
+// Throws json::ParseError that names the invalid member.
 MemberList read_members(const json::Value& value);
 
 }  // namespace pearspar::discovery
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line of pearspar.
+// The command line of pearspar: the broker itself and its administration commands.
 #include <signal.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -24,12 +24,12 @@
 
 namespace {
 
-constexpr int exit_failure = 1;                // it could not start or go on
-constexpr int exit_invalid_configuration = 2;  // its configuration is no good
+constexpr int exit_failure = 1;                // start-up or run-time failure
+constexpr int exit_invalid_configuration = 2;  // invalid configuration or options file
 
 pearspar::config::Config read_config(const std::string& path) {
   pearspar::config::Config config = pearspar::config::read_config_file(path);
-  // Where the machine grants fewer descriptors than the configuration names, that is what there is.
+  // The descriptor limit of the process bounds the configured number of sockets.
   rlimit descriptors{};
   if (::getrlimit(RLIMIT_NOFILE, &descriptors) == 0 && descriptors.rlim_cur != RLIM_INFINITY)
     config.max_sockets =
@@ -41,26 +41,26 @@
   return path.empty() ? pearspar::options::Options() : pearspar::options::read_options_file(path);
 }
 
-// A file that is no good changes nothing: a broker that serves must not end for it.
+// Reloads both files; an invalid file is logged and leaves the running configuration unchanged.
 void reload(pearspar::broker::Broker& broker, pearspar::log::Logger& log, const std::string& path,
             const std::string& options_path) {
   try {
     const pearspar::options::Options options = read_options(options_path);
     broker.reload(read_config(path), options);
   } catch (const pearspar::options::OptionsError& error) {
-    for (const std::string& fault : error.errors()) log.error("reload: {}", fault);
+    for (const std::string& message : error.errors()) log.error("reload: {}", message);
     log.error("reload: the options in force stay");
   } catch (const std::exception& error) {
     log.error("reload: {}; the configuration in force stays", error.what());
   }
 }
 
-// The system has refused memory: what clients hold makes way until the reserve is whole again.
+// After a failed allocation, frees client connections until the memory reserve can be filled again.
 void refill_memory_reserve(pearspar::broker::Broker& broker, pearspar::log::Logger& log) {
-  int given_up = 0;
-  while (!pearspar::allocation::fill_reserve() && broker.shed()) ++given_up;
-  log.warning("short of memory: {} allocations refused so far, {} clients given up",
-              pearspar::allocation::refusals(), given_up);
+  int closed = 0;
+  while (!pearspar::allocation::fill_reserve() && broker.shed()) ++closed;
+  log.warning("out of memory: {} allocations failed since the start, {} client connections freed",
+              pearspar::allocation::refusals(), closed);
 }
 
 int serve(const std::string& config_path, const std::string& options_path, pearspar::log::Level level) {
@@ -128,7 +128,7 @@
     }
     if (*fleet_command) return pearspar::cli::run_fleet_command(fleet_arguments);
     if (*registry_command) return pearspar::cli::run_registry_command(registry_arguments);
-    // An operator's file can be checked without the platform's.
+    // The options file can be checked without a configuration file.
     if (*check_command && !options_path.empty()) {
       read_options(options_path);
       std::printf("%s: good\n", options_path.c_str());
@@ -144,7 +144,7 @@
     }
     return serve(config_path, options_path, level);
   } catch (const pearspar::options::OptionsError& error) {
-    for (const std::string& fault : error.errors()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
+    for (const std::string& message : error.errors()) std::fprintf(stderr, "pearspar: %s\n", message.c_str());
     return exit_invalid_configuration;
   } catch (const pearspar::config::ConfigError& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
