--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -20,9 +20,11 @@
 constexpr int exit_bad_arguments = 2;
 constexpr int exit_disagreement = 3;
 
+// Invalid command-line arguments.
 struct BadArguments : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
+// A broker did not answer or answered with an error.
 struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -34,6 +36,7 @@
   return *address;
 }
 
+// One member as listed by a broker, with its formatted output line.
 struct MemberRow {
   std::string name;
   std::string state;
@@ -41,7 +44,7 @@
   std::string line;
 };
 
-// One broker's view, as it tells it.
+// The fleet view reported by one broker.
 struct FleetView {
   std::string self;
   std::string digest;
@@ -79,13 +82,13 @@
   view.smaller_part = boolean_member(all, "smaller_part");
   view.yields = boolean_member(all, "yields");
   const json::Value* members = all.find("members");
-  if (!members) throw RequestFailed("what came is no view of a fleet");
+  if (!members) throw RequestFailed("the response is not a fleet view");
   for (const json::Value& member : members->items) {
     MemberRow row{
         text_member(member, "name"), text_member(member, "state"), text_member(member, "serves"), {}};
     std::string records;
-    if (const json::Value* shelf = member.find("records"))
-      for (const auto& [key, value] : shelf->members)
+    if (const json::Value* published = member.find("records"))
+      for (const auto& [key, value] : published->members)
         records += fmt::format("{}{}={}", records.empty() ? "" : " ", key, value.text().value_or(""));
     row.line = fmt::format("{:<16} {:<8} {:>8.1f} s {:<21} {:<21} {:<6} {:<6} {:<8} {:>4} {}", row.name,
                            row.state, static_cast<double>(integer_member(member, "for_ms")) / 1000,
@@ -97,34 +100,35 @@
   return view;
 }
 
+// Sends blocking HTTP requests to brokers.
 class FleetClient {
  public:
   explicit FleetClient(double timeout_s) : timeout_(timeout_s), call_(loop_) {}
 
   std::string ask(const std::string& broker, const std::string& method, const std::string& path) {
-    std::optional<registry::Reply> got;
+    std::optional<registry::Reply> response;
     std::string fault;
     bool ended = false;
     call_.send(address_of(broker), {method, path, ""}, "", timeout_,
                [&](const registry::Reply* reply, const std::string& why) {
                  ended = true;
                  if (reply)
-                   got = *reply;
+                   response = *reply;
                  else
                    fault = why;
                });
     while (!ended) loop_.turn();
-    if (!got) throw RequestFailed(broker + ": " + fault);
-    if (got->status == 404) throw RequestFailed(broker + ": takes part in no fleet");
-    if (got->status != 200)
-      throw RequestFailed(fmt::format("{}: status {}: {}", broker, got->status, got->body));
-    return got->body;
+    if (!response) throw RequestFailed(broker + ": " + fault);
+    if (response->status == 404) throw RequestFailed(broker + ": takes part in no fleet");
+    if (response->status != 200)
+      throw RequestFailed(fmt::format("{}: status {}: {}", broker, response->status, response->body));
+    return response->body;
   }
   FleetView view(const std::string& broker) {
     try {
       return read_view(ask(broker, "GET", "/fleet"));
     } catch (const json::ParseError& error) {
-      throw RequestFailed(broker + ": what came is no view of a fleet: " + error.what());
+      throw RequestFailed(broker + ": the response is not a fleet view: " + error.what());
     }
   }
   net::Loop& loop() { return loop_; }
@@ -171,7 +175,7 @@
   return 0;
 }
 
-// Prints what changed from one look to the next.
+// Polls one broker and prints changes of its view.
 int watch(const FleetArguments& arguments) {
   FleetClient client(arguments.timeout_s);
   net::Signals signals{SIGINT, SIGTERM};
@@ -193,11 +197,11 @@
         head = view.raw;
       } else {
         for (const MemberRow& row : view.members) {
-          std::string& held = states[row.name];
-          if (held == row.state) continue;
+          std::string& last_state = states[row.name];
+          if (last_state == row.state) continue;
           std::printf("%s is %s%s\n", row.name.c_str(), row.state.c_str(),
-                      held.empty() ? "" : (", was " + held).c_str());
-          held = row.state;
+                      last_state.empty() ? "" : (", was " + last_state).c_str());
+          last_state = row.state;
         }
         if (summary_of(view) != head) std::printf("%s\n", summary_of(view).c_str());
         head = summary_of(view);
@@ -215,7 +219,7 @@
   return lost ? exit_unreachable : 0;
 }
 
-// What speaks against agreement; empty where nothing does.
+// The reasons why the views do not agree; empty if they do.
 std::string disagreement(const std::vector<FleetView>& views, const std::vector<std::string>& unreached) {
   std::string why;
   auto add = [&](const std::string& text) { why += (why.empty() ? "" : "; ") + text; };
@@ -293,31 +297,34 @@
 }  // namespace
 
 CLI::App* add_fleet_commands(CLI::App& app, FleetArguments& arguments) {
-  CLI::App* fleet = app.add_subcommand("fleet", "what the brokers of a fleet say of it");
+  CLI::App* fleet = app.add_subcommand("fleet", "inspect the fleet view of brokers");
   fleet->require_subcommand(1);
   auto add = [&](const char* name, const char* what) {
     CLI::App* command = fleet->add_subcommand(name, what);
     command->callback([&arguments, name] { arguments.command = name; });
-    command->add_option("broker", arguments.brokers, "where its clients come, as 127.0.0.1:3000")
+    command->add_option("broker", arguments.brokers, "client address of a broker, like 127.0.0.1:3000")
         ->required()
         ->check([](const std::string& text) {
           auto address = net::Address::parse(text);
           return address && address->port != 0 ? std::string() : "'" + text + "' is no address with a port";
         });
-    command->add_option("--timeout-s", arguments.timeout_s, "for one answer")->check(CLI::Range(0.01, 600.0));
+    command->add_option("--timeout-s", arguments.timeout_s, "timeout per request")
+        ->check(CLI::Range(0.01, 600.0));
     command->add_flag("--json", arguments.json, "for programs");
     return command;
   };
-  add("members", "who is there, as each broker sees it")
-      ->add_flag("--all", arguments.all, "those that are gone or have left, too");
-  CLI::App* watched = add("watch", "one broker's view as it changes");
-  watched->add_option("--every-s", arguments.every_s, "between looks")->check(CLI::Range(0.02, 3600.0));
+  add("members", "list the members as each broker sees them")
+      ->add_flag("--all", arguments.all, "include members that are gone or have left");
+  CLI::App* watched = add("watch", "print changes of one broker's view");
+  watched->add_option("--every-s", arguments.every_s, "polling interval in seconds")
+      ->check(CLI::Range(0.02, 3600.0));
   watched->add_option("--for", arguments.for_s, "seconds; 0: until SIGINT")->check(CLI::Range(0.0, 1e6));
-  add("digest", "one line a broker: equal digests are equal views");
-  add("leave", "an ordered end, where fleet.leave_by_request allows it");
-  CLI::App* checked = add("check", "status 0 where all asked brokers are settled on one view, else 3");
-  checked->add_flag("--all", arguments.all, "ask also all that the first one names");
-  checked->add_option("--for", arguments.for_s, "seconds to wait for it")->check(CLI::Range(0.0, 3600.0));
+  add("digest", "print one digest per broker; equal digests mean equal views");
+  add("leave", "shut brokers down gracefully; requires fleet.leave_by_request");
+  CLI::App* checked = add("check", "exit status 0 if all brokers are settled on one view, else 3");
+  checked->add_flag("--all", arguments.all, "include all members that the first broker lists");
+  checked->add_option("--for", arguments.for_s, "seconds to wait for agreement")
+      ->check(CLI::Range(0.0, 3600.0));
   return fleet;
 }
 
--- a/src/cli/fleet_commands.h
+++ b/src/cli/fleet_commands.h
@@ -1,5 +1,4 @@
-// `pearspar fleet ...`: what the brokers of a fleet say of it, asked at the addresses where their clients
-// come.
+// `pearspar fleet ...`: queries the fleet views of brokers over their client addresses.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,19 +7,21 @@
 
 namespace pearspar::cli {
 
+// Command-line arguments of all fleet commands.
 struct FleetArguments {
   std::vector<std::string> brokers;
   double timeout_s = 2;
   bool json = false;
   std::string command;
-  bool all = false;      // members: gone and left ones too. check: the brokers that the first one names
-  double every_s = 0.2;  // watch
-  double for_s = 0;      // watch: 0 = until SIGINT; check: how long to wait for agreement
+  bool all = false;  // members: include gone and left ones; check: include all members the first broker lists
+  double every_s = 0.2;  // watch: polling interval
+  double for_s = 0;      // watch: 0 = until SIGINT; check: time to wait for agreement
 };
 
+// Adds the `fleet` subcommands; parsed values go to `arguments`.
 CLI::App* add_fleet_commands(CLI::App& app, FleetArguments& arguments);
-// 0 done, and for check: all asked agree and are settled; 1 a broker cannot be reached or has no fleet; 2 the
-// arguments are no good; 3 check: they do not agree, or are not settled.
+// Exit status: 0 success (check: all views are equal and settled); 1 a broker is unreachable or has no fleet;
+// 2 invalid arguments; 3 check: the views differ or are not settled.
 int run_fleet_command(const FleetArguments& arguments);
 
 }  // namespace pearspar::cli
--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -21,11 +21,13 @@
 constexpr int exit_unreachable = 1;
 constexpr int exit_bad_arguments = 2;
 constexpr int exit_not_found = 3;
-constexpr int max_write_conflicts = 5;  // times that somebody else may change a record while we change it
+constexpr int max_write_conflicts = 5;  // concurrent changes tolerated while updating a record
 
+// Invalid command-line arguments.
 struct BadArguments : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
+// No endpoint answered, or the registry refused the request.
 struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -69,7 +71,7 @@
                      entry.up_since_ms);
 }
 
-// Calls one endpoint after the other until one has answered.
+// Blocking access to the registry; tries the endpoints in order until one answers.
 class RegistryClient {
  public:
   explicit RegistryClient(const RegistryArguments& arguments)
@@ -84,24 +86,25 @@
   net::Loop& loop() { return loop_; }
 
   registry::Reply call(const registry::Request& request) {
-    std::string faults;
+    std::string errors;
     for (const net::Address& address : options_.endpoints) {
-      std::optional<registry::Reply> got;
+      std::optional<registry::Reply> response;
       bool ended = false;
       call_.send(address, request, credentials_, timeout_,
                  [&](const registry::Reply* reply, const std::string& why) {
                    ended = true;
                    if (reply)
-                     got = *reply;
+                     response = *reply;
                    else
-                     faults += (faults.empty() ? "" : "; ") + address.text() + ": " + why;
+                     errors += (errors.empty() ? "" : "; ") + address.text() + ": " + why;
                  });
       while (!ended) loop_.turn();
-      if (!got) continue;
-      if (got->status < 500) return *got;
-      faults += (faults.empty() ? "" : "; ") + address.text() + ": status " + std::to_string(got->status);
+      if (!response) continue;
+      if (response->status < 500) return *response;
+      errors +=
+          (errors.empty() ? "" : "; ") + address.text() + ": status " + std::to_string(response->status);
     }
-    throw RequestFailed(faults);
+    throw RequestFailed(errors);
   }
 
   struct StoredRecord {
@@ -122,13 +125,13 @@
     if (value.items.empty()) return std::nullopt;
     const json::Value* text = value.items.front().find("Value");
     const json::Value* index = value.items.front().find("ModifyIndex");
-    StoredRecord held;
-    if (text) held.value = registry::decode_base64(text->raw).value_or("");
-    if (index) held.modified = index->integer().value_or(0);
-    return held;
+    StoredRecord record;
+    if (text) record.value = registry::decode_base64(text->raw).value_or("");
+    if (index) record.modified = index->integer().value_or(0);
+    return record;
   }
 
-  // False where it stood no longer at that revision.
+  // Compare-and-set: false if the record has another revision by now.
   bool put_if(const std::string& id, const std::string& value, registry::Revision modified) {
     registry::Reply reply = call(etcd() ? registry::etcd::put_if(key(id), value, modified)
                                         : registry::consul::put_if(key(id), value, modified));
@@ -179,30 +182,30 @@
   return 0;
 }
 
-// Reads, changes and writes back only what nobody else has changed meanwhile.
+// Updates the phase by compare-and-set, retrying on concurrent changes.
 int set_phase(const RegistryArguments& arguments, membership::Phase phase) {
   RegistryClient client(arguments);
   for (int i = 0; i < max_write_conflicts; ++i) {
-    auto held = client.get(arguments.id);
-    if (!held) {
+    auto stored = client.get(arguments.id);
+    if (!stored) {
       std::fprintf(stderr, "pearspar: there is no %s\n", client.key(arguments.id).c_str());
       return exit_not_found;
     }
     membership::Entry entry;
     try {
-      entry = registry::read_record(arguments.id, held->value);
+      entry = registry::read_record(arguments.id, stored->value);
     } catch (const json::ParseError& error) {
       std::fprintf(stderr, "pearspar: the record under %s cannot be read: %s\n",
                    client.key(arguments.id).c_str(), error.what());
       return exit_not_found;
     }
     entry.phase = phase;
-    if (client.put_if(arguments.id, registry::write_record(entry), held->modified)) {
+    if (client.put_if(arguments.id, registry::write_record(entry), stored->modified)) {
       std::printf("%s\n", format_entry(entry).c_str());
       return 0;
     }
   }
-  throw RequestFailed(client.key(arguments.id) + " is being changed by others all the time");
+  throw RequestFailed(client.key(arguments.id) + ": too many concurrent changes");
 }
 
 int remove_node(const RegistryArguments& arguments) {
@@ -216,7 +219,7 @@
   return 0;
 }
 
-// Follows the prefix as a broker does, and prints what a broker would be told.
+// Prints the updates that a broker would receive for the prefix.
 class ListPrinter final : public membership::MembersUser {
  public:
   explicit ListPrinter(bool json) : json_(json) {}
@@ -275,40 +278,42 @@
 }  // namespace
 
 CLI::App* add_registry_commands(CLI::App& app, RegistryArguments& arguments) {
-  CLI::App* registry = app.add_subcommand("registry", "look at the registry and change it by hand");
+  CLI::App* registry = app.add_subcommand("registry", "read and edit node records in the registry");
   registry->require_subcommand(1);
   auto add = [&](const char* name, const char* what, bool with_id) {
     CLI::App* command = registry->add_subcommand(name, what);
-    command->add_option("--options", arguments.options_path, "the operator's file that names the registry");
-    command->add_option("--endpoint", arguments.endpoints, "a registry's address, instead; again for more");
+    command->add_option("--options", arguments.options_path, "options file that names the registry");
+    command->add_option("--endpoint", arguments.endpoints,
+                        "registry address, instead of --options; repeatable");
     command->add_option("--dialect", arguments.dialect, "with --endpoint: etcd or consul")
         ->check(CLI::IsMember({"etcd", "consul"}));
-    command->add_option("--prefix", arguments.prefix, "the keys' prefix, where it is another");
+    command->add_option("--prefix", arguments.prefix, "key prefix, if not the default");
     command->add_option("--timeout", arguments.timeout_s, "seconds to wait for an endpoint")
         ->check(CLI::Range(0.05, 600.0));
     if (with_id) command->add_option("id", arguments.id, "the node's id")->required();
     command->callback([&arguments, name] { arguments.command = name; });
     return command;
   };
-  CLI::App* get = add("get", "print the nodes as they stand", false);
-  get->add_flag("--json", arguments.json, "a JSON object a line");
-  CLI::App* watch = add("watch", "print the nodes and then each change, as a broker is told it", false);
-  watch->add_flag("--json", arguments.json, "a JSON object a line");
-  watch->add_option("--for", arguments.for_s, "seconds to go on; 0: until SIGINT")
-      ->check(CLI::Range(0.0, 1e7));
+  CLI::App* get = add("get", "print the current nodes", false);
+  get->add_flag("--json", arguments.json, "one JSON object per line");
+  CLI::App* watch = add("watch", "print the nodes and then each change, as a broker receives them", false);
+  watch->add_flag("--json", arguments.json, "one JSON object per line");
+  watch->add_option("--for", arguments.for_s, "seconds to run; 0: until SIGINT")->check(CLI::Range(0.0, 1e7));
   CLI::App* put = add("put-node", "write a node's record", true);
-  put->add_option("--address", arguments.address, "as 10.0.0.1:3000")->required();
-  put->add_option("--cell", arguments.cell, "which shards it holds")->required()->check(CLI::Range(0, 65535));
+  put->add_option("--address", arguments.address, "like 10.0.0.1:3000")->required();
+  put->add_option("--cell", arguments.cell, "cell of shards that it holds")
+      ->required()
+      ->check(CLI::Range(0, 65535));
   put->add_option("--zone", arguments.zone, "");
   put->add_option("--kind", arguments.kind, "");
-  put->add_option("--size", arguments.size, "its capacity beside others'")->check(CLI::Range(0.0, 1e9));
-  put->add_option("--start-ms", arguments.start_ms, "its start, in Unix milliseconds")
+  put->add_option("--size", arguments.size, "relative capacity")->check(CLI::Range(0.0, 1e9));
+  put->add_option("--start-ms", arguments.start_ms, "start time in Unix milliseconds")
       ->check(CLI::Range(0.0, 1e15));
   put->add_flag("--draining", arguments.draining, "");
-  put->add_flag("--if-absent", arguments.if_absent, "only where there is no such node");
-  add("drain", "let a node finish what it has and give it nothing new", true);
+  put->add_flag("--if-absent", arguments.if_absent, "only if the node does not exist");
+  add("drain", "stop sending new requests to a node", true);
   add("ready", "take a node back into service", true);
-  add("remove", "take a node off the list", true);
+  add("remove", "remove a node from the list", true);
   return registry;
 }
 
@@ -321,7 +326,7 @@
     if (arguments.command == "ready") return set_phase(arguments, membership::Phase::ready);
     return remove_node(arguments);
   } catch (const options::OptionsError& error) {
-    for (const std::string& fault : error.errors()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
+    for (const std::string& message : error.errors()) std::fprintf(stderr, "pearspar: %s\n", message.c_str());
     return exit_bad_arguments;
   } catch (const BadArguments& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
--- a/src/cli/registry_commands.h
+++ b/src/cli/registry_commands.h
@@ -1,4 +1,4 @@
-// `pearspar registry ...`: what an operator does by hand in the registry, on the broker's own client code.
+// `pearspar registry ...`: reads and edits node records in the registry.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,6 +7,7 @@
 
 namespace pearspar::cli {
 
+// Command-line arguments of all registry commands.
 struct RegistryArguments {
   std::string options_path;
   std::string dialect = "etcd";
@@ -14,7 +15,7 @@
   std::string prefix;
   double timeout_s = 5;
   bool json = false;
-  // Of the command that was chosen.
+  // The chosen command and its arguments.
   std::string command;
   std::string id;
   std::string address;
@@ -28,9 +29,10 @@
   double for_s = 0;  // watch: 0 = until SIGINT
 };
 
+// Adds the `registry` subcommands; parsed values go to `arguments`.
 CLI::App* add_registry_commands(CLI::App& app, RegistryArguments& arguments);
-// 0 done; 1 the registry cannot be reached or would not; 2 the arguments are no good; 3 there is no such
-// node, or a record that cannot be read.
+// Exit status: 0 success; 1 the registry is unreachable or refused the request; 2 invalid arguments; 3 the
+// node does not exist or a record is invalid.
 int run_registry_command(const RegistryArguments& arguments);
 
 }  // namespace pearspar::cli
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -24,19 +24,19 @@
 constexpr std::size_t max_reported_errors = 20;
 constexpr int max_endpoints = 16;
 
-// Gathers errors with the place they stand at.
+// Collects errors with their positions in the file.
 class ErrorList : public pb::io::ErrorCollector {
  public:
   ErrorList(std::string name, std::string_view text) : name_(std::move(name)), text_(text) {}
 
-  // The parser counts lines and columns from 0.
+  // Lines and columns are zero-based.
   void AddError(int line, pb::io::ColumnNumber column, const std::string& what) override {
     add(line, column, {}, what);
   }
   void add(int line, int column, const std::string& field, const std::string& what) {
     if (all_.size() >= max_reported_errors) return;
-    std::string place = line < 0 ? name_ : fmt::format("{}:{}:{}", name_, line + 1, column + 1);
-    all_.push_back(place + ": " + (field.empty() ? "" : field + ": ") + what);
+    std::string position = line < 0 ? name_ : fmt::format("{}:{}:{}", name_, line + 1, column + 1);
+    all_.push_back(position + ": " + (field.empty() ? "" : field + ": ") + what);
   }
   const std::vector<std::string>& all() const { return all_; }
 
@@ -46,7 +46,7 @@
   std::vector<std::string> all_;
 };
 
-// One message of the file with the locations of its fields.
+// Validates one message and reports errors at the positions of its fields.
 class MessageReader {
  public:
   MessageReader(ErrorList& errors, const pb::Message& message, const pb::TextFormat::ParseInfoTree* locations,
@@ -60,7 +60,7 @@
       at = locations_->GetLocation(found, found->is_repeated() ? std::max(index, 0) : -1);
     std::string name = path_ + field;
     if (index >= 0) name += fmt::format("[{}]", index);
-    // A field that is missing has no place of its own.
+    // A missing field has no position.
     errors_.add(at.line, at.column, name, what);
   }
   MessageReader nested(const char* field, const pb::Message& message, int index = -1) const {
@@ -87,16 +87,16 @@
   std::size_t got = file ? std::fread(text, 1, sizeof text, file.get()) : 0;
   std::string token(text, got);
   while (!token.empty() && std::isspace(static_cast<unsigned char>(token.back()))) token.pop_back();
-  bool clean = std::all_of(token.begin(), token.end(), [](char c) { return c > 0x20 && c < 0x7f; });
+  bool printable = std::all_of(token.begin(), token.end(), [](char c) { return c > 0x20 && c < 0x7f; });
   if (!file)
     at.report("token_file", "cannot open " + path);
-  else if (token.empty() || got == sizeof text || !clean)
-    at.report("token_file", path + " holds no token");
+  else if (token.empty() || got == sizeof text || !printable)
+    at.report("token_file", path + " does not contain a valid token");
   return token;
 }
 
 std::string read_prefix(const std::string& prefix, const char* field, const MessageReader& at) {
-  if (prefix.empty()) at.report(field, "is empty: it would take in the whole registry");
+  if (prefix.empty()) at.report(field, "is empty: it would match the whole registry");
   if (prefix.size() > 1024) at.report(field, "is longer than 1024 bytes");
   return prefix;
 }
@@ -120,24 +120,25 @@
 
   if (file.endpoints_size() == 0) at.report("endpoints", "is missing: at least one address");
   if (file.endpoints_size() > max_endpoints)
-    at.report("endpoints", fmt::format("are {}, {} at most", file.endpoints_size(), max_endpoints));
+    at.report("endpoints",
+              fmt::format("has {} entries, at most {} are allowed", file.endpoints_size(), max_endpoints));
   for (int i = 0; i < file.endpoints_size(); ++i) {
     auto address = net::Address::parse(file.endpoints(i));
     if (!address || address->port == 0) {
       at.report("endpoints",
                 fmt::format("'{}' is no address with a port, like 10.0.0.5:2379", file.endpoints(i)), i);
     } else if (std::find(read.endpoints.begin(), read.endpoints.end(), *address) != read.endpoints.end()) {
-      at.report("endpoints", fmt::format("{} stands twice", file.endpoints(i)), i);
+      at.report("endpoints", fmt::format("{} is listed twice", file.endpoints(i)), i);
     } else {
       read.endpoints.push_back(*address);
     }
   }
-  // Consul's keys begin without a slash.
+  // Consul keys have no leading slash.
   read.prefix = file.has_prefix() ? read_prefix(file.prefix(), "prefix", at)
                 : etcd            ? "/pearspar/nodes/"
                                   : "pearspar/nodes/";
   if (!etcd && file.has_prefix() && !read.prefix.empty() && read.prefix.front() == '/')
-    at.report("prefix", "begins with a slash, which no key of CONSUL does");
+    at.report("prefix", "begins with a slash, which CONSUL keys do not");
   if (file.has_token_file()) read.token = read_token(file.token_file(), at);
 
   registry::FollowerOptions& follower = read.follower;
@@ -171,7 +172,7 @@
                                                                     : registry::consul::Consistency::plain;
   PEARSPAR_READ_FIELD_MS(file, at, most_behind_ms, read.consul.most_behind, 1, 600'000)
   if (file.has_most_behind_ms() && file.consistency() != Registry::STALE)
-    at.report("most_behind_ms", "says something with consistency: STALE only");
+    at.report("most_behind_ms", "is valid with consistency: STALE only");
 
   if (file.has_hold_removals()) {
     const HoldRemovals& hold = file.hold_removals();
@@ -196,7 +197,7 @@
     membership::Entry entry;
     entry.id = node.id();
     if (entry.id.empty()) nested.report("id", "is missing");
-    if (!ids.insert(entry.id).second) nested.report("id", "'" + entry.id + "' stands twice");
+    if (!ids.insert(entry.id).second) nested.report("id", "'" + entry.id + "' is listed twice");
     auto address = net::Address::parse(node.address());
     if (!address || address->port == 0)
       nested.report("address", "'" + node.address() + "' is no address with a port, like 10.0.0.1:3000");
@@ -223,7 +224,7 @@
   } else if (options.registry) {
     read.registry = *options.registry;
   } else {
-    at.report("registry", "is missing, and the list of nodes comes from no registry");
+    at.report("registry", "is missing, and the node list does not come from a registry");
   }
   if (read.registry.dialect == registry::DialectKind::consul) read.prefix = "pearspar/brokers/";
   if (file.has_prefix()) read.prefix = read_prefix(file.prefix(), "prefix", at);
@@ -231,9 +232,9 @@
   if (!file.has_registry() && !read.prefix.empty() &&
       (nodes.compare(0, read.prefix.size(), read.prefix) == 0 ||
        read.prefix.compare(0, nodes.size(), nodes) == 0))
-    at.report("prefix", "'" + read.prefix + "' and that of the nodes, '" + nodes + "', hold one another");
+    at.report("prefix", "'" + read.prefix + "' and the node prefix '" + nodes + "' overlap");
   if (file.has_lease_s()) {
-    // Consul takes no session below 10 s.
+    // Consul rejects session TTLs below 10 s.
     std::uint64_t min_value = read.registry.dialect == registry::DialectKind::consul ? 10 : 1;
     at.check_range<std::uint64_t>("lease_s", file.lease_s(), min_value, 3600);
     read.lease = std::chrono::seconds(file.lease_s());
@@ -252,12 +253,12 @@
   return {};
 }
 
-std::string read_label(const std::string& word, const char* field, std::size_t max_value,
+std::string read_label(const std::string& label, const char* field, std::size_t max_length,
                        const MessageReader& at) {
-  const bool clean = std::all_of(word.begin(), word.end(), [](char c) { return c > 0x20 && c < 0x7f; });
-  if (word.size() > max_value) at.report(field, fmt::format("is longer than {} bytes", max_value));
-  if (!clean) at.report(field, "holds what is no letter, digit or plain sign");
-  return word;
+  const bool printable = std::all_of(label.begin(), label.end(), [](char c) { return c > 0x20 && c < 0x7f; });
+  if (label.size() > max_length) at.report(field, fmt::format("is longer than {} bytes", max_length));
+  if (!printable) at.report(field, "contains a character that is not printable ASCII");
+  return label;
 }
 
 FleetOptions read_fleet(const Fleet& file, const MessageReader& at, const Options& options) {
@@ -268,31 +269,32 @@
     at.report("listen", "is missing: an address for datagrams, like 10.0.0.5:7400");
   } else if (auto address = net::Address::parse(file.listen())) {
     read.listen = *address;
-    // Another broker must be able to come back to the address that it is told.
+    // The other brokers need an address that they can reach.
     if (address->host == 0 && !file.has_advertise())
-      at.report("listen", "names no host, and advertise is missing: others could not find this broker");
+      at.report("listen", "names no host, and advertise is missing: other brokers could not reach this one");
   } else {
     at.report("listen", fmt::format("'{}' is no address with a port, like 10.0.0.5:7400", file.listen()));
   }
   if (file.has_advertise()) read.advertise = read_address(file.advertise(), "advertise", at);
-  if (file.seeds_size() > 64) at.report("seeds", fmt::format("are {}, 64 at most", file.seeds_size()));
+  if (file.seeds_size() > 64)
+    at.report("seeds", fmt::format("has {} entries, at most 64 are allowed", file.seeds_size()));
   for (int i = 0; i < file.seeds_size(); ++i) {
     net::Address seed = read_address(file.seeds(i), "seeds", at, i);
     auto& seeds = read.core.seeds;
     if (seed.port == 0) continue;
     if (std::find(seeds.begin(), seeds.end(), seed) != seeds.end())
-      at.report("seeds", fmt::format("{} stands twice", file.seeds(i)), i);
+      at.report("seeds", fmt::format("{} is listed twice", file.seeds(i)), i);
     seeds.push_back(seed);
   }
   if (file.has_registry_prefix()) {
     read.registry_prefix = read_prefix(file.registry_prefix(), "registry_prefix", at);
     if (!options.registration)
-      at.report("registry_prefix", "needs a registration, whose registry it stands in");
+      at.report("registry_prefix", "requires a registration, whose registry it uses");
     for (const std::string& other : {options.registry ? options.registry->prefix : std::string(),
                                      options.registration ? options.registration->prefix : std::string()})
       if (!other.empty() &&
           (other.starts_with(*read.registry_prefix) || read.registry_prefix->starts_with(other)))
-        at.report("registry_prefix", "and the prefix '" + other + "' hold one another");
+        at.report("registry_prefix", "and the prefix '" + other + "' overlap");
   }
   read.zone = read_label(file.zone(), "zone", 32, at);
   read.region = read_label(file.region(), "region", 32, at);
@@ -304,18 +306,18 @@
     at.check_range<std::uint64_t>("remember_gone_s", file.remember_gone_s(), 60, 7 * 24 * 3600);
     read.core.remember_gone = std::chrono::seconds(file.remember_gone_s());
   }
-  // A probe and an answer each period, and what a helper's errands take, have to fit.
-  const double min_value = 3000 / read.core.period.count();
-  if (static_cast<double>(read.core.bytes_per_s) < min_value)
-    at.report("bytes_per_s", fmt::format("{} is below what probes alone take at this period, {:.0f}",
-                                         read.core.bytes_per_s, min_value));
+  // The limit must cover one probe and one acknowledgement per period, plus indirect probes.
+  const double min_bytes_per_s = 3000 / read.core.period.count();
+  if (static_cast<double>(read.core.bytes_per_s) < min_bytes_per_s)
+    at.report("bytes_per_s", fmt::format("{} is below the rate that probes need at this period, {:.0f}",
+                                         read.core.bytes_per_s, min_bytes_per_s));
   read.leave_by_request = file.leave_by_request();
   return read;
 }
 
 std::string join_lines(const std::vector<std::string>& errors) {
   std::string all;
-  for (const std::string& fault : errors) all += (all.empty() ? "" : "\n") + fault;
+  for (const std::string& error : errors) all += (all.empty() ? "" : "\n") + error;
   return all;
 }
 
@@ -334,13 +336,13 @@
     : std::runtime_error(join_lines(errors)), errors_(std::move(errors)) {}
 
 std::vector<std::string> restart_required_changes(const Options& now, const Options& then) {
-  auto words = [](const std::optional<RegistrationOptions>& each) {
-    return each ? each->registry.text() + " " + each->prefix + " " + std::to_string(each->lease.count()) +
-                      " " + each->zone
-                : std::string();
+  auto text_of = [](const std::optional<RegistrationOptions>& registration) {
+    return registration ? registration->registry.text() + " " + registration->prefix + " " +
+                              std::to_string(registration->lease.count()) + " " + registration->zone
+                        : std::string();
   };
   std::vector<std::string> keys;
-  if (words(now.registration) != words(then.registration)) keys.push_back("registration");
+  if (text_of(now.registration) != text_of(then.registration)) keys.push_back("registration");
   if (now.log.json != then.log.json || now.log.lines_per_s != then.log.lines_per_s ||
       now.log.burst != then.log.burst)
     keys.push_back("log");
@@ -397,9 +399,9 @@
   std::unique_ptr<std::FILE, int (*)(std::FILE*)> file(std::fopen(path.c_str(), "rb"), &std::fclose);
   if (!file) throw OptionsError({path + ": cannot be opened"});
   std::string text;
-  char part[16384];
-  for (std::size_t got = 0; (got = std::fread(part, 1, sizeof part, file.get())) > 0;) {
-    text.append(part, got);
+  char chunk[16384];
+  for (std::size_t length = 0; (length = std::fread(chunk, 1, sizeof chunk, file.get())) > 0;) {
+    text.append(chunk, length);
     if (text.size() > max_file_size_bytes) throw OptionsError({path + ": is too large"});
   }
   if (std::ferror(file.get())) throw OptionsError({path + ": cannot be read"});
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -1,4 +1,4 @@
-// The operator's file, read and checked in one place. Its schema is options.proto.
+// Reads and validates the operator's options file, a protobuf text file with the schema options.proto.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 
 namespace pearspar::options {
 
-// One fault a line, each as `FILE:LINE:COLUMN: FIELD: what is wrong`.
+// Validation errors, one per line, each as `FILE:LINE:COLUMN: FIELD: message`.
 class OptionsError : public std::runtime_error {
  public:
   explicit OptionsError(std::vector<std::string> errors);
@@ -24,8 +24,10 @@
   std::vector<std::string> errors_;
 };
 
+// Source of the node list.
 enum class MembershipKind { agent, registry, fixed };
 
+// Registration of the broker in a registry.
 struct RegistrationOptions {
   registry::RegistryOptions registry;
   std::string prefix = "/pearspar/brokers/";
@@ -33,6 +35,7 @@
   std::string zone;
 };
 
+// Membership of the broker in a fleet.
 struct FleetOptions {
   peers::Options core;
   net::Address listen;
@@ -42,10 +45,11 @@
   std::string region;
   bool leave_by_request = false;
 
-  // What of it can be said in one line; two of one text are alike.
+  // All values on one line; equal options have equal texts.
   std::string text() const;
 };
 
+// The validated options file.
 struct Options {
   MembershipKind membership = MembershipKind::agent;
   std::optional<registry::RegistryOptions> registry;
@@ -55,10 +59,10 @@
   std::optional<FleetOptions> fleet;
 };
 
-// The parts that differ between the two and take effect only at a start.
+// Sections that differ and take effect only after a restart.
 std::vector<std::string> restart_required_changes(const Options& now, const Options& then);
 
-// `name` stands in the errors. Throws OptionsError with every fault that was found.
+// `name` is the file name used in errors. Both throw OptionsError with all errors found.
 Options read_options(std::string_view text, const std::string& name);
 Options read_options_file(const std::string& path);
 
