--- a/tests/broker_process.sh
+++ b/tests/broker_process.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The broker as a process: its command line, its exit status, its signals and its address.
+# Runs the broker as a process: command line, exit status, signals, reload and reuse of its address.
 set -euo pipefail
 program=$1
 dir=$(mktemp -d)
@@ -18,7 +18,7 @@
   [ "$got" -eq "$wanted" ] || fail "status $got instead of $wanted: $*: $(cat "$dir/out")"
 }
 
-config() { # listen address
+config() { # listen address; prints a configuration
   cat <<EOF
 {"name":"n3","listen":"$1","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -42,12 +42,12 @@
 grep -q '^pearspar [0-9]' "$dir/out" || fail "no version: $(cat "$dir/out")"
 expect_status 0 "$program" --help
 for command in serve check-config version; do
-  grep -q "$command" "$dir/out" || fail "the help does not name $command"
+  grep -q "$command" "$dir/out" || fail "--help does not list $command"
 done
 expect_status 0 "$program" check-config --config "$dir/good.json"
 for command in check-config serve; do
   expect_status 2 "$program" "$command" --config "$dir/bad.json"
-  grep -q 'quantum_s' "$dir/out" || fail "the faulty key is not named: $(cat "$dir/out")"
+  grep -q 'quantum_s' "$dir/out" || fail "the invalid key is not named: $(cat "$dir/out")"
   [ "$(wc -l <"$dir/out")" -eq 1 ] || fail "more than one line: $(cat "$dir/out")"
   expect_status 2 env -u GW_CONFIG "$program" "$command"
   expect_status 2 "$program" "$command" --config "$dir/absent.json"
@@ -61,10 +61,10 @@
   for _ in $(seq 500); do
     port=$(sed -n 's/.* listens on 127\.0\.0\.1:\([0-9]*\),.*/\1/p' "$dir/log")
     [ -z "$port" ] || return 0
-    kill -0 "$pid" 2>/dev/null || fail "it ended before it listened"
+    kill -0 "$pid" 2>/dev/null || fail "the broker ended before it listened"
     sleep 0.02
   done
-  fail "it does not listen"
+  fail "the broker does not listen"
 }
 get() { # path; prints the reply's head
   exec 3<>"/dev/tcp/127.0.0.1/$port"
@@ -78,7 +78,7 @@
   wait "$pid" || got=$?
   pid=
   [ "$got" -eq 0 ] || fail "status $got after SIG$1"
-  grep -q 'ended, counters {.*}$' "$dir/log" || fail "no whole counters at the end"
+  grep -q 'ended, counters {.*}$' "$dir/log" || fail "no complete counters in the last log line"
 }
 
 start "$dir/good.json"
@@ -92,33 +92,33 @@
 grep -q 'info: counters {' "$dir/log" || fail "no counters on SIGUSR1"
 stop TERM
 
-# A new configuration while it runs: a good one takes effect, a bad one changes nothing, neither ends it.
-say() { # words that the log must come to hold
+# Reload: a valid configuration takes effect, an invalid one changes nothing, and neither stops the broker.
+wait_for_log() { # pattern
   for _ in $(seq 500); do
     ! grep -q "$1" "$dir/log" || return 0
     sleep 0.02
   done
-  fail "the log does not say: $1"
+  fail "the log does not contain: $1"
 }
 cp "$dir/good.json" "$dir/now.json"
 start "$dir/now.json"
 sed 's/"discovery":"127.0.0.1:1"/"discovery":"127.0.0.1:2"/' "$dir/good.json" >"$dir/now.json"
 kill -HUP "$pid"
-say 'moves from discovery at 127.0.0.1:1 to discovery at 127.0.0.1:2'
+wait_for_log 'moves from discovery at 127.0.0.1:1 to discovery at 127.0.0.1:2'
 cp "$dir/bad.json" "$dir/now.json"
 kill -HUP "$pid"
-say 'quantum_s.*the configuration in force stays'
+wait_for_log 'quantum_s.*the configuration in force stays'
 rm "$dir/now.json"
 kill -HUP "$pid"
-say 'cannot open .*the configuration in force stays'
+wait_for_log 'cannot open .*the configuration in force stays'
 sed 's/"max_open":200/"max_open":300/' "$dir/good.json" >"$dir/now.json"
 kill -HUP "$pid"
-say 'only with a restart: settings.limits.max_open'
+wait_for_log 'only with a restart: settings.limits.max_open'
 get /health/ready | grep -q '^HTTP/1.1 200 ' || fail "not ready after reloads"
 kill -HUP "$pid"
 stop TERM
 
-# With hardly any descriptors, idle clients make way for those that have something to ask.
+# With few descriptors, idle clients are closed in favour of clients with requests.
 (
   ulimit -n 20
   exec env GW_CONFIG="$dir/good.json" "$program" serve 2>"$dir/few.log"
@@ -130,27 +130,27 @@
   [ -z "$port" ] || break
   sleep 0.02
 done
-[ -n "$port" ] || fail "it does not listen with 20 descriptors"
+[ -n "$port" ] || fail "the broker does not listen with 20 descriptors"
 idle=()
 for _ in $(seq 40); do
   exec {one}<>"/dev/tcp/127.0.0.1/$port"
   idle+=("$one")
 done
 get /counters >"$dir/out"
-grep -q '^HTTP/1.1 200 ' "$dir/out" || fail "no answer with its descriptors used up"
-grep -q '"closed_for_room":[1-9]' "$dir/out" || fail "no idle client made way: $(cat "$dir/out")"
+grep -q '^HTTP/1.1 200 ' "$dir/out" || fail "no response with all descriptors in use"
+grep -q '"closed_for_room":[1-9]' "$dir/out" || fail "no idle client was closed: $(cat "$dir/out")"
 for one in "${idle[@]}"; do exec {one}>&-; done
 kill -TERM "$pid"
 wait "$pid" || fail "status $? with 20 descriptors"
 pid=
 
-# The address is taken: the second one says so and ends.
+# A second broker on the same address reports the conflict and exits.
 start "$dir/good.json"
 config "127.0.0.1:$port" >"$dir/same.json"
 expect_status 1 "$program" serve --config "$dir/same.json"
 grep -q "127.0.0.1:$port" "$dir/out" || fail "the address is not named: $(cat "$dir/out")"
 
-# Killed outright with a client's connection open, it takes its address back at once.
+# After SIGKILL with an open client connection, the address can be bound again at once.
 exec 4<>"/dev/tcp/127.0.0.1/$port"
 kill -KILL "$pid"
 wait "$pid" 2>/dev/null || true
@@ -160,4 +160,4 @@
 stop TERM
 start "$dir/same.json"
 stop INT
-echo "broker process: all as expected"
+echo "broker process: passed"
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -12,7 +12,7 @@
 using peers::member_text;
 using peers::Peer;
 
-// A module that notes what it is told and does what the test has written down for it.
+// A policy that records its events and replies with the actions of the test's script.
 class ScriptedPolicy final : public Policy {
  public:
   struct Script {
@@ -47,7 +47,7 @@
 
 class BrokerTest : public ::testing::Test {
  protected:
-  // One node in each of the two cells.
+  // Starts a broker with one node in each of the two cells.
   void start(bool scripted, peers::ConfigText text = {}) {
     text.discovery = agent.address().text();
     if (text.known.find("[]") != std::string::npos)
@@ -83,7 +83,7 @@
                        static_cast<char>(size >> 8), static_cast<char>(size), letter} +
            rest;
   }
-  // Answers each part with its id and its text in capital words.
+  // Answers each part with a value that contains its id.
   void serve(Peer& peer) {
     nodelink::FrameView frame;
     while (nodelink::next_frame(peer.seen(), frame) == nodelink::FrameResult::whole) {
@@ -108,7 +108,7 @@
     peer = peers::connect_to(broker->address());
     return until([&] { return peer.write(""); });
   }
-  // The client sends the request, waits for the reply and takes it out of its buffer.
+  // Sends a request and returns the reply's status and body.
   std::string ask(Peer& peer, const std::string& request) {
     if (!until([&] { return peer.write(request); })) return "not sent";
     return reply_to(peer);
@@ -149,8 +149,7 @@
   EXPECT_EQ(ask(client, query("9b20", two_parts())).substr(0, 18), R"(200 {"total":true,)");
 }
 
-// Each of them keeps inside its own bounds; together they would take more than the process may hold for
-// clients.
+// Clients within their own limits must not exceed the total memory for clients together.
 TEST_F(BrokerTest, ClientMemoryIsBoundedInTotal) {
   peers::ConfigText text;
   text.limits = R"({"memory_mb":16,"sockets":1024})";
@@ -172,23 +171,23 @@
   EXPECT_GT(peak, most_held / 2);
   EXPECT_LE(peak, most_held);
   EXPECT_EQ(broker->counters_json().find("\"refused_for_memory\":0,"), std::string::npos);
-  int told_to_come_back = 0;
+  int refused_with_retry_after = 0;
   until([&] {
-    told_to_come_back = 0;
+    refused_with_retry_after = 0;
     for (Peer& each : slow) {
       each.read();
       if (each.seen().substr(0, 12) == "HTTP/1.1 503" &&
           each.seen().find("Retry-After") != std::string_view::npos)
-        ++told_to_come_back;
+        ++refused_with_retry_after;
     }
-    return told_to_come_back > 0;
+    return refused_with_retry_after > 0;
   });
-  EXPECT_GT(told_to_come_back, 0);
+  EXPECT_GT(refused_with_retry_after, 0);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("9b1f", two_parts())).substr(0, 4), "200 ");
 }
 
-// Ready from the first moment on the saved list, with discovery down.
+// The broker must be ready at once on the saved list while discovery is down.
 TEST_F(BrokerTest, SavedMemberListServesWhileDiscoveryIsDown) {
   agent.close();
   start(false);
@@ -256,7 +255,7 @@
   EXPECT_EQ(parts[1].ordinal, arrived[0].ordinal);
 }
 
-// What comes in within one quantum is told together, and never more often than that.
+// Events are delivered in batches that are at least the minimum interval apart.
 TEST_F(BrokerTest, BatchesKeepTheMinimumInterval) {
   start(true);
   ASSERT_TRUE(connect(client));
@@ -297,8 +296,7 @@
   EXPECT_EQ(ask(client, query("q", two_parts())).substr(0, 3), "500");
 }
 
-// The module ends each query in time; where it does not, the client is not left without an answer, and the
-// module learns that nobody waits any more.
+// A query that the policy leaves open must still be answered, and the policy must learn that it has ended.
 TEST_F(BrokerTest, UnfinishedQueryReturns504AtDeadline) {
   start(true);
   ASSERT_TRUE(connect(client));
@@ -322,7 +320,7 @@
   EXPECT_EQ(script->all<TimerFired>()[0].token, 7u);
 }
 
-// Two open queries under one id would share the ids of their parts at the nodes.
+// Two open queries with one id would use the same part ids at the nodes.
 TEST_F(BrokerTest, DuplicateIdOfOpenQueryIsRejected) {
   start(true);
   Peer other;
@@ -341,8 +339,7 @@
   ASSERT_TRUE(until([&] { return script->all<QueryArrived>().size() == 3; }));
 }
 
-// max_open was the bench's to keep; here it is the broker's: with so many held, the next is turned away
-// before the module, and a place that is given back is there again.
+// A query beyond max_open is refused before it reaches the policy, until an open one has ended.
 TEST_F(BrokerTest, QueryBeyondMaxOpenIsRefused) {
   peers::ConfigText text;
   text.max_open = "6";
@@ -362,8 +359,7 @@
   ASSERT_TRUE(until([&] { return script->all<QueryArrived>().size() == 3; }));
 }
 
-// Attempts are counted on both sides; one beyond the limit, or for a query that is over, is not sent and
-// comes back as such.
+// An attempt beyond the limit, or for an ended query, must be reported as not sent.
 TEST_F(BrokerTest, AttemptsBeyondTheLimitAreNotSent) {
   start(true);
   nodes_serve = false;
@@ -394,7 +390,7 @@
   EXPECT_FALSE(script->all<AttemptEnded>()[2].part_open);
 }
 
-// What a batch itself brings about is told by the next one, also when nothing else wakes the loop until then.
+// Events caused by a batch must be delivered even if nothing else wakes the loop.
 TEST_F(BrokerTest, CancelledAttemptIsReportedWithoutOtherEvents) {
   start(true);
   nodes_serve = false;
@@ -414,7 +410,7 @@
   EXPECT_TRUE(script->all<ClientDisconnected>().empty());
 }
 
-// A node's connection comes before a client's that says nothing.
+// Idle client connections must not keep the broker from connecting to nodes.
 TEST_F(BrokerTest, IdleClientsAreClosedForNodeConnections) {
   peers::ConfigText text;
   text.limits = R"({"sockets":64})";
@@ -426,7 +422,7 @@
   EXPECT_NE(broker->counters_json().find("\"closed_for_room\":2"), std::string::npos);
 }
 
-// The answer ends the query; a part of it that still waits for its connection must not reach a node.
+// A part that still waits for its connection must not be sent after its query has been answered.
 TEST_F(BrokerTest, PendingPartIsNotSentAfterQueryEnds) {
   start(true);
   ASSERT_TRUE(connect(client));
@@ -439,7 +435,7 @@
   EXPECT_EQ(ask(client, query("q", R"({"range":0,"portion":1})")).substr(0, 3), "503");
   ASSERT_TRUE(until([&] { return script->all<AttemptEnded>().size() == 1; }));
   EXPECT_EQ(script->all<AttemptEnded>()[0].outcome, Outcome::not_sent);
-  ASSERT_TRUE(until([&] { return nodes[0].peers.size() == 1; }));  // the connection comes up, unused
+  ASSERT_TRUE(until([&] { return nodes[0].peers.size() == 1; }));  // connected, but unused
   for (int i = 0; i < 20; ++i) {
     loop.turn(net::Duration(0.001));
     poll();
@@ -506,8 +502,7 @@
   EXPECT_EQ(changes.members->at(0).status, NodeStatus::gone);
 }
 
-// Where nodes come under new ids all day, what is known of those that are gone has to be given back; but not
-// before the rules have done with them, since a node that returns by then has to be known again.
+// State of removed nodes must be freed, but not before a returning node would count as cold.
 TEST_F(BrokerTest, RemovedNodeIsForgottenAfterTheWarmUpTime) {
   peers::ConfigText text;
   text.fall_s = text.warm_up_time = "0.25";
@@ -524,7 +519,7 @@
     EXPECT_TRUE(until([&] { return script->all<MembersChanged>().size() == count; }));
     return script->all<MembersChanged>().back().members->at(0).node;
   };
-  // The list asked for whole comes first, as discovery gives it.
+  // The full list is requested first.
   std::string whole = list_text(4, true, member_text("s-0", address, 0));
   agent.peers[0]->drop(agent.peers[0]->seen().size());
   agent.peers[0]->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) + "\r\n\r\n" +
@@ -554,7 +549,7 @@
   EXPECT_EQ(script->all<ProbeEnded>()[0].report, std::vector<double>{12});
 }
 
-// A planned end: what is open is answered, what still arrives for a while too, and only then it is over.
+// Shutdown must wait for open queries and for those accepted shortly after it started.
 TEST_F(BrokerTest, ShutdownAnswersOpenQueries) {
   start(true);
   ASSERT_TRUE(connect(client));
@@ -581,7 +576,7 @@
   EXPECT_FALSE(broker->done());
   late.close();
   later.close();
-  // Long after the last new one was taken, the open one still holds the end up.
+  // The open query delays the end after the listener has closed.
   auto listening = [&] {
     Peer probe = peers::connect_to(broker->address());
     return probe.open();
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -67,7 +67,7 @@
       (std::vector<std::string>{"listen", "limits.sockets", "limits.memory_mb", "settings.limits.max_open"}));
 }
 
-// The same settings give the module the same, whichever way they are written.
+// Settings must have the same effect in line form and in JSON.
 TEST(Config, LineAndJsonSettingsAreEquivalent) {
   Settings json = read_config(ConfigText().text()).policy;
   Settings lines = settings::read_settings(settings::values_of_lines(
@@ -94,9 +94,9 @@
   const std::string good = ConfigText().text();
   ASSERT_EQ(config_error(good), "");
   struct Case {
-    const char* what;
-    const char* by;
-    const char* named;
+    const char* original;
+    const char* replacement;
+    const char* message;
   };
   for (const Case& c : std::vector<Case>{
            {"\"name\":\"n3\",", "", "name is missing"},
@@ -126,8 +126,9 @@
            {"\"fetch_parts\":[0,0]", "\"fetch_parts\":[0,2]", "specifics.fetch_parts asks for a second step"},
            {"\"slabs\":16", "\"slabs\":0", "specifics.slabs is below 1"},
            {"\"settings\":{", "\"other\":{", "settings is missing"}})
-    EXPECT_NE(config_error(replaced(good, c.what, c.by)).find(c.named), std::string::npos)
-        << c.what << " -> " << c.by << ": " << config_error(replaced(good, c.what, c.by));
+    EXPECT_NE(config_error(replaced(good, c.original, c.replacement)).find(c.message), std::string::npos)
+        << c.original << " -> " << c.replacement << ": "
+        << config_error(replaced(good, c.original, c.replacement));
   EXPECT_NE(config_error("{"), "");
   EXPECT_NE(config_error("[]"), "");
   EXPECT_THROW(read_config_file("/nonexistent/config.json"), ConfigError);
--- a/tests/config_text.h
+++ b/tests/config_text.h
@@ -1,10 +1,11 @@
-// A whole, good configuration for the broker's tests, in parts that a test may change.
+// A valid broker configuration for tests; each part can be changed.
 #pragma once
 
 #include <string>
 
 namespace pearspar::peers {
 
+// The variable parts of the configuration, as JSON fragments.
 struct ConfigText {
   std::string listen = "127.0.0.1:0";
   std::string discovery = "127.0.0.1:1";
@@ -46,12 +47,14 @@
   }
 };
 
+// One member of the node list as JSON.
 inline std::string member_text(const std::string& id, const std::string& address, int cell,
                                const std::string& phase = "ready", const std::string& since = "0") {
   return R"({"id":")" + id + R"(","host_port":")" + address + R"(","locality":"a","flavor":"m2","cell":)" +
          std::to_string(cell) + R"(,"phase":")" + phase + R"(","size":1.0,"up_since_ms":)" + since + "}";
 }
 
+// A node list as JSON; `members` holds its comma-separated members.
 inline std::string list_text(int revision, bool complete, const std::string& members) {
   return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" + (complete ? "true" : "false") +
          R"(,"members":[)" + members + "]}";
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -20,7 +20,7 @@
     return peers::turn_until(
         loop, [&] { agent.poll(); }, enough);
   }
-  // The agent has read a whole call on its newest connection; its target is kept.
+  // True once the agent has read a request on its newest connection; stores its target.
   bool asks() {
     return until([&] {
       if (agent.peers.empty()) return false;
@@ -69,7 +69,7 @@
   reply(list_text(44, false, R"({"id":"s-1","phase":"gone"})"));
   ASSERT_TRUE(tells(3));
   EXPECT_EQ(told[2].entries[0].phase, Phase::gone);
-  EXPECT_EQ(agent.peers.size(), 1u);  // all on one connection
+  EXPECT_EQ(agent.peers.size(), 1u);  // one connection for all requests
   EXPECT_EQ(failed, 0);
 }
 
@@ -115,8 +115,7 @@
   EXPECT_EQ(client.counters().stale, 2u);
 }
 
-// An older list that comes once is an echo of the past; a registry that has begun anew keeps giving it, and
-// must not be waited for until it has counted as far again.
+// A single older list is stale, but a registry that was reset must be accepted at its lower revision.
 TEST_F(DiscoveryTest, OlderListIsAcceptedOnlyWhenRepeated) {
   start_with_list();
   int asked = 0;
@@ -172,7 +171,7 @@
   ASSERT_TRUE(tells(1));
 }
 
-// Refused at once each time: the tries are paced, or the loop would do nothing else.
+// Immediate refusals must not cause a busy loop.
 TEST_F(DiscoveryTest, RefusedConnectionsAreRetriedWithBackoff) {
   net::Address address = agent.address();
   agent.close();
@@ -186,7 +185,7 @@
       loop, [&] { again.poll(); }, [&] { return !again.peers.empty(); }));
 }
 
-// Found by reading: each reply was followed by the next call at once, whatever it held.
+// Replies without delay or changes must not cause a busy loop.
 TEST_F(DiscoveryTest, ImmediateEmptyRepliesAreRateLimited) {
   start_with_list();
   int asked = 0;
@@ -201,7 +200,7 @@
     loop.turn(net::Duration(0));
   }
   EXPECT_LT(asked, 100);
-  reply(list_text(42, false, one));  // to the call that is out, or unasked: either way it is asked again
+  reply(list_text(42, false, one));  // answers the open request or arrives unrequested
   ASSERT_TRUE(asks());
 }
 
@@ -218,12 +217,12 @@
   EXPECT_EQ(target, "/registry/instances");
 }
 
-// A broker's configuration may name another place while it serves.
+// A reload may select another discovery agent while the broker runs.
 class SwitchTest : public ::testing::Test, protected MembersUser {
  protected:
   struct Agent : peers::Listener {
     std::string target;
-    // Keeps the target of a whole call on its newest connection; false where there is none.
+    // True if a request was read on the newest connection; stores its target.
     bool asked() {
       if (peers.empty()) return false;
       peers::Peer& peer = *peers.back();
@@ -268,13 +267,13 @@
   membership::Switch registry{peers::quiet_log(), at(first.address()), *this};
 };
 
-// The versions of another registry count from anywhere: its list is believed at once, however low.
+// Revisions of another registry are unrelated: its first list is accepted even if its revision is lower.
 TEST_F(SwitchTest, NewSourceTakesOverWithAnyRevision) {
   start_at_first();
   registry.move(at(second.address()));
   ASSERT_TRUE(until([&] { return second.asked(); }));
   EXPECT_EQ(second.target, "/registry/instances");
-  // Until it has told, the former place does.
+  // The previous source stays in use until the new one has delivered its list.
   first.reply(list_text(42, false, one));
   ASSERT_TRUE(until([&] { return told.size() == 2; }));
   EXPECT_TRUE(registry.moving());
@@ -284,7 +283,7 @@
   EXPECT_FALSE(registry.moving());
   ASSERT_TRUE(until([&] { return second.asked() && first.peers.back()->ended(); }));
   EXPECT_EQ(second.target.substr(0, 27), "/registry/instances?after=3");
-  EXPECT_EQ(registry.counters().lists, 2u);  // those of the place that was left stay counted
+  EXPECT_EQ(registry.counters().lists, 2u);  // includes those of the previous source
 }
 
 TEST_F(SwitchTest, PreviousSourceIsNotReconnected) {
@@ -293,7 +292,7 @@
   registry.move(at(second.address()));
   first.peers.back()->close();
   ASSERT_TRUE(until([&] { return second.asked(); }));
-  // A while in which a client that tries again would have done so.
+  // Long enough for a reconnect attempt.
   for (int i = 0; i < 100; ++i) {
     loop.turn(net::Duration(0.002));
     first.poll();
--- a/tests/json_test.cpp
+++ b/tests/json_test.cpp
@@ -36,7 +36,7 @@
 TEST(Json, EscapesAreResolved) {
   EXPECT_EQ(parse(R"("\"\\\/\b\f\n\r\t")").text(), "\"\\/\b\f\n\r\t");
   EXPECT_EQ(parse(R"("\u0041\u00e9\u20ac\ud83d\ude00")").text(), "A\xc3\xa9\xe2\x82\xac\xf0\x9f\x98\x80");
-  EXPECT_EQ(parse(R"("\ud83dx")").text(), "\xef\xbf\xbdx");  // half of a pair
+  EXPECT_EQ(parse(R"("\ud83dx")").text(), "\xef\xbf\xbdx");  // unpaired surrogate
 }
 
 TEST(Json, InvalidJsonIsRejected) {
@@ -52,7 +52,7 @@
   EXPECT_NO_THROW(parse("[[[[]]]]", 4));
   EXPECT_THROW(parse("[[[[[]]]]]", 4), ParseError);
   EXPECT_THROW(parse(std::string(100000, '[')), ParseError);
-  EXPECT_NO_THROW(parse("[[],[],[],[],[]]", 2));  // beside each other is not deeper
+  EXPECT_NO_THROW(parse("[[],[],[],[],[]]", 2));  // siblings do not add depth
 }
 
 TEST(Json, QuotedTextRoundTrips) {
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -1,5 +1,5 @@
-// Seeded mutations of good input: whatever a peer, a registry or a configuration file holds, the readers give
-// a value or a plain refusal. Run under the sanitizers, a stray read or an overflow ends the test.
+// Seeded mutations of valid input: parsers must return a value or an error on any input, without memory
+// errors under the sanitizers.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -73,7 +73,7 @@
 
 TEST(Mutation, HttpAndQueries) {
   Mutator mutate(1);
-  int whole = 0, refused = 0;
+  int parsed = 0, refused = 0;
   for (int i = 0; i < rounds; ++i) {
     std::string text = i % 10 == 0 ? request : mutate(request);
     http::MessageReader reader(http::MessageKind::request);
@@ -91,7 +91,7 @@
       EXPECT_FALSE(reader.failed_why().empty());
     }
     if (progress != http::Progress::done) continue;
-    ++whole;
+    ++parsed;
     clients::Query query;
     if (auto fault = clients::read_query(reader.message(), {16, 20, true}, query)) {
       EXPECT_FALSE(fault->why.empty());
@@ -100,7 +100,7 @@
     }
     reader.next(buffer);
   }
-  EXPECT_GT(whole, rounds / 10);
+  EXPECT_GT(parsed, rounds / 10);
   EXPECT_GT(refused, rounds / 20);
 }
 
@@ -110,22 +110,22 @@
   text.known =
       peers::list_text(41, true, peers::member_text("s-1", "10.1.0.18:3000", 3, "draining", "17000"));
   const std::string config = text.text();
-  int good = 0, faulty = 0;
+  int valid = 0, invalid = 0;
   for (int i = 0; i < rounds; ++i) {
     try {
       config::read_config(mutate(config));
-      ++good;
+      ++valid;
     } catch (const config::ConfigError& error) {
       EXPECT_EQ(std::string(error.what()).substr(0, 14), "configuration:");
-      ++faulty;
+      ++invalid;
     }
     try {
       discovery::read_members(json::parse(mutate(text.known)));
     } catch (const json::ParseError&) {
     }
   }
-  EXPECT_GT(faulty, rounds / 4);
-  EXPECT_GT(good, 0);
+  EXPECT_GT(invalid, rounds / 4);
+  EXPECT_GT(valid, 0);
 }
 
 TEST(Mutation, Frames) {
@@ -148,7 +148,7 @@
   EXPECT_GT(frames, rounds / 4);
 }
 
-// The adapter's side: a damaged batch gives a plain error or a reply.
+// A damaged batch from the simulator must give an error or a reply.
 TEST(Mutation, SimulatorBatches) {
   Mutator mutate(4);
   auto word = [](std::uint32_t value) { return std::string(reinterpret_cast<const char*>(&value), 4); };
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -7,7 +7,7 @@
 namespace pearspar::options {
 namespace {
 
-std::string faults(const std::string& text) {
+std::string errors_of(const std::string& text) {
   try {
     read_options(text, "f");
   } catch (const OptionsError& error) {
@@ -49,10 +49,10 @@
   EXPECT_TRUE(options.fixed.complete);
 }
 
-// Every fault has its own line, with the place and the field.
+// Each error must name its position and field.
 TEST(Options, ErrorsNameFileLineAndField) {
   struct Case {
-    std::string text, fault;
+    std::string text, message;
   };
   const Case cases[] = {
       {"membership {\n  registry {\n    oddity: 1\n", "f:3:11: "},
@@ -94,12 +94,12 @@
       {"log { lines_per_s: 0 }", "log.lines_per_s: 0 is not from 1"},
   };
   for (const Case& each : cases)
-    EXPECT_NE(faults(each.text).find(each.fault), std::string::npos)
-        << each.text << "\n  " << faults(each.text);
+    EXPECT_NE(errors_of(each.text).find(each.message), std::string::npos)
+        << each.text << "\n  " << errors_of(each.text);
 }
 
 TEST(Options, AllErrorsAreReportedTogether) {
-  std::string all = faults(registry_of("reply_timeout_ms: 5 look_every_ms: 1 prefix: ''"));
+  std::string all = errors_of(registry_of("reply_timeout_ms: 5 look_every_ms: 1 prefix: ''"));
   EXPECT_EQ(std::count(all.begin(), all.end(), '\n'), 2);
 }
 
--- a/tests/policy_harness.h
+++ b/tests/policy_harness.h
@@ -1,5 +1,5 @@
-// A broker on a bench of its own: hands events to the module and reads its actions. It plays no servers; each
-// test says itself what every attempt comes to.
+// Drives a policy without a broker: delivers events and collects actions. Nodes are not simulated; each test
+// supplies the outcome of every attempt.
 #pragma once
 
 #include <algorithm>
@@ -27,7 +27,8 @@
   return cls;
 }
 
-// Two cells of three nodes, one cell to a shard; class 0 may be answered from 40%, class 1 needs all.
+// Two cells, one cell per shard; class 0 accepts partial results from 40% coverage, class 1 needs full
+// coverage.
 inline Settings plain_settings() {
   Settings s;
   s.broker_count = 2;
@@ -53,12 +54,13 @@
   return s;
 }
 
+// One policy instance with a simulated clock.
 struct PolicyHarness {
   Settings settings;
   std::unique_ptr<Policy> policy;
   Time now{100s};
   std::vector<Event> pending;
-  std::vector<Action> actions;  // of the last round
+  std::vector<Action> actions;  // of the last step
   std::uint32_t version = 0;
   QueryId next_query = 1;
   PartId next_part = 1000;
@@ -80,7 +82,7 @@
         MembersChanged{form, ++version, std::make_shared<const std::vector<Member>>(std::move(members))});
   }
 
-  // Nodes 1..per_cell in cell 0, 11.. in cell 1, and so on.
+  // Lists nodes 1..per_cell in cell 0, 11.. in cell 1, and so on.
   void list_all(int per_cell = 3) {
     std::vector<Member> members;
     for (int cell = 0; cell < settings.cells; ++cell)
@@ -88,7 +90,7 @@
     list(members, MemberListForm::saved);
   }
 
-  // A query with one part for each weight; part i needs shard shards[i], or shard 0.
+  // Submits a query with one part per weight; part i needs shard shards[i], or shard 0.
   QueryId query(int cls, std::vector<double> weights, std::vector<int> shards = {}, Duration wait = 4s) {
     QueryArrived q;
     q.query = next_query++;
@@ -131,7 +133,7 @@
     return actions;
   }
 
-  // Steps on, quietly, and returns all actions on the way.
+  // Runs timer events for `length` and returns all actions.
   std::vector<Action> run(Duration length, Duration pace = 5ms) {
     std::vector<Action> all;
     for (Time end = now + length; now < end;) {
@@ -154,13 +156,13 @@
   std::vector<RefuseQuery> refusals() const { return of<RefuseQuery>(); }
   std::vector<FailQuery> failures() const { return of<FailQuery>(); }
 
-  // Every send of the last round answers after `took`, which passes now.
+  // Completes every send of the last step successfully after `took`.
   void answer_sends(Duration took = 100ms) {
     for (const SendPart& send : sends()) outcome(send.part, send.node, 0, Outcome::ok, took);
     step(took);
   }
 
-  // So many one-part queries, each answered before the next: gives every node a latency and a rate.
+  // Runs one-part queries one after another, so that every node has a latency and a rate.
   void warm_up(int queries, Duration took = 100ms, Duration pause = 5ms) {
     for (int i = 0; i < queries; ++i) {
       query(1, {1.0}, {i % settings.shards});
