--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -31,7 +31,7 @@
   return static_cast<std::size_t>(config.max_sockets) * 3 / 4;
 }
 
-// A client request is identified by its connection, which has one request at a time.
+// A client request is identified by its connection.
 engine::ClientId client_id_of(net::SlotId connection) {
   return std::uint64_t{connection.generation} << 32 | connection.index;
 }
--- a/src/broker/broker.h
+++ b/src/broker/broker.h
@@ -26,7 +26,6 @@
 
 namespace pearspar::broker {
 
-// All members run on the loop's thread.
 class Broker : clients::FrontUser,
                nodelink::LinkUser,
                membership::MembersUser,
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -59,7 +59,7 @@
 void refill_memory_reserve(pearspar::broker::Broker& broker, pearspar::log::Logger& log) {
   int closed = 0;
   while (!pearspar::allocation::fill_reserve() && broker.shed()) ++closed;
-  log.warning("out of memory: {} allocations failed since the start, {} client connections freed",
+  log.warning("out of memory: {} allocations failed since the start, memory of {} client connections freed",
               pearspar::allocation::refusals(), closed);
 }
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -13,7 +13,7 @@
 
 class DiscoveryTest : public ::testing::Test, protected MembersUser {
  protected:
-  void members_told(const MemberList& list) override { told.push_back(list); }
+  void members_told(const MemberList& list) override { received.push_back(list); }
   void members_failed() override { ++failed; }
 
   bool until(const std::function<bool()>& enough) {
@@ -21,7 +21,7 @@
         loop, [&] { agent.poll(); }, enough);
   }
   // True once the agent has read a request on its newest connection; stores its target.
-  bool asks() {
+  bool request_arrives() {
     return until([&] {
       if (agent.peers.empty()) return false;
       peers::Peer& peer = *agent.peers.back();
@@ -36,22 +36,22 @@
     ASSERT_TRUE(agent.peers.back()->write(
         "HTTP/1.1 200 OK\r\n" + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body));
   }
-  bool tells(std::size_t count) {
-    return until([&] { return told.size() == count; });
+  bool receives_lists(std::size_t count) {
+    return until([&] { return received.size() == count; });
   }
   void start_with_list() {
     client.start();
-    ASSERT_TRUE(asks());
+    ASSERT_TRUE(request_arrives());
     EXPECT_EQ(target, "/registry/instances");
     reply(list_text(41, true, one));
-    ASSERT_TRUE(tells(1));
-    ASSERT_TRUE(asks());
+    ASSERT_TRUE(receives_lists(1));
+    ASSERT_TRUE(request_arrives());
   }
 
   const std::string one = member_text("s-1", "127.0.0.1:9", 0);
   net::Loop loop;
   peers::Listener agent;
-  std::vector<MemberList> told;
+  std::vector<MemberList> received;
   int failed = 0;
   std::string target;
   Client client{loop, peers::quiet_log(), agent.address(), *this};
@@ -59,16 +59,16 @@
 
 TEST_F(DiscoveryTest, FetchesFullListThenLongPolls) {
   start_with_list();
-  EXPECT_TRUE(told[0].complete);
+  EXPECT_TRUE(received[0].complete);
   EXPECT_EQ(target.substr(0, 37), "/registry/instances?after=41&wait_ms=");
   reply(list_text(43, false, member_text("s-1", "127.0.0.1:9", 0, "draining")));
-  ASSERT_TRUE(tells(2));
-  EXPECT_EQ(told[1].entries[0].phase, Phase::draining);
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(receives_lists(2));
+  EXPECT_EQ(received[1].entries[0].phase, Phase::draining);
+  ASSERT_TRUE(request_arrives());
   EXPECT_EQ(target.substr(0, 28), "/registry/instances?after=43");
   reply(list_text(44, false, R"({"id":"s-1","phase":"gone"})"));
-  ASSERT_TRUE(tells(3));
-  EXPECT_EQ(told[2].entries[0].phase, Phase::gone);
+  ASSERT_TRUE(receives_lists(3));
+  EXPECT_EQ(received[2].entries[0].phase, Phase::gone);
   EXPECT_EQ(agent.peers.size(), 1u);  // one connection for all requests
   EXPECT_EQ(failed, 0);
 }
@@ -76,19 +76,19 @@
 TEST_F(DiscoveryTest, LongPollMayReturnNothingOrAFullList) {
   start_with_list();
   reply(list_text(41, false, ""));
-  ASSERT_TRUE(asks());
-  EXPECT_EQ(told.size(), 1u);
+  ASSERT_TRUE(request_arrives());
+  EXPECT_EQ(received.size(), 1u);
   reply(list_text(50, true, one), "Connection: close\r\n");
-  ASSERT_TRUE(tells(2));
-  EXPECT_TRUE(told[1].complete);
+  ASSERT_TRUE(receives_lists(2));
+  EXPECT_TRUE(received[1].complete);
   ASSERT_TRUE(until([&] { return agent.peers.size() == 2; }));
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(request_arrives());
   EXPECT_EQ(target.substr(0, 28), "/registry/instances?after=50");
 }
 
 TEST_F(DiscoveryTest, ReplyMayBeChunkedAndFragmented) {
   client.start();
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(request_arrives());
   std::string body = list_text(41, true, one),
               bytes = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   char size[16];
@@ -101,31 +101,31 @@
     ASSERT_TRUE(agent.peers.back()->write(std::string_view(&c, 1)));
     loop.turn(net::Duration(0));
   }
-  ASSERT_TRUE(tells(1));
+  ASSERT_TRUE(receives_lists(1));
 }
 
 TEST_F(DiscoveryTest, StaleChangesAreIgnored) {
   start_with_list();
   for (int revision : {41, 40}) {
     reply(list_text(revision, false, member_text("s-1", "127.0.0.1:9", 0, "draining")));
-    ASSERT_TRUE(asks());
+    ASSERT_TRUE(request_arrives());
     EXPECT_EQ(target.substr(0, 28), "/registry/instances?after=41");
   }
-  EXPECT_EQ(told.size(), 1u);
+  EXPECT_EQ(received.size(), 1u);
   EXPECT_EQ(client.counters().stale, 2u);
 }
 
 // A single older list is stale, but a registry that was reset must be accepted at its lower revision.
 TEST_F(DiscoveryTest, OlderListIsAcceptedOnlyWhenRepeated) {
   start_with_list();
-  int asked = 0;
-  while (told.size() == 1 && asked < 20) {
+  int requests = 0;
+  while (received.size() == 1 && requests < 20) {
     reply(list_text(3, true, ""));
-    ASSERT_TRUE(asks());
-    ++asked;
+    ASSERT_TRUE(request_arrives());
+    ++requests;
   }
-  EXPECT_EQ(told.size(), 2u);
-  EXPECT_GT(asked, 2);
+  EXPECT_EQ(received.size(), 2u);
+  EXPECT_GT(requests, 2);
   EXPECT_EQ(client.revision(), 3);
 }
 
@@ -142,33 +142,33 @@
     ASSERT_TRUE(until([&] { return failed == failures; }));
     std::size_t connections = agent.peers.size() + 1;
     ASSERT_TRUE(until([&] { return agent.peers.size() == connections; }));
-    ASSERT_TRUE(asks());
+    ASSERT_TRUE(request_arrives());
     EXPECT_EQ(target.substr(0, 28), "/registry/instances?after=41");
   }
-  EXPECT_EQ(told.size(), 1u);
+  EXPECT_EQ(received.size(), 1u);
   reply(list_text(42, false, one));
-  ASSERT_TRUE(tells(2));
+  ASSERT_TRUE(receives_lists(2));
 }
 
 TEST_F(DiscoveryTest, BrokenConnectionIsReopened) {
   start_with_list();
   agent.peers.back()->reset();
   ASSERT_TRUE(until([&] { return agent.peers.size() == 2; }));
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(request_arrives());
   agent.peers.back()->close();
   ASSERT_TRUE(until([&] { return agent.peers.size() == 3; }));
-  ASSERT_TRUE(asks());
-  EXPECT_EQ(told.size(), 1u);
+  ASSERT_TRUE(request_arrives());
+  EXPECT_EQ(received.size(), 1u);
 }
 
 TEST_F(DiscoveryTest, UnansweredRequestTimesOutAndIsRetried) {
   client.start();
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(request_arrives());
   ASSERT_TRUE(until([&] { return failed == 1; }));
   ASSERT_TRUE(until([&] { return agent.peers.size() == 2; }));
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(request_arrives());
   reply(list_text(41, true, one));
-  ASSERT_TRUE(tells(1));
+  ASSERT_TRUE(receives_lists(1));
 }
 
 // Immediate refusals must not cause a busy loop.
@@ -188,20 +188,20 @@
 // Replies without delay or changes must not cause a busy loop.
 TEST_F(DiscoveryTest, ImmediateEmptyRepliesAreRateLimited) {
   start_with_list();
-  int asked = 0;
+  int requests = 0;
   for (int i = 0; i < 300; ++i) {
     peers::Peer& peer = *agent.peers.back();
     peer.read();
     if (peer.seen().find("\r\n\r\n") != std::string_view::npos || i == 0) {
-      ++asked;
+      ++requests;
       peer.drop(peer.seen().size());
       reply(list_text(41, false, ""));
     }
     loop.turn(net::Duration(0));
   }
-  EXPECT_LT(asked, 100);
+  EXPECT_LT(requests, 100);
   reply(list_text(42, false, one));  // answers the open request or arrives unrequested
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(request_arrives());
 }
 
 TEST_F(DiscoveryTest, StopEndsRequestsUntilFetch) {
@@ -213,7 +213,7 @@
   EXPECT_EQ(agent.peers.size(), 1u);
   client.fetch();
   ASSERT_TRUE(until([&] { return agent.peers.size() == 2; }));
-  ASSERT_TRUE(asks());
+  ASSERT_TRUE(request_arrives());
   EXPECT_EQ(target, "/registry/instances");
 }
 
@@ -223,7 +223,7 @@
   struct Agent : peers::Listener {
     std::string target;
     // True if a request was read on the newest connection; stores its target.
-    bool asked() {
+    bool request_arrived() {
       if (peers.empty()) return false;
       peers::Peer& peer = *peers.back();
       std::size_t end = peer.seen().find("\r\n\r\n");
@@ -237,7 +237,7 @@
                                       "\r\n\r\n" + body));
     }
   };
-  void members_told(const MemberList& list) override { told.push_back(list.revision); }
+  void members_told(const MemberList& list) override { received.push_back(list.revision); }
   void members_failed() override {}
   bool until(const std::function<bool()>& enough) {
     return peers::turn_until(
@@ -249,16 +249,16 @@
   }
   void start_at_first() {
     registry.start();
-    ASSERT_TRUE(until([&] { return first.asked(); }));
+    ASSERT_TRUE(until([&] { return first.request_arrived(); }));
     first.reply(list_text(41, true, one));
-    ASSERT_TRUE(until([&] { return first.asked(); }));
-    ASSERT_EQ(told, std::vector<std::int64_t>{41});
+    ASSERT_TRUE(until([&] { return first.request_arrived(); }));
+    ASSERT_EQ(received, std::vector<std::int64_t>{41});
   }
 
   const std::string one = member_text("s-1", "127.0.0.1:9", 0);
   net::Loop loop;
   Agent first, second, third;
-  std::vector<std::int64_t> told;
+  std::vector<std::int64_t> received;
   membership::MakeSource at(const net::Address& address) {
     return [this, address](MembersUser& user) {
       return std::make_unique<Client>(loop, peers::quiet_log(), address, user);
@@ -271,17 +271,17 @@
 TEST_F(SwitchTest, NewSourceTakesOverWithAnyRevision) {
   start_at_first();
   registry.move(at(second.address()));
-  ASSERT_TRUE(until([&] { return second.asked(); }));
+  ASSERT_TRUE(until([&] { return second.request_arrived(); }));
   EXPECT_EQ(second.target, "/registry/instances");
   // The previous source stays in use until the new one has delivered its list.
   first.reply(list_text(42, false, one));
-  ASSERT_TRUE(until([&] { return told.size() == 2; }));
+  ASSERT_TRUE(until([&] { return received.size() == 2; }));
   EXPECT_TRUE(registry.moving());
   second.reply(list_text(3, true, one));
-  ASSERT_TRUE(until([&] { return told.size() == 3; }));
-  EXPECT_EQ(told.back(), 3);
+  ASSERT_TRUE(until([&] { return received.size() == 3; }));
+  EXPECT_EQ(received.back(), 3);
   EXPECT_FALSE(registry.moving());
-  ASSERT_TRUE(until([&] { return second.asked() && first.peers.back()->ended(); }));
+  ASSERT_TRUE(until([&] { return second.request_arrived() && first.peers.back()->ended(); }));
   EXPECT_EQ(second.target.substr(0, 27), "/registry/instances?after=3");
   EXPECT_EQ(registry.counters().lists, 2u);  // includes those of the previous source
 }
@@ -291,7 +291,7 @@
   std::size_t connections = first.peers.size();
   registry.move(at(second.address()));
   first.peers.back()->close();
-  ASSERT_TRUE(until([&] { return second.asked(); }));
+  ASSERT_TRUE(until([&] { return second.request_arrived(); }));
   // Long enough for a reconnect attempt.
   for (int i = 0; i < 100; ++i) {
     loop.turn(net::Duration(0.002));
@@ -299,23 +299,23 @@
   }
   EXPECT_EQ(first.peers.size(), connections);
   second.reply(list_text(1, true, one));
-  ASSERT_TRUE(until([&] { return told.size() == 2; }));
+  ASSERT_TRUE(until([&] { return received.size() == 2; }));
 }
 
 TEST_F(SwitchTest, LastOfSeveralMovesWins) {
   start_at_first();
   registry.move(at(second.address()));
-  ASSERT_TRUE(until([&] { return second.asked(); }));
+  ASSERT_TRUE(until([&] { return second.request_arrived(); }));
   registry.move(at(third.address()));
   registry.move(at(third.address()));
-  ASSERT_TRUE(until([&] { return third.asked() && second.peers.back()->ended(); }));
+  ASSERT_TRUE(until([&] { return third.request_arrived() && second.peers.back()->ended(); }));
   EXPECT_EQ(third.peers.size(), 1u);
   third.reply(list_text(2, true, one));
-  ASSERT_TRUE(until([&] { return told.size() == 2; }));
+  ASSERT_TRUE(until([&] { return received.size() == 2; }));
   registry.move(at(first.address()));
-  ASSERT_TRUE(until([&] { return first.peers.size() == 2 && first.asked(); }));
+  ASSERT_TRUE(until([&] { return first.peers.size() == 2 && first.request_arrived(); }));
   first.reply(list_text(50, true, one));
-  ASSERT_TRUE(until([&] { return told.size() == 3; }));
+  ASSERT_TRUE(until([&] { return received.size() == 3; }));
 }
 
 TEST(Members, InvalidMemberIsNamed) {
