--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -224,7 +224,7 @@
  public:
   explicit ListPrinter(bool json) : json_(json) {}
   void members_told(const membership::MemberList& list) override {
-    told = true;
+    received_list = true;
     for (const membership::Entry& entry : list.entries) {
       if (json_)
         std::printf("%s\n", record(entry, list.revision).c_str());
@@ -236,7 +236,7 @@
     std::fflush(stdout);
   }
   void members_failed() override {}
-  bool told = false;
+  bool received_list = false;
 
  private:
   static std::string record(const membership::Entry& entry, std::int64_t revision) {
@@ -268,10 +268,10 @@
   double limit = once ? arguments.timeout_s : arguments.for_s;
   net::Timer over;
   if (limit > 0) over = loop.at(start + net::Duration(limit), [&] { ended = true; });
-  while (!ended && !(once && printer.told)) loop.turn();
+  while (!ended && !(once && printer.received_list)) loop.turn();
   for (const auto& [key, why] : source.roster().bad())
     std::fprintf(stderr, "pearspar: the record under %s cannot be read: %s\n", key.c_str(), why.c_str());
-  if (!printer.told) throw RequestFailed("the registry did not answer in time");
+  if (!printer.received_list) throw RequestFailed("the registry did not answer in time");
   return source.roster().bad().empty() ? 0 : exit_not_found;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -112,8 +112,7 @@
                                                               {"debug", pearspar::log::Level::debug}};
   serve_command->add_option("--log-level", level, "error, warning, info or debug")
       ->transform(CLI::CheckedTransformer(levels, CLI::ignore_case));
-  CLI::App* check_command =
-      app.add_subcommand("check-config", "read the configuration and say whether it is good");
+  CLI::App* check_command = app.add_subcommand("check-config", "validate the configuration");
   add_config(check_command);
   CLI::App* version_command = app.add_subcommand("version", "print the version");
   pearspar::cli::RegistryArguments registry_arguments;
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -485,14 +485,14 @@
                              member_text("s-0", address, 0) + "," +
                                  member_text("s-9", address, 1, "ready", "1700000000500")),
                    2));
-  auto whole = script->all<MembersChanged>()[1];
-  EXPECT_EQ(whole.form, MemberListForm::full);
-  EXPECT_EQ(whole.version, 5u);
-  ASSERT_EQ(whole.members->size(), 2u);
-  EXPECT_EQ(whole.members->at(0).node, 1u);
-  EXPECT_EQ(whole.members->at(1).node, 3u);
-  EXPECT_TRUE(whole.members->at(1).start_known);
-  EXPECT_EQ(whole.members->at(1).started.time_since_epoch().count(), 1700000000.5);
+  auto full = script->all<MembersChanged>()[1];
+  EXPECT_EQ(full.form, MemberListForm::full);
+  EXPECT_EQ(full.version, 5u);
+  ASSERT_EQ(full.members->size(), 2u);
+  EXPECT_EQ(full.members->at(0).node, 1u);
+  EXPECT_EQ(full.members->at(1).node, 3u);
+  EXPECT_TRUE(full.members->at(1).start_known);
+  EXPECT_EQ(full.members->at(1).started.time_since_epoch().count(), 1700000000.5);
   ASSERT_TRUE(
       tell(list_text(6, false, R"({"id":"s-9","phase":"gone"},{"id":"never-heard-of","phase":"gone"})"), 3));
   auto changes = script->all<MembersChanged>()[2];
@@ -520,10 +520,10 @@
     return script->all<MembersChanged>().back().members->at(0).node;
   };
   // The full list is requested first.
-  std::string whole = list_text(4, true, member_text("s-0", address, 0));
+  std::string full = list_text(4, true, member_text("s-0", address, 0));
   agent.peers[0]->drop(agent.peers[0]->seen().size());
-  agent.peers[0]->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) + "\r\n\r\n" +
-                        whole);
+  agent.peers[0]->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(full.size()) + "\r\n\r\n" +
+                        full);
   ASSERT_TRUE(until([&] { return script->all<MembersChanged>().size() == 2; }));
   const std::string gone = R"({"id":"s-0","phase":"gone"})", back = member_text("s-0", address, 0);
   NodeId first = tell(back);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -91,8 +91,8 @@
 }
 
 TEST(Config, InvalidKeyIsNamed) {
-  const std::string good = ConfigText().text();
-  ASSERT_EQ(config_error(good), "");
+  const std::string valid = ConfigText().text();
+  ASSERT_EQ(config_error(valid), "");
   struct Case {
     const char* original;
     const char* replacement;
@@ -126,9 +126,9 @@
            {"\"fetch_parts\":[0,0]", "\"fetch_parts\":[0,2]", "specifics.fetch_parts asks for a second step"},
            {"\"slabs\":16", "\"slabs\":0", "specifics.slabs is below 1"},
            {"\"settings\":{", "\"other\":{", "settings is missing"}})
-    EXPECT_NE(config_error(replaced(good, c.original, c.replacement)).find(c.message), std::string::npos)
+    EXPECT_NE(config_error(replaced(valid, c.original, c.replacement)).find(c.message), std::string::npos)
         << c.original << " -> " << c.replacement << ": "
-        << config_error(replaced(good, c.original, c.replacement));
+        << config_error(replaced(valid, c.original, c.replacement));
   EXPECT_NE(config_error("{"), "");
   EXPECT_NE(config_error("[]"), "");
   EXPECT_THROW(read_config_file("/nonexistent/config.json"), ConfigError);
--- a/tests/mutation_test.cpp
+++ b/tests/mutation_test.cpp
@@ -130,12 +130,12 @@
 
 TEST(Mutation, Frames) {
   Mutator mutate(3);
-  const std::string good = std::string("\0\0\0\x1d", 4) + "q9b1f.3 good 18 qps=7,x=1\nval" +
-                           std::string("\0\0\0\x05", 4) + "pqps=";
+  const std::string valid = std::string("\0\0\0\x1d", 4) + "q9b1f.3 good 18 qps=7,x=1\nval" +
+                            std::string("\0\0\0\x05", 4) + "pqps=";
   const std::vector<std::string> fields = {"throughput"};
   int frames = 0;
   for (int i = 0; i < rounds; ++i) {
-    std::string text = mutate(good);
+    std::string text = mutate(valid);
     std::string_view left = text;
     nodelink::FrameView frame;
     while (nodelink::next_frame(left, frame) == nodelink::FrameResult::whole) {
