--- a/src/discovery/client.cpp
+++ b/src/discovery/client.cpp
@@ -44,7 +44,7 @@
   if (!fd_) return fail(std::strerror(error));
   connected_ = false;
   watch_ = loop_.watch(fd_.get(), POLLOUT, [this](short events) { on_ready(events); });
-  timer_ = loop_.at(loop_.now() + reply_timeout, [this] { fail("connection timed out"); });
+  timer_ = loop_.at(loop_.now() + reply_timeout, [this] { fail("no connection in time"); });
 }
 
 void Client::send_request() {
