--- a/src/cli/registry_commands.cpp
+++ b/src/cli/registry_commands.cpp
@@ -18,15 +18,17 @@
 namespace pearspar::cli {
 namespace {
 
-constexpr int status_unreached = 1;
-constexpr int status_arguments = 2;
-constexpr int status_missing = 3;
-constexpr int conflicts_borne = 5;  // times that somebody else may change a record while we change it
+constexpr int exit_unreachable = 1;
+constexpr int exit_bad_arguments = 2;
+constexpr int exit_not_found = 3;
+constexpr int max_write_conflicts = 5;  // concurrent changes tolerated while updating a record
 
+// Invalid command-line arguments.
 struct BadArguments : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-struct Unreached : std::runtime_error {
+// No endpoint answered, or the registry refused the request.
+struct RequestFailed : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -58,20 +60,21 @@
   return read;
 }
 
-const char* word_of(membership::Phase phase) {
+const char* phase_name(membership::Phase phase) {
   constexpr const char* words[] = {"gone", "ready", "draining"};
   return words[static_cast<int>(phase)];
 }
 
-std::string line_of(const membership::Entry& entry) {
+std::string format_entry(const membership::Entry& entry) {
   return fmt::format("{:<20} {:<21} {:<6} {:<6} {:>5} {:<9} {:>5g} {:.0f}", entry.id, entry.address.text(),
-                     entry.zone, entry.kind, entry.cell, word_of(entry.phase), entry.size, entry.up_since_ms);
+                     entry.zone, entry.kind, entry.cell, phase_name(entry.phase), entry.size,
+                     entry.up_since_ms);
 }
 
-// Calls one endpoint after the other until one has answered.
-class Hand {
+// Blocking access to the registry; tries the endpoints in order until one answers.
+class RegistryClient {
  public:
-  explicit Hand(const RegistryArguments& arguments)
+  explicit RegistryClient(const RegistryArguments& arguments)
       : options_(options_of(arguments)),
         timeout_(arguments.timeout_s),
         credentials_(registry::make_dialect(options_)->credentials()),
@@ -83,51 +86,52 @@
   net::Loop& loop() { return loop_; }
 
   registry::Reply call(const registry::Request& request) {
-    std::string faults;
+    std::string errors;
     for (const net::Address& address : options_.endpoints) {
-      std::optional<registry::Reply> got;
+      std::optional<registry::Reply> response;
       bool ended = false;
       call_.send(address, request, credentials_, timeout_,
                  [&](const registry::Reply* reply, const std::string& why) {
                    ended = true;
                    if (reply)
-                     got = *reply;
+                     response = *reply;
                    else
-                     faults += (faults.empty() ? "" : "; ") + address.text() + ": " + why;
+                     errors += (errors.empty() ? "" : "; ") + address.text() + ": " + why;
                  });
-      while (!ended) loop_.turn();
-      if (!got) continue;
-      if (got->status < 500) return *got;
-      faults += (faults.empty() ? "" : "; ") + address.text() + ": status " + std::to_string(got->status);
+      while (!ended) loop_.run_once();
+      if (!response) continue;
+      if (response->status < 500) return *response;
+      errors +=
+          (errors.empty() ? "" : "; ") + address.text() + ": status " + std::to_string(response->status);
     }
-    throw Unreached(faults);
+    throw RequestFailed(errors);
   }
 
-  struct Held {
+  struct StoredRecord {
     std::string value;
     registry::Revision modified = 0;
   };
-  std::optional<Held> get(const std::string& id) {
+  std::optional<StoredRecord> get(const std::string& id) {
     registry::Reply reply = call(etcd() ? registry::etcd::get(key(id)) : registry::consul::get(key(id)));
     if (reply.status == 404) return std::nullopt;
     if (reply.status != 200)
-      throw Unreached(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
+      throw RequestFailed(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
     json::Value value = json::parse(reply.body);
     if (etcd()) {
       registry::Page page = registry::etcd::read_page(value);
       if (page.items.empty()) return std::nullopt;
-      return Held{page.items.front().item.value, page.items.front().item.modified};
+      return StoredRecord{page.items.front().item.value, page.items.front().item.modified};
     }
     if (value.items.empty()) return std::nullopt;
     const json::Value* text = value.items.front().find("Value");
     const json::Value* index = value.items.front().find("ModifyIndex");
-    Held held;
-    if (text) held.value = registry::decode_base64(text->raw).value_or("");
-    if (index) held.modified = index->whole().value_or(0);
-    return held;
+    StoredRecord record;
+    if (text) record.value = registry::decode_base64(text->raw).value_or("");
+    if (index) record.modified = index->integer().value_or(0);
+    return record;
   }
 
-  // False where it stood no longer at that revision.
+  // Compare-and-set: false if the record has another revision by now.
   bool put_if(const std::string& id, const std::string& value, registry::Revision modified) {
     registry::Reply reply = call(etcd() ? registry::etcd::put_if(key(id), value, modified)
                                         : registry::consul::put_if(key(id), value, modified));
@@ -145,7 +149,7 @@
  private:
   static void check(const registry::Reply& reply) {
     if (reply.status != 200)
-      throw Unreached(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
+      throw RequestFailed(fmt::format("status {}: {}", reply.status, reply.body.substr(0, 200)));
   }
 
   registry::RegistryOptions options_;
@@ -159,7 +163,7 @@
   auto address = net::Address::parse(arguments.address);
   if (!address || address->port == 0)
     throw BadArguments("--address " + arguments.address + " is none with a port, like 10.0.0.1:3000");
-  Hand hand(arguments);
+  RegistryClient client(arguments);
   membership::Entry entry{
       arguments.id,   *address,
       arguments.zone, arguments.kind,
@@ -167,72 +171,72 @@
       arguments.size, arguments.start_ms};
   std::string record = registry::write_record(entry);
   if (arguments.if_absent) {
-    if (!hand.put_if(arguments.id, record, 0)) {
-      std::fprintf(stderr, "pearspar: %s is there already\n", hand.key(arguments.id).c_str());
-      return status_missing;
+    if (!client.put_if(arguments.id, record, 0)) {
+      std::fprintf(stderr, "pearspar: %s is there already\n", client.key(arguments.id).c_str());
+      return exit_not_found;
     }
   } else {
-    hand.put(arguments.id, record);
+    client.put(arguments.id, record);
   }
-  std::printf("%s\n", line_of(entry).c_str());
+  std::printf("%s\n", format_entry(entry).c_str());
   return 0;
 }
 
-// Reads, changes and writes back only what nobody else has changed meanwhile.
+// Updates the phase by compare-and-set, retrying on concurrent changes.
 int set_phase(const RegistryArguments& arguments, membership::Phase phase) {
-  Hand hand(arguments);
-  for (int i = 0; i < conflicts_borne; ++i) {
-    auto held = hand.get(arguments.id);
-    if (!held) {
-      std::fprintf(stderr, "pearspar: there is no %s\n", hand.key(arguments.id).c_str());
-      return status_missing;
+  RegistryClient client(arguments);
+  for (int i = 0; i < max_write_conflicts; ++i) {
+    auto stored = client.get(arguments.id);
+    if (!stored) {
+      std::fprintf(stderr, "pearspar: there is no %s\n", client.key(arguments.id).c_str());
+      return exit_not_found;
     }
     membership::Entry entry;
     try {
-      entry = registry::read_record(arguments.id, held->value);
+      entry = registry::read_record(arguments.id, stored->value);
     } catch (const json::ParseError& error) {
       std::fprintf(stderr, "pearspar: the record under %s cannot be read: %s\n",
-                   hand.key(arguments.id).c_str(), error.what());
-      return status_missing;
+                   client.key(arguments.id).c_str(), error.what());
+      return exit_not_found;
     }
     entry.phase = phase;
-    if (hand.put_if(arguments.id, registry::write_record(entry), held->modified)) {
-      std::printf("%s\n", line_of(entry).c_str());
+    if (client.put_if(arguments.id, registry::write_record(entry), stored->modified)) {
+      std::printf("%s\n", format_entry(entry).c_str());
       return 0;
     }
   }
-  throw Unreached(hand.key(arguments.id) + " is being changed by others all the time");
+  throw RequestFailed(client.key(arguments.id) + ": too many concurrent changes");
 }
 
 int remove_node(const RegistryArguments& arguments) {
-  Hand hand(arguments);
-  if (!hand.get(arguments.id)) {
-    std::fprintf(stderr, "pearspar: there is no %s\n", hand.key(arguments.id).c_str());
-    return status_missing;
+  RegistryClient client(arguments);
+  if (!client.get(arguments.id)) {
+    std::fprintf(stderr, "pearspar: there is no %s\n", client.key(arguments.id).c_str());
+    return exit_not_found;
   }
-  hand.remove(arguments.id);
-  std::printf("%s is removed\n", hand.key(arguments.id).c_str());
+  client.remove(arguments.id);
+  std::printf("%s is removed\n", client.key(arguments.id).c_str());
   return 0;
 }
 
-// Follows the prefix as a broker does, and prints what a broker would be told.
-class Printer final : public membership::MembersUser {
+// Prints the updates that a broker would receive for the prefix.
+class ListPrinter final : public membership::MembersHandler {
  public:
-  explicit Printer(bool json) : json_(json) {}
+  explicit ListPrinter(bool json) : json_(json) {}
   void members_told(const membership::MemberList& list) override {
-    told = true;
+    received_list = true;
     for (const membership::Entry& entry : list.entries) {
       if (json_)
         std::printf("%s\n", record(entry, list.revision).c_str());
       else
-        std::printf("%8lld %s\n", static_cast<long long>(list.revision), line_of(entry).c_str());
+        std::printf("%8lld %s\n", static_cast<long long>(list.revision), format_entry(entry).c_str());
     }
     if (list.complete && list.entries.empty())
       std::printf("%8lld (no nodes)\n", static_cast<long long>(list.revision));
     std::fflush(stdout);
   }
   void members_failed() override {}
-  bool told = false;
+  bool received_list = false;
 
  private:
   static std::string record(const membership::Entry& entry, std::int64_t revision) {
@@ -250,7 +254,7 @@
 int follow(const RegistryArguments& arguments, bool once) {
   net::Loop loop;
   log::Logger log(STDERR_FILENO, log::Level::warning, "registry");
-  Printer printer(arguments.json);
+  ListPrinter printer(arguments.json);
   registry::RegistrySource source(loop, log, options_of(arguments), static_cast<std::uint64_t>(::getpid()),
                                   printer);
   net::Signals signals{SIGINT, SIGTERM};
@@ -264,54 +268,56 @@
   double limit = once ? arguments.timeout_s : arguments.for_s;
   net::Timer over;
   if (limit > 0) over = loop.at(start + net::Duration(limit), [&] { ended = true; });
-  while (!ended && !(once && printer.told)) loop.turn();
+  while (!ended && !(once && printer.received_list)) loop.run_once();
   for (const auto& [key, why] : source.roster().bad())
     std::fprintf(stderr, "pearspar: the record under %s cannot be read: %s\n", key.c_str(), why.c_str());
-  if (!printer.told) throw Unreached("the registry did not answer in time");
-  return source.roster().bad().empty() ? 0 : status_missing;
+  if (!printer.received_list) throw RequestFailed("the registry did not answer in time");
+  return source.roster().bad().empty() ? 0 : exit_not_found;
 }
 
 }  // namespace
 
-CLI::App* add_registry(CLI::App& app, RegistryArguments& arguments) {
-  CLI::App* registry = app.add_subcommand("registry", "look at the registry and change it by hand");
+CLI::App* add_registry_commands(CLI::App& app, RegistryArguments& arguments) {
+  CLI::App* registry = app.add_subcommand("registry", "read and edit node records in the registry");
   registry->require_subcommand(1);
   auto add = [&](const char* name, const char* what, bool with_id) {
     CLI::App* command = registry->add_subcommand(name, what);
-    command->add_option("--options", arguments.options_path, "the operator's file that names the registry");
-    command->add_option("--endpoint", arguments.endpoints, "a registry's address, instead; again for more");
+    command->add_option("--options", arguments.options_path, "options file that names the registry");
+    command->add_option("--endpoint", arguments.endpoints,
+                        "registry address, instead of --options; repeatable");
     command->add_option("--dialect", arguments.dialect, "with --endpoint: etcd or consul")
         ->check(CLI::IsMember({"etcd", "consul"}));
-    command->add_option("--prefix", arguments.prefix, "the keys' prefix, where it is another");
+    command->add_option("--prefix", arguments.prefix, "key prefix, if not the default");
     command->add_option("--timeout", arguments.timeout_s, "seconds to wait for an endpoint")
         ->check(CLI::Range(0.05, 600.0));
     if (with_id) command->add_option("id", arguments.id, "the node's id")->required();
     command->callback([&arguments, name] { arguments.command = name; });
     return command;
   };
-  CLI::App* get = add("get", "print the nodes as they stand", false);
-  get->add_flag("--json", arguments.json, "a JSON object a line");
-  CLI::App* watch = add("watch", "print the nodes and then each change, as a broker is told it", false);
-  watch->add_flag("--json", arguments.json, "a JSON object a line");
-  watch->add_option("--for", arguments.for_s, "seconds to go on; 0: until SIGINT")
-      ->check(CLI::Range(0.0, 1e7));
+  CLI::App* get = add("get", "print the current nodes", false);
+  get->add_flag("--json", arguments.json, "one JSON object per line");
+  CLI::App* watch = add("watch", "print the nodes and then each change, as a broker receives them", false);
+  watch->add_flag("--json", arguments.json, "one JSON object per line");
+  watch->add_option("--for", arguments.for_s, "seconds to run; 0: until SIGINT")->check(CLI::Range(0.0, 1e7));
   CLI::App* put = add("put-node", "write a node's record", true);
-  put->add_option("--address", arguments.address, "as 10.0.0.1:3000")->required();
-  put->add_option("--cell", arguments.cell, "which shards it holds")->required()->check(CLI::Range(0, 65535));
+  put->add_option("--address", arguments.address, "like 10.0.0.1:3000")->required();
+  put->add_option("--cell", arguments.cell, "cell of shards that it holds")
+      ->required()
+      ->check(CLI::Range(0, 65535));
   put->add_option("--zone", arguments.zone, "");
   put->add_option("--kind", arguments.kind, "");
-  put->add_option("--size", arguments.size, "its capacity beside others'")->check(CLI::Range(0.0, 1e9));
-  put->add_option("--start-ms", arguments.start_ms, "its start, in Unix milliseconds")
+  put->add_option("--size", arguments.size, "relative capacity")->check(CLI::Range(0.0, 1e9));
+  put->add_option("--start-ms", arguments.start_ms, "start time in Unix milliseconds")
       ->check(CLI::Range(0.0, 1e15));
   put->add_flag("--draining", arguments.draining, "");
-  put->add_flag("--if-absent", arguments.if_absent, "only where there is no such node");
-  add("drain", "let a node finish what it has and give it nothing new", true);
+  put->add_flag("--if-absent", arguments.if_absent, "only if the node does not exist");
+  add("drain", "stop sending new requests to a node", true);
   add("ready", "take a node back into service", true);
-  add("remove", "take a node off the list", true);
+  add("remove", "remove a node from the list", true);
   return registry;
 }
 
-int run_registry(const RegistryArguments& arguments) {
+int run_registry_command(const RegistryArguments& arguments) {
   try {
     if (arguments.command == "get") return follow(arguments, true);
     if (arguments.command == "watch") return follow(arguments, false);
@@ -320,14 +326,14 @@
     if (arguments.command == "ready") return set_phase(arguments, membership::Phase::ready);
     return remove_node(arguments);
   } catch (const options::OptionsError& error) {
-    for (const std::string& fault : error.faults()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
-    return status_arguments;
+    for (const std::string& message : error.errors()) std::fprintf(stderr, "pearspar: %s\n", message.c_str());
+    return exit_bad_arguments;
   } catch (const BadArguments& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_arguments;
+    return exit_bad_arguments;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_unreached;
+    return exit_unreachable;
   }
 }
 
--- a/src/discovery/client.h
+++ b/src/discovery/client.h
@@ -1,5 +1,5 @@
-// Keeps the list of nodes up to date: the whole list once, then one watch after the other. Whatever goes
-// wrong, the list that stands is kept and the next try is paced.
+// Client of the platform's discovery agent: fetches the full node list once, then follows changes by long
+// polling. On errors the last list stays in use and requests are retried with backoff.
 #pragma once
 
 #include <cstdint>
@@ -13,31 +13,32 @@
 
 namespace pearspar::discovery {
 
-using membership::MembersUser;
+using membership::MembersHandler;
 
+// A membership source that follows one discovery agent over HTTP.
 class Client final : public membership::Source {
  public:
-  Client(net::Loop& loop, log::Logger& log, const net::Address& address, MembersUser& user)
+  Client(net::Loop& loop, log::Logger& log, const net::Address& address, MembersHandler& user)
       : loop_(loop), log_(log), address_(address), where_("discovery at " + address.text()), user_(user) {}
 
   const std::string& where() const override { return where_; }
   void start() override;
   void stop() override;
   void fetch() override;
-  // The connection that stands is the last one: once it ends, no other is made.
-  void make_last() override { last_ = true; }
+  // Stops reconnecting: the current connection is used until it ends.
+  void stop_reconnecting() override { no_reconnect_ = true; }
   std::int64_t revision() const override { return revision_; }
   membership::SourceCounters counters() const override { return counters_; }
 
  private:
   void connect();
-  void ask();
+  void send_request();
   void on_ready(short events);
   void read();
   void write();
-  void take_reply();
-  bool take_list(const MemberList& list);  // true where it told anything
-  void ask_again();
+  void handle_reply();
+  bool apply_list(const MemberList& list);  // true if the user was notified
+  void send_next_request();
   void fail(const std::string& why);
   void disconnect();
 
@@ -45,17 +46,17 @@
   log::Logger& log_;
   net::Address address_;
   std::string where_;
-  MembersUser& user_;
+  MembersHandler& user_;
   bool started_ = false;
-  bool last_ = false;
-  bool want_whole_ = true;
-  bool up_ = false;
-  bool asked_ = false;
-  bool asked_whole_ = false;
-  net::Time asked_at_{};
+  bool no_reconnect_ = false;
+  bool want_full_list_ = true;
+  bool connected_ = false;
+  bool request_pending_ = false;
+  bool requested_full_list_ = false;
+  net::Time requested_at_{};
   std::int64_t revision_ = -1;
-  int failures_in_a_row_ = 0;
-  int older_in_a_row_ = 0;
+  int consecutive_failures_ = 0;
+  int consecutive_older_lists_ = 0;
   net::Fd fd_;
   net::Watch watch_;
   net::Timer timer_;
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -8,14 +8,15 @@
 
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
+// Recursive-descent parser over one text.
 class Parser {
  public:
   Parser(std::string_view text, int max_depth) : text_(text), depth_left_(max_depth) {}
 
-  Value whole_text() {
+  Value parse_document() {
     Value value = parse_value();
     skip_space();
-    if (at_ != text_.size()) fail("something follows the value");
+    if (at_ != text_.size()) fail("unexpected data after the value");
     return value;
   }
 
@@ -24,7 +25,7 @@
     throw ParseError(std::string("JSON: ") + what + " at byte " + std::to_string(at_));
   }
   char peek() const { return at_ < text_.size() ? text_[at_] : '\0'; }
-  bool take(char c) {
+  bool consume(char c) {
     if (at_ >= text_.size() || text_[at_] != c) return false;
     ++at_;
     return true;
@@ -45,42 +46,42 @@
       case '"': {
         Value value;
         value.kind = Kind::text;
-        value.raw = take_text(&value.escaped);
+        value.raw = parse_string(&value.escaped);
         return value;
       }
       case 't':
-        return take_word("true", Kind::flag);
+        return parse_literal("true", Kind::boolean);
       case 'f':
-        return take_word("false", Kind::flag);
+        return parse_literal("false", Kind::boolean);
       case 'n':
-        return take_word("null", Kind::null);
+        return parse_literal("null", Kind::null);
       default:
-        return take_number();
+        return parse_number();
     }
   }
 
-  Value take_word(std::string_view word, Kind kind) {
-    if (text_.substr(at_, word.size()) != word) fail("an unknown word");
+  Value parse_literal(std::string_view literal, Kind kind) {
+    if (text_.substr(at_, literal.size()) != literal) fail("unknown literal");
     Value value;
     value.kind = kind;
-    value.raw = text_.substr(at_, word.size());
-    at_ += word.size();
+    value.raw = text_.substr(at_, literal.size());
+    at_ += literal.size();
     return value;
   }
 
-  void take_digits() {
-    if (!is_digit(peek())) fail("a digit is missing");
+  void skip_digits() {
+    if (!is_digit(peek())) fail("expected a digit");
     while (is_digit(peek())) ++at_;
   }
 
-  Value take_number() {
+  Value parse_number() {
     std::size_t start = at_;
-    take('-');
-    if (!take('0')) take_digits();
-    if (take('.')) take_digits();
-    if (take('e') || take('E')) {
-      if (!take('+')) take('-');
-      take_digits();
+    consume('-');
+    if (!consume('0')) skip_digits();
+    if (consume('.')) skip_digits();
+    if (consume('e') || consume('E')) {
+      if (!consume('+')) consume('-');
+      skip_digits();
     }
     Value value;
     value.kind = Kind::number;
@@ -88,11 +89,11 @@
     return value;
   }
 
-  std::string_view take_text(bool* escaped) {
-    if (!take('"')) fail("a text is missing");
+  std::string_view parse_string(bool* escaped) {
+    if (!consume('"')) fail("expected a string");
     std::size_t start = at_;
     while (at_ < text_.size() && text_[at_] != '"') {
-      if (static_cast<unsigned char>(text_[at_]) < 0x20) fail("a control character in a text");
+      if (static_cast<unsigned char>(text_[at_]) < 0x20) fail("control character in a string");
       if (text_[at_] != '\\') {
         ++at_;
         continue;
@@ -104,31 +105,32 @@
       if (kind == 'u') {
         for (int i = 0; i < 4; ++i, ++at_) {
           char c = peek();
-          if (!is_digit(c) && !(c >= 'a' && c <= 'f') && !(c >= 'A' && c <= 'F')) fail("a broken escape");
+          if (!is_digit(c) && !(c >= 'a' && c <= 'f') && !(c >= 'A' && c <= 'F'))
+            fail("invalid escape sequence");
         }
       } else if (std::string_view("\"\\/bfnrt").find(kind) == std::string_view::npos || kind == '\0') {
-        fail("a broken escape");
+        fail("invalid escape sequence");
       }
     }
     std::string_view inside = text_.substr(start, at_ - start);
-    if (!take('"')) fail("a text without its end");
+    if (!consume('"')) fail("unterminated string");
     return inside;
   }
 
-  void go_deeper() {
-    if (depth_left_-- <= 0) fail("nested too deep");
+  void enter_nested() {
+    if (depth_left_-- <= 0) fail("nesting too deep");
   }
 
   Value parse_array() {
     Value value;
     value.kind = Kind::array;
-    go_deeper();
-    take('[');
+    enter_nested();
+    consume('[');
     skip_space();
-    if (!take(']')) {
+    if (!consume(']')) {
       do value.items.push_back(parse_value());
-      while (skip_space(), take(','));
-      if (!take(']')) fail("an array without its end");
+      while (skip_space(), consume(','));
+      if (!consume(']')) fail("unterminated array");
     }
     ++depth_left_;
     return value;
@@ -137,20 +139,20 @@
   Value parse_object() {
     Value value;
     value.kind = Kind::object;
-    go_deeper();
-    take('{');
+    enter_nested();
+    consume('{');
     skip_space();
-    if (!take('}')) {
+    if (!consume('}')) {
       do {
         skip_space();
         bool escaped = false;
-        std::string_view name = take_text(&escaped);
+        std::string_view name = parse_string(&escaped);
         skip_space();
-        if (!take(':')) fail("a colon is missing");
+        if (!consume(':')) fail("expected a colon");
         value.members.emplace_back(name, parse_value());
         skip_space();
-      } while (take(','));
-      if (!take('}')) fail("an object without its end");
+      } while (consume(','));
+      if (!consume('}')) fail("unterminated object");
     }
     ++depth_left_;
     return value;
@@ -181,7 +183,7 @@
   return code;
 }
 
-// `raw` has passed the parser, so every escape in it is whole.
+// Resolves escapes. `raw` has been validated by the parser.
 std::string unescape(std::string_view raw) {
   std::string out;
   out.reserve(raw.size());
@@ -202,12 +204,12 @@
           i += 6;
         }
       }
-      if (code >= 0xd800 && code < 0xe000) code = 0xfffd;  // half of a pair
+      if (code >= 0xd800 && code < 0xe000) code = 0xfffd;  // unpaired surrogate: U+FFFD
       append_utf8(out, code);
     } else {
-      constexpr std::string_view kinds = "bfnrt", meant = "\b\f\n\r\t";
+      constexpr std::string_view kinds = "bfnrt", replacements = "\b\f\n\r\t";
       std::size_t found = kinds.find(kind);
-      out.push_back(found == std::string_view::npos ? kind : meant[found]);
+      out.push_back(found == std::string_view::npos ? kind : replacements[found]);
     }
   }
   return out;
@@ -236,19 +238,19 @@
   return value;
 }
 
-std::optional<std::int64_t> Value::whole() const {
+std::optional<std::int64_t> Value::integer() const {
   std::int64_t value = 0;
   if (kind != Kind::number) return std::nullopt;
   auto [stop, error] = std::from_chars(raw.data(), raw.data() + raw.size(), value);
   if (error == std::errc() && stop == raw.data() + raw.size()) return value;
-  // 3.0 and 1e3 are whole numbers too.
-  std::optional<double> wide = number();
-  if (!wide || *wide != std::floor(*wide) || std::abs(*wide) > 9e15) return std::nullopt;
-  return static_cast<std::int64_t>(*wide);
+  // Accepts integral values in decimal or exponent form, such as 3.0 and 1e3.
+  std::optional<double> real = number();
+  if (!real || *real != std::floor(*real) || std::abs(*real) > 9e15) return std::nullopt;
+  return static_cast<std::int64_t>(*real);
 }
 
-std::optional<bool> Value::flag() const {
-  if (kind != Kind::flag) return std::nullopt;
+std::optional<bool> Value::boolean() const {
+  if (kind != Kind::boolean) return std::nullopt;
   return raw == "true";
 }
 
@@ -257,7 +259,7 @@
   return escaped ? unescape(raw) : std::string(raw);
 }
 
-Value parse(std::string_view text, int max_depth) { return Parser(text, max_depth).whole_text(); }
+Value parse(std::string_view text, int max_depth) { return Parser(text, max_depth).parse_document(); }
 
 void append_quoted(std::string& out, std::string_view text) {
   constexpr std::string_view hex = "0123456789abcdef";
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line of pearspar.
+// The command line of pearspar: the broker itself and its administration commands.
 #include <signal.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -24,12 +24,12 @@
 
 namespace {
 
-constexpr int status_fault = 1;   // it could not start or go on
-constexpr int status_config = 2;  // its configuration is no good
+constexpr int exit_failure = 1;                // start-up or run-time failure
+constexpr int exit_invalid_configuration = 2;  // invalid configuration or options file
 
 pearspar::config::Config read_config(const std::string& path) {
   pearspar::config::Config config = pearspar::config::read_config_file(path);
-  // Where the machine grants fewer descriptors than the configuration names, that is what there is.
+  // The descriptor limit of the process bounds the configured number of sockets.
   rlimit descriptors{};
   if (::getrlimit(RLIMIT_NOFILE, &descriptors) == 0 && descriptors.rlim_cur != RLIM_INFINITY)
     config.max_sockets =
@@ -41,26 +41,26 @@
   return path.empty() ? pearspar::options::Options() : pearspar::options::read_options_file(path);
 }
 
-// A file that is no good changes nothing: a broker that serves must not end for it.
+// Reloads both files; an invalid file is logged and leaves the running configuration unchanged.
 void reload(pearspar::broker::Broker& broker, pearspar::log::Logger& log, const std::string& path,
             const std::string& options_path) {
   try {
     const pearspar::options::Options options = read_options(options_path);
     broker.reload(read_config(path), options);
   } catch (const pearspar::options::OptionsError& error) {
-    for (const std::string& fault : error.faults()) log.error("reload: {}", fault);
+    for (const std::string& message : error.errors()) log.error("reload: {}", message);
     log.error("reload: the options in force stay");
   } catch (const std::exception& error) {
     log.error("reload: {}; the configuration in force stays", error.what());
   }
 }
 
-// The system has refused memory: what clients hold makes way until the reserve is whole again.
-void restore_reserve(pearspar::broker::Broker& broker, pearspar::log::Logger& log) {
-  int given_up = 0;
-  while (!pearspar::allocation::fill_reserve() && broker.shed()) ++given_up;
-  log.warning("short of memory: {} allocations refused so far, {} clients given up",
-              pearspar::allocation::refusals(), given_up);
+// After a failed allocation, frees client connections until the memory reserve can be filled again.
+void refill_memory_reserve(pearspar::broker::Broker& broker, pearspar::log::Logger& log) {
+  int closed = 0;
+  while (!pearspar::allocation::fill_reserve() && broker.shed()) ++closed;
+  log.warning("out of memory: {} allocations failed since the start, memory of {} client connections freed",
+              pearspar::allocation::refusals(), closed);
 }
 
 int serve(const std::string& config_path, const std::string& options_path, pearspar::log::Level level) {
@@ -69,7 +69,7 @@
   const pearspar::options::Options options = read_options(options_path);
   pearspar::log::Logger log(STDERR_FILENO, level, config.name, options.log);
   pearspar::net::Loop loop;
-  pearspar::broker::Broker broker(loop, log, config, pearspar::make_policy(config.module, config.seed),
+  pearspar::broker::Broker broker(loop, log, config, pearspar::make_policy(config.policy, config.seed),
                                   options);
   pearspar::net::Watch watch = signals.watch(loop, [&](int signal) {
     if (signal == SIGUSR1)
@@ -77,15 +77,15 @@
     else if (signal == SIGHUP)
       reload(broker, log, config_path, options_path);
     else
-      broker.wind_down();
+      broker.start_draining();
   });
   pearspar::allocation::set_report(STDERR_FILENO, config.name.c_str(), nullptr);
   pearspar::allocation::fill_reserve();
   broker.start();
   while (!broker.done()) {
-    loop.turn();
+    loop.run_once();
     broker.end_turn();
-    if (!pearspar::allocation::reserve_is_whole()) restore_reserve(broker, log);
+    if (!pearspar::allocation::reserve_is_whole()) refill_memory_reserve(broker, log);
   }
   log.info("ended, counters {}", broker.counters_json());
   return 0;
@@ -112,23 +112,22 @@
                                                               {"debug", pearspar::log::Level::debug}};
   serve_command->add_option("--log-level", level, "error, warning, info or debug")
       ->transform(CLI::CheckedTransformer(levels, CLI::ignore_case));
-  CLI::App* check_command =
-      app.add_subcommand("check-config", "read the configuration and say whether it is good");
+  CLI::App* check_command = app.add_subcommand("check-config", "validate the configuration");
   add_config(check_command);
   CLI::App* version_command = app.add_subcommand("version", "print the version");
   pearspar::cli::RegistryArguments registry_arguments;
-  CLI::App* registry_command = pearspar::cli::add_registry(app, registry_arguments);
+  CLI::App* registry_command = pearspar::cli::add_registry_commands(app, registry_arguments);
   pearspar::cli::FleetArguments fleet_arguments;
-  CLI::App* fleet_command = pearspar::cli::add_fleet(app, fleet_arguments);
+  CLI::App* fleet_command = pearspar::cli::add_fleet_commands(app, fleet_arguments);
   CLI11_PARSE(app, argc, argv);
   try {
     if (*version_command) {
       std::printf("pearspar %s\n", pearspar::version);
       return 0;
     }
-    if (*fleet_command) return pearspar::cli::run_fleet(fleet_arguments);
-    if (*registry_command) return pearspar::cli::run_registry(registry_arguments);
-    // An operator's file can be checked without the platform's.
+    if (*fleet_command) return pearspar::cli::run_fleet_command(fleet_arguments);
+    if (*registry_command) return pearspar::cli::run_registry_command(registry_arguments);
+    // The options file can be checked without a configuration file.
     if (*check_command && !options_path.empty()) {
       read_options(options_path);
       std::printf("%s: good\n", options_path.c_str());
@@ -144,13 +143,13 @@
     }
     return serve(config_path, options_path, level);
   } catch (const pearspar::options::OptionsError& error) {
-    for (const std::string& fault : error.faults()) std::fprintf(stderr, "pearspar: %s\n", fault.c_str());
-    return status_config;
+    for (const std::string& message : error.errors()) std::fprintf(stderr, "pearspar: %s\n", message.c_str());
+    return exit_invalid_configuration;
   } catch (const pearspar::config::ConfigError& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_config;
+    return exit_invalid_configuration;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "pearspar: %s\n", error.what());
-    return status_fault;
+    return exit_failure;
   }
 }
--- a/src/membership/fixed.h
+++ b/src/membership/fixed_source.h
@@ -1,4 +1,4 @@
-// A list of nodes that stands in a file and never changes by itself.
+// A fixed list of nodes, read from the configuration.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 class FixedSource final : public Source {
  public:
-  // `list` must be whole. Two fixed lists are the same where their text form is.
-  FixedSource(MemberList list, MembersUser& user) : list_(std::move(list)), user_(user) {
+  // `list` must be complete. Two fixed lists with equal text form count as the same source.
+  FixedSource(MemberList list, MembersHandler& handler) : list_(std::move(list)), handler_(handler) {
     list_.complete = true;
     where_ = "a fixed list of " + std::to_string(list_.entries.size()) + " nodes (" + mark() + ")";
   }
@@ -25,9 +25,9 @@
     started_ = true;
     told_ = true;
     ++counters_.lists;
-    user_.members_told(list_);
+    handler_.members_told(list_);
   }
-  void make_last() override {}
+  void stop_reconnecting() override {}
   std::int64_t revision() const override { return told_ ? list_.revision : -1; }
   SourceCounters counters() const override { return counters_; }
 
@@ -42,7 +42,7 @@
   }
 
   MemberList list_;
-  MembersUser& user_;
+  MembersHandler& handler_;
   std::string where_;
   bool started_ = false;
   bool told_ = false;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -25,8 +25,8 @@
   return system;
 }
 
-// Small messages both ways: waiting to fill a segment would cost more than it saves.
-void send_at_once(int fd) {
+// Turns off Nagle's algorithm: messages are small, and latency matters more than full segments.
+void set_no_delay(int fd) {
   int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -36,7 +36,7 @@
 void Fd::reset() {
   if (fd_ < 0) return;
   int fd = std::exchange(fd_, -1);
-  stand_in ? stand_in->close(fd) : static_cast<void>(::close(fd));
+  kernel_override ? kernel_override->close(fd) : static_cast<void>(::close(fd));
 }
 
 std::optional<Address> Address::parse(std::string_view text) {
@@ -69,13 +69,13 @@
 }
 
 Fd listen_on(const Address& address) {
-  if (stand_in) return Fd(stand_in->listen(address));
+  if (kernel_override) return Fd(kernel_override->listen(address));
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   auto fail = [&](const char* what) {
     throw std::system_error(errno, std::generic_category(), std::string(what) + " " + address.text());
   };
   if (!fd) fail("socket for");
-  // A restarted broker takes its address back while connections of its last life still linger.
+  // Lets a restarted process bind its address while old connections are in TIME_WAIT.
   int on = 1;
   ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   sockaddr_in system = to_system(address);
@@ -85,7 +85,7 @@
 }
 
 Address local_address(const Fd& fd) {
-  if (stand_in) return stand_in->local_address(fd.get());
+  if (kernel_override) return kernel_override->local_address(fd.get());
   sockaddr_in system{};
   socklen_t size = sizeof system;
   if (::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&system), &size) != 0) return {};
@@ -94,38 +94,38 @@
 
 bool readable(const Fd& fd) {
   pollfd waiting{fd.get(), POLLIN, 0};
-  return (stand_in ? stand_in->poll(&waiting, 1) : ::poll(&waiting, 1, 0)) == 1 &&
+  return (kernel_override ? kernel_override->poll(&waiting, 1) : ::poll(&waiting, 1, 0)) == 1 &&
          (waiting.revents & POLLIN) != 0;
 }
 
 AcceptResult accept_one(const Fd& listener, Fd& accepted) {
-  if (stand_in) {
+  if (kernel_override) {
     int made = -1;
-    AcceptResult result = stand_in->accept(listener.get(), made);
+    AcceptResult result = kernel_override->accept(listener.get(), made);
     if (result == AcceptResult::accepted) accepted = Fd(made);
     return result;
   }
   int fd = ::accept4(listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd >= 0) {
-    send_at_once(fd);
+    set_no_delay(fd);
     accepted = Fd(fd);
     return AcceptResult::accepted;
   }
   if (errno == EAGAIN || errno == EWOULDBLOCK) return AcceptResult::none;
   if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM)
     return AcceptResult::no_descriptors;
-  return AcceptResult::failed;  // this one came to nothing (it was reset, say); the next may not
+  return AcceptResult::failed;  // this connection failed (for example by a reset); the next one may not
 }
 
 Fd start_connect(const Address& address, int& error) {
   error = 0;
-  if (stand_in) return Fd(stand_in->connect(address, error));
+  if (kernel_override) return Fd(kernel_override->connect(address, error));
   Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd) {
     error = errno;
     return fd;
   }
-  send_at_once(fd.get());
+  set_no_delay(fd.get());
   sockaddr_in system = to_system(address);
   if (::connect(fd.get(), reinterpret_cast<sockaddr*>(&system), sizeof system) != 0 && errno != EINPROGRESS &&
       errno != EINTR) {
@@ -135,8 +135,8 @@
   return fd;
 }
 
-void bound_silence(const Fd& fd, int ms) {
-  if (stand_in) return stand_in->bound_silence(fd.get(), ms);
+void set_silence_timeout(const Fd& fd, int ms) {
+  if (kernel_override) return kernel_override->set_silence_timeout(fd.get(), ms);
   auto set = [&](int level, int name, int value) {
     ::setsockopt(fd.get(), level, name, &value, sizeof value);
   };
@@ -148,22 +148,22 @@
 }
 
 int connect_error(const Fd& fd) {
-  if (stand_in) return stand_in->connect_error(fd.get());
+  if (kernel_override) return kernel_override->connect_error(fd.get());
   int error = 0;
   socklen_t size = sizeof error;
   if (::getsockopt(fd.get(), SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
   return error;
 }
 
-IoResult read_into(const Fd& fd, Buffer& buffer, std::size_t most) {
-  char* at = buffer.grow(most);
-  if (stand_in) {
+IoResult read_into(const Fd& fd, Buffer& buffer, std::size_t max_bytes) {
+  char* at = buffer.grow(max_bytes);
+  if (kernel_override) {
     std::size_t size = 0;
-    IoResult result = stand_in->read(fd.get(), at, most, size);
+    IoResult result = kernel_override->read(fd.get(), at, max_bytes, size);
     buffer.commit(size);
     return result;
   }
-  ssize_t got = ::recv(fd.get(), at, most, 0);
+  ssize_t got = ::recv(fd.get(), at, max_bytes, 0);
   if (got > 0) {
     buffer.commit(static_cast<std::size_t>(got));
     return IoResult::some;
@@ -173,17 +173,17 @@
 }
 
 void end_sending(const Fd& fd) {
-  stand_in ? stand_in->end_sending(fd.get()) : static_cast<void>(::shutdown(fd.get(), SHUT_WR));
+  kernel_override ? kernel_override->end_sending(fd.get()) : static_cast<void>(::shutdown(fd.get(), SHUT_WR));
 }
 
 IoResult discard(const Fd& fd) {
-  constexpr std::size_t most = std::size_t{1} << 20;
-  if (stand_in) {
+  constexpr std::size_t max_bytes = std::size_t{1} << 20;
+  if (kernel_override) {
     std::size_t size = 0;
-    return stand_in->read(fd.get(), nullptr, most, size);
+    return kernel_override->read(fd.get(), nullptr, max_bytes, size);
   }
   // For TCP, MSG_TRUNC drops the bytes in the kernel instead of copying them.
-  ssize_t got = ::recv(fd.get(), nullptr, most, MSG_TRUNC);
+  ssize_t got = ::recv(fd.get(), nullptr, max_bytes, MSG_TRUNC);
   if (got > 0) return IoResult::some;
   if (got == 0) return IoResult::ended;
   return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR ? IoResult::none : IoResult::failed;
@@ -191,8 +191,8 @@
 
 IoResult write_from(const Fd& fd, std::string_view bytes, std::size_t& written) {
   written = 0;
-  if (stand_in) return stand_in->write(fd.get(), bytes, written);
-  // MSG_NOSIGNAL: a peer that has gone away is an outcome, not a SIGPIPE.
+  if (kernel_override) return kernel_override->write(fd.get(), bytes, written);
+  // MSG_NOSIGNAL: a closed peer is reported as an error instead of SIGPIPE.
   ssize_t put = ::send(fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
   if (put >= 0) {
     written = static_cast<std::size_t>(put);
@@ -207,7 +207,7 @@
     throw std::system_error(errno, std::generic_category(), std::string(what) + " " + address.text());
   };
   if (!fd) fail("datagram socket for");
-  int room = 1 << 20;  // the kernel grants what it allows
+  int room = 1 << 20;  // bytes; the kernel may limit it
   ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
   sockaddr_in system = to_system(address);
   if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&system), sizeof system) != 0) fail("bind datagrams to");
@@ -220,7 +220,7 @@
   ssize_t got = ::recvfrom(fd.get(), into, room, 0, reinterpret_cast<sockaddr*>(&system), &size);
   more = got >= 0;
   if (got < 0) {
-    // A datagram of ours that nobody took comes back as an error; the next may be a good one.
+    // ECONNREFUSED reports that an earlier datagram was not delivered; a datagram may still be waiting.
     more = errno == ECONNREFUSED || errno == EINTR;
     return 0;
   }
--- a/src/nodelink/frames.h
+++ b/src/nodelink/frames.h
@@ -1,5 +1,5 @@
-// The frames that brokers and nodes exchange: a length of four bytes, most significant first, a letter, and
-// the rest; the length covers the letter and the rest.
+// The frames between brokers and nodes: a four-byte big-endian length, a letter and a payload. The length
+// covers the letter and the payload.
 #pragma once
 
 #include <cstddef>
@@ -12,41 +12,44 @@
 
 namespace pearspar::nodelink {
 
-inline constexpr std::size_t frame_header = 4;
-// A reply to a client holds 64 KiB at most, so no value in it can be larger.
-inline constexpr std::size_t largest_frame = 66 * 1024;
+inline constexpr std::size_t frame_header_bytes = 4;
+// A reply to a client is limited to 64 KiB, so no value in it can be larger.
+inline constexpr std::size_t max_frame_bytes = 66 * 1024;
 
-struct PartToSend {
+struct OutgoingPart {
   std::string_view id;
   int shard = 0;
   std::int64_t wait_ms = 0;
   std::string_view text;
 };
 
-std::string call_frame(std::span<const PartToSend> parts);
+std::string call_frame(std::span<const OutgoingPart> parts);
 std::string give_up_frame(std::string_view id);
 std::string probe_frame(bool for_load);
 
+// A frame within a buffer.
 struct FrameView {
   char letter = 0;
   std::string_view rest;
-  std::size_t size = 0;  // with its length
+  std::size_t size = 0;  // of the whole frame, length field included
 };
 enum class FrameResult { more, whole, broken };
+// Reads the frame at the start of `bytes`; `frame` is set only if it is whole.
 FrameResult next_frame(std::string_view bytes, FrameView& frame);
 
-enum class End { served, error, turned_away };
+enum class PartOutcome { served, error, refused };
+// The answer to one part, with views into the frame.
 struct PartAnswer {
   std::string_view id;
-  End end = End::error;
-  std::string_view report;  // empty where there is none
+  PartOutcome end = PartOutcome::error;
+  std::string_view report;  // empty if there is none
   std::string_view value;
 };
-// Nothing where the text is no answer.
-std::optional<PartAnswer> read_answer(std::string_view rest);
+// Nothing if the text is malformed.
+std::optional<PartAnswer> parse_answer(std::string_view rest);
 
-// "inflight=7,util=0.61": the values in the order of `fields`, 0 for those that are not in it; empty where no
-// known one is.
-std::vector<double> read_report(std::string_view report, std::span<const std::string> fields);
+// Parses "inflight=7,util=0.61": the values in the order of `fields`, 0 for missing ones; empty if none is
+// known.
+std::vector<double> parse_report(std::string_view report, std::span<const std::string> fields);
 
 }  // namespace pearspar::nodelink
--- a/src/nodelink/links.cpp
+++ b/src/nodelink/links.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t read_step = 16 * 1024;
-constexpr int reads_at_once = 8;  // then the others get their turn
+constexpr int reads_at_once = 8;  // before other connections are served
 
 }  // namespace
 
@@ -17,8 +17,8 @@
 void Links::place(NodeId node, const net::Address& address, double up_since_ms) {
   Node& known = nodes_[node];
   known.gone = false;
-  // A node that moved or started anew no longer stands behind the connections made before; on a machine that
-  // vanished they would stay silent.
+  // Connections to an earlier address or process no longer lead to this node; if its machine vanished
+  // they would stay silent.
   if (known.address != address || known.up_since_ms < up_since_ms)
     for (net::SlotId id : std::vector(known.connections)) retire_connection(id);
   known.address = address;
@@ -40,7 +40,8 @@
   Connection* connection = connections_.find(id);
   if (!connection) return;
   connection->retired = true;
-  if (connection->attempts.empty() && connection->probes.empty()) close(id, "its node has gone or moved");
+  if (connection->attempts.empty() && connection->probes.empty())
+    close(id, "the node was removed or has moved");
 }
 
 void Links::drop_idle(NodeId node) {
@@ -55,8 +56,8 @@
   }
 }
 
-// Where there are more nodes than descriptors, the node that is sent to takes the place of the one not sent
-// to for the longest: its part would else fail as if the node could not be reached.
+// With more nodes than descriptors, the node that is sent to displaces the one not used for longest;
+// otherwise its part would fail as if the node were unreachable.
 bool Links::close_one_idle() {
   net::SlotId oldest;
   net::Time least = net::Time::max();
@@ -73,7 +74,7 @@
   return true;
 }
 
-// One line when a node begins to fail and one when it answers again: what lies between is counted.
+// Logs the first failure of a node and its first answer after that; failures in between are only counted.
 void Links::note_failure(Node& node, const char* why) {
   if (++node.failures == 1) log_.warning("node at {}: {}", node.address.text(), why);
 }
@@ -88,7 +89,7 @@
 // ---- sending ----
 
 void Links::send(NodeId node, std::span<const Call> call) {
-  for (const Call& part : call) doubt_earlier(part.part, part.attempt);
+  for (const Call& part : call) mark_earlier_silent(part.part, part.attempt);
   net::SlotId id = connection_for(node, call);
   std::uint64_t number = ++last_call_;
   Frame frame;
@@ -118,8 +119,8 @@
   enqueue(id, std::move(frame));
 }
 
-void Links::build(Frame& frame) {
-  std::vector<PartToSend> parts;
+void Links::serialize(Frame& frame) {
+  std::vector<OutgoingPart> parts;
   for (const QueuedPart& part : frame.parts) {
     double wait_ms = std::ceil(net::Duration(part.give_up_at - loop_.now()).count() * 1000);
     parts.push_back({attempts_.find(part.attempt)->id, part.shard,
@@ -128,13 +129,12 @@
   frame.bytes = call_frame(parts);
 }
 
-// A connection can fall silent while its node serves on others: the path behind it is gone, and nobody says
-// so. Found on such a day: all that went to the node kept going to that connection until all its places were
-// taken by attempts given up. Once an attempt on it is taken for lost (called off, timed out, or sent again)
-// and nothing has been read since it went out, the connection gets nothing new until something is read, and
-// ends once no answer can come any more. When a whole node hangs, each attempt taken for lost may so cost one
-// connection more, until its query's deadline.
-void Links::doubt(const Attempt& attempt) {
+// Detects a connection that has gone silent while its node serves on others, as with a broken network path.
+// Once an attempt on it is presumed lost (cancelled, timed out or sent again) and nothing has been read
+// since it was written, the connection gets no new calls until something is read, and is closed once no
+// answer can arrive. If a whole node hangs, each lost attempt may cost one further connection until the
+// deadline of its query.
+void Links::mark_silent(const Attempt& attempt) {
   Connection* connection = connections_.find(attempt.connection);
   if (!connection || connection->silent || !attempt.written || connection->last_read > attempt.written_at)
     return;
@@ -142,33 +142,33 @@
   ++counters_.fell_silent;
 }
 
-// Closes it where nothing can come of it any more; true where it did.
-bool Links::end_silent(net::SlotId id) {
+// Closes a silent connection with nothing in flight; true if it did.
+bool Links::close_if_silent(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   if (!connection.silent || !connection.attempts.empty() || !connection.abandoned.empty() ||
       !connection.probes.empty())
     return false;
   ++counters_.closed_silent;
-  close(id, "it fell silent");
+  close(id, "the connection fell silent");
   return true;
 }
 
-void Links::doubt_earlier(PartId part, int number) {
+void Links::mark_earlier_silent(PartId part, int number) {
   auto end = by_part_.lower_bound({part, number});
-  for (auto it = by_part_.lower_bound({part, 0}); it != end; ++it) doubt(*attempts_.find(it->second));
+  for (auto it = by_part_.lower_bound({part, 0}); it != end; ++it) mark_silent(*attempts_.find(it->second));
 }
 
-// One with a free place on which none of these ids is still awaited: two answers under one id could not be
-// told apart. One that is up comes first, then one that is coming up, then a new one.
+// Chooses a connection with a free place on which none of these ids is awaited, as two answers under one id
+// could not be told apart. Prefers an established connection, then one being established, then a new one.
 net::SlotId Links::connection_for(NodeId node, std::span<const Call> call) {
-  net::SlotId coming;
+  net::SlotId connecting;
   auto known = nodes_.find(node);
-  if (known == nodes_.end()) return {};  // gone, with all that was known of it
+  if (known == nodes_.end()) return {};  // removed
   for (net::SlotId id : std::vector(known->second.connections)) {
     Connection& connection = *connections_.find(id);
     forget_old(connection);
-    if (end_silent(id)) continue;
-    // Behind a frame that stands half read nothing else may ever come.
+    if (close_if_silent(id)) continue;
+    // A partial frame is buffered: the rest may never arrive.
     if (connection.retired || connection.silent || connection.in.size() > 0 ||
         connection.calls.size() >= static_cast<std::size_t>(limits_.calls_per_connection))
       continue;
@@ -178,13 +178,13 @@
     });
     if (taken) continue;
     if (connection.up) return id;
-    if (!coming) coming = id;
+    if (!connecting) connecting = id;
   }
-  return coming ? coming : open(node);
+  return connecting ? connecting : open(node);
 }
 
 net::SlotId Links::open(NodeId node) {
-  bool room = user_.make_room();  // which may end a connection, and with it a node that is gone
+  bool room = handler_.make_room();  // may close a connection, and with it drop a removed node
   Node& known = nodes_[node];
   if (known.address.port == 0 || !room) {
     ++counters_.connects_failed;
@@ -205,7 +205,7 @@
   connection.watch =
       loop_.watch(connection.fd.get(), POLLOUT, [this, id](short events) { on_ready(id, events); });
   connection.timer =
-      loop_.at(loop_.now() + limits_.connect_timeout, [this, id] { close(id, "not up in time"); });
+      loop_.at(loop_.now() + limits_.connect_timeout, [this, id] { close(id, "connect timed out"); });
   connection.last_used = loop_.now();
   known.connections.push_back(id);
   return id;
@@ -221,7 +221,7 @@
   Connection* connection = connections_.find(id);
   while (connection && !connection->out.empty()) {
     Frame& frame = connection->out.front();
-    if (frame.bytes.empty()) build(frame);
+    if (frame.bytes.empty()) serialize(frame);
     std::string_view left = std::string_view(frame.bytes).substr(connection->front_written);
     std::size_t written = 0;
     net::IoResult result = net::write_from(connection->fd, left, written);
@@ -230,7 +230,7 @@
     connection->front_written += written;
     connection->last_used = loop_.now();
     if (written < left.size()) continue;
-    // From here on the node may have run it.
+    // From here on the node may have executed the call.
     for (const QueuedPart& part : frame.parts)
       if (Attempt* attempt = attempts_.find(part.attempt)) {
         attempt->written = true;
@@ -240,14 +240,14 @@
     connection->out.pop_front();
     connection->front_written = 0;
   }
-  if (connection) want(*connection);
+  if (connection) update_watch(*connection);
 }
 
-void Links::want(Connection& connection) {
-  connection.watch.want(static_cast<short>(POLLIN | (connection.out.empty() ? 0 : POLLOUT)));
+void Links::update_watch(Connection& connection) {
+  connection.watch.set_events(static_cast<short>(POLLIN | (connection.out.empty() ? 0 : POLLOUT)));
 }
 
-// ---- giving up ----
+// ---- cancelling ----
 
 void Links::give_up(PartId part, int attempt) {
   auto found = by_part_.find({part, attempt});
@@ -257,58 +257,57 @@
 void Links::abandon(net::SlotId slot, Outcome outcome) {
   Attempt* attempt = attempts_.find(slot);
   if (!attempt) return;
-  doubt(*attempt);
+  mark_silent(*attempt);
   net::SlotId id = attempt->connection;
   Connection* connection = connections_.find(id);
-  bool tell = false;
+  bool notify_node = false;
   std::string wire_id = attempt->id;
   if (connection) {
-    // What has not begun to go out need not go out at all.
-    if (!take_back(*connection, slot)) {
+    // An unwritten part is simply removed.
+    if (!unqueue(*connection, slot)) {
       connection->abandoned[wire_id] = {attempt->call, attempt->forget_at};
-      tell = limits_.may_cancel;
+      notify_node = limits_.may_cancel;
     }
   }
   end(slot, outcome);
-  // The end of a connection gives up whatever its node may still have of it.
+  // Closing the connection cancels whatever the node still has of it.
   if (connection && connection->retired) retire_connection(id);
-  if (tell && connections_.find(id)) {
+  if (notify_node && connections_.find(id)) {
     ++counters_.give_ups_sent;
     enqueue(id, {give_up_frame(wire_id), {}});
   }
 }
 
-// False where its frame has begun to go out.
-bool Links::take_back(Connection& connection, net::SlotId slot) {
+// False if its frame has begun to be written.
+bool Links::unqueue(Connection& connection, net::SlotId slot) {
   for (auto frame = connection.out.begin(); frame != connection.out.end(); ++frame) {
     if (!frame->bytes.empty()) continue;
     auto is_it = [&](const QueuedPart& part) { return part.attempt == slot; };
     if (std::erase_if(frame->parts, is_it) == 0) continue;
-    release_place(connection, attempts_.find(slot)->call);
+    release_call_part(connection, attempts_.find(slot)->call);
     if (frame->parts.empty()) connection.out.erase(frame);
     return true;
   }
   return false;
 }
 
-// A frame can wait behind a connection that is coming up or a node that does not read, longer than its query
-// is open.
+// A frame may wait for a connection being established or a slow reader until after the end of its query.
 void Links::withdraw(PartId part) {
   for (auto it = by_part_.lower_bound({part, 0}); it != by_part_.end() && it->first.first == part;) {
     net::SlotId slot = it->second;
     ++it;
     Connection* connection = connections_.find(attempts_.find(slot)->connection);
-    if (connection && take_back(*connection, slot)) end(slot, Outcome::not_sent);
+    if (connection && unqueue(*connection, slot)) end(slot, Outcome::not_sent);
   }
 }
 
-void Links::release_place(Connection& connection, std::uint64_t call) {
+void Links::release_call_part(Connection& connection, std::uint64_t call) {
   auto found = connection.calls.find(call);
   if (found != connection.calls.end() && --found->second <= 0) connection.calls.erase(found);
 }
 
-// So many that an answer that comes again, or long after its query, is told from one that is spoilt.
-void Links::settle(Connection& connection, std::string_view wire_id) {
+// Remembers enough ids to distinguish a repeated or late answer from a corrupt one.
+void Links::remember_settled(Connection& connection, std::string_view wire_id) {
   connection.settled.push_back(std::hash<std::string_view>{}(wire_id));
   if (connection.settled.size() > 4 * static_cast<std::size_t>(limits_.calls_per_connection))
     connection.settled.pop_front();
@@ -320,8 +319,8 @@
       ++it;
       continue;
     }
-    release_place(connection, it->second.call);
-    settle(connection, it->first);
+    release_call_part(connection, it->second.call);
+    remember_settled(connection, it->first);
     it = connection.abandoned.erase(it);
   }
 }
@@ -335,7 +334,7 @@
   if (Connection* connection = connections_.find(id)) connection->attempts.erase(attempt->id);
   by_part_.erase({attempt->part, attempt->number});
   attempts_.release(slot);
-  user_.attempt_ended(ended);
+  handler_.attempt_ended(ended);
 }
 
 // ---- connections ----
@@ -343,22 +342,22 @@
 void Links::on_ready(net::SlotId id, short events) {
   Connection* connection = connections_.find(id);
   if (!connection) return;
-  if (!connection->up) return come_up(id);
+  if (!connection->up) return on_connected(id);
   if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && !read(id)) return;
   if ((events & POLLOUT) != 0) write(id);
 }
 
-void Links::come_up(net::SlotId id) {
+void Links::on_connected(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   if (int error = net::connect_error(connection.fd)) return close(id, std::strerror(error));
   connection.up = true;
   connection.last_used = connection.last_read = loop_.now();
-  want(connection);
-  arm_idle(id);
+  update_watch(connection);
+  arm_idle_timer(id);
   write(id);
 }
 
-// False where the connection is gone afterwards.
+// False if the connection was closed.
 bool Links::read(net::SlotId id) {
   for (int i = 0; i < reads_at_once; ++i) {
     Connection* connection = connections_.find(id);
@@ -366,7 +365,7 @@
     net::IoResult result = net::read_into(connection->fd, connection->in, read_step);
     if (result == net::IoResult::none) return true;
     if (result != net::IoResult::some) {
-      close(id, result == net::IoResult::ended ? "the node ended it" : "it broke");
+      close(id, result == net::IoResult::ended ? "closed by the node" : "it broke");
       return false;
     }
     connection->last_used = connection->last_read = loop_.now();
@@ -374,32 +373,32 @@
     FrameView frame;
     FrameResult found = FrameResult::more;
     while ((found = next_frame(connection->in.view(), frame)) == FrameResult::whole) {
-      take_frame(id, frame);
+      handle_frame(id, frame);
       connection = connections_.find(id);
       if (!connection) return false;
       connection->in.consume(frame.size);
     }
-    // With nothing out, what is left over belongs to nothing.
+    // With nothing in flight, leftover bytes belong to no answer.
     bool idle = connection->attempts.empty() && connection->abandoned.empty() && connection->probes.empty();
     if (found == FrameResult::broken || (idle && connection->in.size() > 0)) {
       ++counters_.broken_frames;
-      close(id, "a frame that cannot be read");
+      close(id, "malformed frame");
       return false;
     }
   }
   return true;
 }
 
-void Links::take_frame(net::SlotId id, const FrameView& frame) {
+void Links::handle_frame(net::SlotId id, const FrameView& frame) {
   switch (frame.letter) {
     case 'q': {
-      auto answer = read_answer(frame.rest);
-      if (answer) return take_answer(id, *answer);
+      auto answer = parse_answer(frame.rest);
+      if (answer) return handle_answer(id, *answer);
       break;
     }
     case 'o':
     case 'p':
-      return take_probe_answer(id, frame);
+      return handle_probe_answer(id, frame);
     case 'r':
       ++counters_.complaints;
       log_.warning("a node could not use a frame: {}", frame.rest.substr(0, 200));
@@ -408,18 +407,18 @@
       break;
   }
   ++counters_.broken_frames;
-  close(id, "a frame that cannot be read");
+  close(id, "malformed frame");
 }
 
-void Links::take_answer(net::SlotId id, const PartAnswer& answer) {
+void Links::handle_answer(net::SlotId id, const PartAnswer& answer) {
   Connection& connection = *connections_.find(id);
   auto found = connection.attempts.find(answer.id);
   if (found == connection.attempts.end()) {
     auto late = connection.abandoned.find(answer.id);
     if (late != connection.abandoned.end()) {
       ++counters_.late_answers;
-      release_place(connection, late->second.call);
-      settle(connection, answer.id);
+      release_call_part(connection, late->second.call);
+      remember_settled(connection, answer.id);
       connection.abandoned.erase(late);
       return;
     }
@@ -429,37 +428,36 @@
       ++counters_.late_answers;
       return;
     }
-    // An answer under a spoilt id: what it was meant for is lost, and which one that is cannot be told.
+    // An answer under a corrupt id: which request it was meant for is unknown.
     ++counters_.unknown_answers;
     return close(id, "an answer to nothing that was sent");
   }
   net::SlotId slot = found->second;
   note_answer(connection.node);
-  settle(connection, answer.id);
-  release_place(connection, attempts_.find(slot)->call);
-  Outcome outcome = answer.end == End::served  ? Outcome::ok
-                    : answer.end == End::error ? Outcome::error
-                                               : Outcome::refused;
-  end(slot, outcome, answer.end == End::served ? answer.value : std::string_view{}, answer.report);
+  remember_settled(connection, answer.id);
+  release_call_part(connection, attempts_.find(slot)->call);
+  Outcome outcome = answer.end == PartOutcome::served  ? Outcome::ok
+                    : answer.end == PartOutcome::error ? Outcome::error
+                                                       : Outcome::refused;
+  end(slot, outcome, answer.end == PartOutcome::served ? answer.value : std::string_view{}, answer.report);
   if (connection.retired) retire_connection(id);
 }
 
-void Links::arm_idle(net::SlotId id) {
+void Links::arm_idle_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
-  // A request must not cross the node's own close: what needs longer than a connect may take is not of this
-  // network.
+  // Closes before the node does, with a margin, so that no request crosses the node's close.
   net::Duration keep = std::max(limits_.idle_close - 2 * limits_.connect_timeout, limits_.idle_close / 2);
   net::Time due = std::max(connection.last_used + keep, loop_.now() + keep / 100);
-  connection.timer = loop_.at(due, [this, id] { idle_due(id); });
+  connection.timer = loop_.at(due, [this, id] { on_idle_timer(id); });
 }
 
-void Links::idle_due(net::SlotId id) {
+void Links::on_idle_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   forget_old(connection);
-  if (end_silent(id)) return;
+  if (close_if_silent(id)) return;
   net::Duration keep = std::max(limits_.idle_close - 2 * limits_.connect_timeout, limits_.idle_close / 2);
   if (!connection.attempts.empty() || !connection.probes.empty() || loop_.now() < connection.last_used + keep)
-    return arm_idle(id);
+    return arm_idle_timer(id);
   ++counters_.closed_idle;
   close(id, "idle");
 }
@@ -475,7 +473,7 @@
   if (node.gone && node.connections.empty()) nodes_.erase(known);
   Connection ended = std::move(*connection);
   connections_.release(id);
-  // Its descriptor is closed before anything is told, so that an answer to the news finds it free.
+  // The descriptor is closed before the outcomes are reported, so that handlers can reuse it.
   ended.watch.reset();
   ended.timer.reset();
   ended.probe_timer.reset();
@@ -486,7 +484,7 @@
   }
   for (const Probe& probe : ended.probes)
     if (!probe.ended)
-      user_.probe_ended(
+      handler_.probe_ended(
           {ended.node, ended.up ? Outcome::reset : Outcome::connect_failed, loop_.now() - probe.sent, {}});
 }
 
@@ -496,25 +494,26 @@
   net::SlotId id = connection_for(node, {});
   Connection* connection = connections_.find(id);
   if (!connection) {
-    user_.probe_ended({node, Outcome::connect_failed, {}, {}});
+    handler_.probe_ended({node, Outcome::connect_failed, {}, {}});
     return;
   }
   connection->probes.push_back({loop_.now(), false});
-  if (!connection->probe_timer.pending()) arm_probe(id);
+  if (!connection->probe_timer.pending()) arm_probe_timer(id);
   enqueue(id, {probe_frame(for_load), {}});
 }
 
-void Links::arm_probe(net::SlotId id) {
+void Links::arm_probe_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   connection.probe_timer.reset();
   for (const Probe& probe : connection.probes) {
     if (probe.ended) continue;
-    connection.probe_timer = loop_.at(probe.sent + limits_.connect_timeout, [this, id] { probe_due(id); });
+    connection.probe_timer =
+        loop_.at(probe.sent + limits_.connect_timeout, [this, id] { on_probe_timer(id); });
     return;
   }
 }
 
-void Links::probe_due(net::SlotId id) {
+void Links::on_probe_timer(net::SlotId id) {
   Connection& connection = *connections_.find(id);
   std::vector<ProbeEnd> ended;
   for (Probe& probe : connection.probes) {
@@ -522,11 +521,11 @@
     probe.ended = true;
     ended.push_back({connection.node, Outcome::timeout, loop_.now() - probe.sent, {}});
   }
-  arm_probe(id);
-  for (const ProbeEnd& end : ended) user_.probe_ended(end);
+  arm_probe_timer(id);
+  for (const ProbeEnd& end : ended) handler_.probe_ended(end);
 }
 
-void Links::take_probe_answer(net::SlotId id, const FrameView& frame) {
+void Links::handle_probe_answer(net::SlotId id, const FrameView& frame) {
   Connection& connection = *connections_.find(id);
   if (connection.probes.empty()) {
     ++counters_.unknown_answers;
@@ -534,12 +533,12 @@
   }
   Probe probe = connection.probes.front();
   connection.probes.pop_front();
-  arm_probe(id);
+  arm_probe_timer(id);
   if (probe.ended) return;
   bool passed = frame.letter == 'o' ? frame.rest == "good" : frame.rest != "bad";
   std::string_view report =
       frame.letter == 'p' && passed && frame.rest != "-" ? frame.rest : std::string_view{};
-  user_.probe_ended(
+  handler_.probe_ended(
       {connection.node, passed ? Outcome::ok : Outcome::error, loop_.now() - probe.sent, report});
 }
 
--- a/src/peerlink/fleet.cpp
+++ b/src/peerlink/fleet.cpp
@@ -11,20 +11,20 @@
 namespace pearspar::peerlink {
 namespace {
 
-// One turn takes so many datagrams; what more has come waits for the next, so that clients are served
-// between.
-constexpr int most_in_a_turn = 64;
+// Leaves the rest to the next loop turn, so that clients are served in between.
+constexpr int max_datagrams_per_turn = 64;
 
-// Rises with each start: milliseconds, and the process's number for two starts in one.
-std::uint64_t run_of(net::Time now) {
+// Rises with each start: Unix time in milliseconds and the process id, which tells starts in the same
+// millisecond apart.
+std::uint64_t new_run_id(net::Time now) {
   const auto ms = static_cast<std::uint64_t>(now.time_since_epoch().count() * 1000);
   return ms << 16 | (static_cast<std::uint64_t>(::getpid()) & 0xffff);
 }
 
-peers::Self self_of(const options::FleetOptions& options, const std::string& name, const net::Fd& fd,
-                    const net::Address& serves, net::Time now) {
-  return {name,   run_of(now),  options.advertise ? *options.advertise : net::local_address(fd),
-          serves, options.zone, options.region,
+peers::Self local_member(const options::FleetOptions& options, const std::string& name, const net::Fd& fd,
+                         const net::Address& serves, net::Time now) {
+  return {name,   new_run_id(now), options.advertise ? *options.advertise : net::local_address(fd),
+          serves, options.zone,    options.region,
           version};
 }
 
@@ -41,29 +41,29 @@
     : loop_(loop),
       log_(log),
       fd_(net::bind_datagrams(options.listen)),
-      core_(options.core, self_of(options, name, fd_, serves, loop.now()), seed, loop.now()),
+      core_(options.core, local_member(options, name, fd_, serves, loop.now()), seed, loop.now()),
       watch_(loop.watch(fd_.get(), POLLIN, [this](short) { readable(); })) {
   log_.info("fleet: {} run {} takes part in {} at {}, {} seeds", name, core_.self().run, options.core.fleet,
             core_.self().address.text(), options.core.seeds.size());
-  after();
+  flush();
 }
 
 void Fleet::readable() {
   std::array<char, 2048> bytes;
   net::Address from;
   bool more = true;
-  for (int i = 0; i < most_in_a_turn && more; ++i) {
+  for (int i = 0; i < max_datagrams_per_turn && more; ++i) {
     const std::size_t got = net::receive_datagram(fd_, bytes.data(), bytes.size(), from, more);
     if (more && got > 0) core_.receive(loop_.now(), from, {bytes.data(), got});
   }
-  after();
+  flush();
 }
 
-void Fleet::after() {
-  for (const peers::Datagram& datagram : core_.take_out())
+void Fleet::flush() {
+  for (const peers::Datagram& datagram : core_.take_datagrams())
     if (!net::send_datagram(fd_, datagram.to, datagram.bytes)) ++unsent_;
-  for (const peers::Note& note : core_.take_notes()) say(note);
-  say_view();
+  for (const peers::MemberEvent& event : core_.take_events()) log_event(event);
+  log_view();
   const net::Time due = core_.due();
   if (due == net::Time::max()) {
     timer_.reset();
@@ -71,55 +71,58 @@
   }
   timer_ = loop_.at(due, [this] {
     core_.tick(loop_.now());
-    after();
+    flush();
   });
 }
 
-void Fleet::say(const peers::Note& note) {
-  const std::string who = fmt::format("{} run {} incarnation {}", note.name, note.run, note.incarnation);
-  if (note.name == core_.self().name) {
+void Fleet::log_event(const peers::MemberEvent& event) {
+  const std::string identity =
+      fmt::format("{} run {} incarnation {}", event.name, event.run, event.incarnation);
+  if (event.name == core_.self().name) {
     if (core_.yields())
-      log_.error("fleet: {} is also the name of a broker at {}, started later: we are silent", who, note.by);
+      log_.error("fleet: {} is also the name of a broker at {}, started later: we are silent", identity,
+                 event.by);
     else
-      log_.warning("fleet: {}, our name, is not used at {} any more: we take part again", who, note.by);
+      log_.warning("fleet: {}, our name, is no longer used at {}: taking part again", identity, event.by);
     return;
   }
-  const std::string was =
-      note.known_before ? fmt::format("was {}", peers::name_of(note.before)) : "was not known";
-  const std::string by = note.by == core_.self().name ? "us" : note.by;
-  const std::string line = fmt::format("fleet: {} is {}, {}: {}, by {}{}", who, peers::name_of(note.after),
-                                       was, peers::text_of(note.cause), by,
-                                       note.accusers > 0 ? fmt::format(", accusers {}", note.accusers) : "");
-  if (note.after == peers::State::gone)
+  const std::string previous_state =
+      event.known_before ? fmt::format("was {}", peers::name_of(event.before)) : "was unknown";
+  const std::string by = event.by == core_.self().name ? "us" : event.by;
+  const std::string line =
+      fmt::format("fleet: {} is {}, {}: {}, by {}{}", identity, peers::name_of(event.after), previous_state,
+                  peers::text_of(event.cause), by,
+                  event.accusers > 0 ? fmt::format(", accusers {}", event.accusers) : "");
+  if (event.after == peers::State::gone)
     log_.warning("{}", line);
   else
     log_.info("{}", line);
 }
 
-// Whether the view has settled, on what, and whether we have to think ourselves cut off.
-void Fleet::say_view() {
+// Logs whether the view has settled and whether we may be in the smaller part of a partition.
+void Fleet::log_view() {
   const net::Time now = loop_.now();
   const bool settled = core_.settled(now);
   const std::uint64_t digest = core_.digest();
-  if (settled != said_settled_ || (settled && digest != said_digest_)) {
+  if (settled != logged_settled_ || (settled && digest != logged_digest_)) {
     if (settled)
       log_.info("fleet: settled, digest {:016x}, {} in force", digest, core_.in_force());
     else
       log_.info("fleet: not settled, digest {:016x}, {} in force", digest, core_.in_force());
-    said_settled_ = settled;
-    said_digest_ = digest;
+    logged_settled_ = settled;
+    logged_digest_ = digest;
     const bool smaller = core_.smaller_part();
-    if (settled && smaller != said_smaller_) {
-      said_smaller_ = smaller;
+    if (settled && smaller != logged_smaller_part_) {
+      logged_smaller_part_ = smaller;
       if (smaller)
         log_.warning("fleet: we may be in the smaller part of a split, {} in force here", core_.in_force());
       else
         log_.info("fleet: no longer in the smaller part of a split");
     }
   }
-  if (core_.counters().held_up != said_held_up_) {
-    said_held_up_ = core_.counters().held_up;
-    log_.warning("fleet: our own loop was held up, {} times by now; health {}", said_held_up_,
+  if (core_.counters().held_up != logged_stalls_) {
+    logged_stalls_ = core_.counters().held_up;
+    log_.warning("fleet: our own loop was held up, {} times by now; health {}", logged_stalls_,
                  core_.health());
   }
 }
@@ -128,30 +131,30 @@
   if (ready_) return;
   ready_ = true;
   core_.ready(loop_.now());
-  after();
+  flush();
 }
 
 void Fleet::leave() {
   core_.leave(loop_.now());
-  after();
+  flush();
 }
 
 void Fleet::finish() {
   core_.finish(loop_.now());
-  after();
+  flush();
 }
 
 bool Fleet::done() const { return core_.finished(loop_.now()); }
 
 bool Fleet::publish(const std::string& key, const std::string& value) {
   const bool fits = core_.publish(loop_.now(), key, value);
-  after();
+  flush();
   return fits;
 }
 
-void Fleet::found_seeds(std::vector<net::Address> seeds) {
-  core_.found_seeds(std::move(seeds));
-  after();
+void Fleet::set_discovered_seeds(std::vector<net::Address> seeds) {
+  core_.set_discovered_seeds(std::move(seeds));
+  flush();
 }
 
 std::string Fleet::view_json() {
--- a/src/peerlink/fleet.h
+++ b/src/peerlink/fleet.h
@@ -1,5 +1,5 @@
-// The fleet's view as a broker runs it: the protocol's core on one UDP socket and the loop's timers, its
-// changes as log lines, the view and its counters as JSON. Nothing here decides about members.
+// Runs the membership protocol of a broker on one UDP socket and the event loop's timers, logs its events,
+// and renders the view and the counters as JSON. Makes no decisions about members.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,31 @@
 
 namespace pearspar::peerlink {
 
+// The membership of one broker in its fleet.
 class Fleet {
  public:
-  // `serves` is where clients come. Throws std::system_error where the socket cannot be had.
+  // `serves` is the address for clients. Throws std::system_error if the socket cannot be bound.
   Fleet(net::Loop& loop, log::Logger& log, const options::FleetOptions& options, const std::string& name,
         const net::Address& serves, std::uint64_t seed);
 
-  void ready();  // may be said again
+  void ready();  // idempotent
   void leave();
-  void finish();  // the last word; done() some time later
+  void finish();  // announces that this broker has left; done() follows some time later
   bool done() const;
 
   bool publish(const std::string& key, const std::string& value);
-  void found_seeds(std::vector<net::Address> seeds);
+  void set_discovered_seeds(std::vector<net::Address> seeds);
   std::shared_ptr<const peers::Snapshot> snapshot() { return core_.snapshot(loop_.now()); }
   const net::Address& address() const { return core_.self().address; }
 
   std::string view_json();
-  std::string counters_json() const;  // members of an object
+  std::string counters_json() const;  // without the enclosing braces
 
  private:
   void readable();
-  void after();  // takes what the core has to say, and asks to be called when it is due
-  void say(const peers::Note& note);
-  void say_view();
+  void flush();  // sends the core's datagrams, logs its events and arms the timer
+  void log_event(const peers::MemberEvent& event);
+  void log_view();
 
   net::Loop& loop_;
   log::Logger& log_;
@@ -46,12 +47,12 @@
   net::Watch watch_;
   net::Timer timer_;
   bool ready_ = false;
-  std::uint64_t unsent_ = 0;  // the kernel would not take them
-  // What was last said of the whole view.
-  bool said_settled_ = false;
-  std::uint64_t said_digest_ = 0;
-  bool said_smaller_ = false;
-  std::uint64_t said_held_up_ = 0;
+  std::uint64_t unsent_ = 0;  // datagrams refused by the kernel
+  // What was last logged about the view.
+  bool logged_settled_ = false;
+  std::uint64_t logged_digest_ = 0;
+  bool logged_smaller_part_ = false;
+  std::uint64_t logged_stalls_ = 0;
 };
 
 }  // namespace pearspar::peerlink
--- a/src/peerlink/seeds.h
+++ b/src/peerlink/seeds.h
@@ -1,6 +1,6 @@
-// Seeds from the registry: a broker keeps the address at which the fleet finds it under a key of its own, by
-// lease, and takes those of the others as seeds. The registry may be gone, stale or wrong; the view lives on
-// without it.
+// Seeds from the registry: a broker registers its protocol address under a leased key and uses those of the
+// others as seeds. The registry is needed for discovery only: the membership works on if it is down or
+// stale.
 #pragma once
 
 #include <string>
@@ -13,22 +13,22 @@
 
 namespace pearspar::peerlink {
 
-class RegistrySeeds : membership::MembersUser {
+class RegistrySeeds : membership::MembersHandler {
  public:
-  RegistrySeeds(net::Loop& loop, log::Logger& log, const options::RegistrationOptions& where,
+  RegistrySeeds(net::Loop& loop, log::Logger& log, const options::RegistrationOptions& registration,
                 const std::string& prefix, const std::string& name, std::uint64_t seed, Fleet& fleet);
 
   void withdraw();
-  bool done() const { return own_.done(); }
+  bool done() const { return registration_.done(); }
 
  private:
   void members_told(const membership::MemberList& list) override;
   void members_failed() override {}
 
   Fleet& fleet_;
-  registry::Registration own_;
-  registry::RegistrySource others_;
-  std::map<std::string, net::Address> found_;  // by name
+  registry::Registration registration_;
+  registry::RegistrySource source_;
+  std::map<std::string, net::Address> addresses_by_name_;
 };
 
 }  // namespace pearspar::peerlink
--- a/src/standins/hall.cpp
+++ b/src/standins/hall.cpp
@@ -15,8 +15,8 @@
 #include <thread>
 #include <vector>
 
-#include "carestiato/call.h"
-#include "clients/front.h"
+#include "admin_client/admin_client.h"
+#include "clients/http_server.h"
 #include "net/signals.h"
 
 namespace {
@@ -46,7 +46,7 @@
 std::string random_id(std::mt19937_64& random) { return fmt::format("{:016x}", random()); }
 
 // Serves records to whoever names it; turns away what it has no slot for.
-class Node : public clients::FrontUser {
+class Node : public clients::RequestHandler {
  public:
   Node(net::Loop& loop, const Options& options)
       : loop_(loop),
@@ -103,14 +103,15 @@
   std::string id_;
   int busy_ = 0;
   net::Time asked_until_ = net::Time::max();
-  clients::Front front_{loop_, [](std::string_view) {}, 1000, *this, {net::Duration(3600), net::Duration(5)}};
+  clients::HttpServer front_{
+      loop_, [](std::string_view) {}, 1000, *this, {net::Duration(3600), net::Duration(5)}};
 };
 
 // Beats from a thread of its own: a call may wait a second.
 void beat(const Options& options, const Node& node, const std::string& address, std::atomic<bool>& leaving,
           std::atomic<bool>& known, std::atomic<bool>& gone) {
   net::Loop loop;
-  carestiato::Caller caller(loop, options.members);
+  admin_client::AdminClient caller(loop, options.members);
   int call = 0;
   auto say = [&](const std::string& state) {
     return caller.call(
@@ -126,7 +127,7 @@
     for (int i = 0; i < 10 && !leaving; ++i)
       std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(options.beat_ms / 10));
   }
-  carestiato::CallReply reply = say("closing_out");
+  admin_client::AdminReply reply = say("closing_out");
   std::printf("%s closing_out: %d\n", node.id().c_str(), reply.status);
   std::fflush(stdout);
   known = reply.status == 200;
@@ -147,7 +148,7 @@
   std::string address = node.address();
   std::thread beats([&] { beat(options, node, address, leaving, known, gone); });
   while (!gone) {
-    loop.turn(net::Duration(0.05));
+    loop.run_once(net::Duration(0.05));
     if (known.exchange(false)) node.leave_known();
   }
   beats.join();
@@ -160,8 +161,8 @@
   net::Loop loop;
   int served = 0;
   for (int i = 0; i < options.count; ++i) {
-    carestiato::Caller caller(loop, options.members);
-    carestiato::CallReply reply = caller.call(
+    admin_client::AdminClient caller(loop, options.members);
+    admin_client::AdminReply reply = caller.call(
         {"GET", options.path,
          fmt::format("Request-Id: {}\r\nDeadline-Ms: {:.0f}\r\n", random_id(random), options.deadline_ms) +
              (options.holder.empty() ? "" : "Holder: " + options.holder + "\r\n"),
--- a/tests/broker_test.cpp
+++ b/tests/broker_test.cpp
@@ -12,7 +12,7 @@
 using peers::member_text;
 using peers::Peer;
 
-// A module that notes what it is told and does what the test has written down for it.
+// A policy that records its events and replies with the actions of the test's script.
 class ScriptedPolicy final : public Policy {
  public:
   struct Script {
@@ -47,7 +47,7 @@
 
 class BrokerTest : public ::testing::Test {
  protected:
-  // One node in each of the two cells.
+  // Starts a broker with one node in each of the two cells.
   void start(bool scripted, peers::ConfigText text = {}) {
     text.discovery = agent.address().text();
     if (text.known.find("[]") != std::string::npos)
@@ -59,7 +59,7 @@
     if (scripted)
       policy = std::make_unique<ScriptedPolicy>(script);
     else
-      policy = make_policy(config.module, config.seed);
+      policy = make_policy(config.policy, config.seed);
     broker = std::make_unique<Broker>(loop, peers::quiet_log(), config, std::move(policy));
     broker->start();
   }
@@ -83,7 +83,7 @@
                        static_cast<char>(size >> 8), static_cast<char>(size), letter} +
            rest;
   }
-  // Answers each part with its id and its text in capital words.
+  // Answers each part with a value that contains its id.
   void serve(Peer& peer) {
     nodelink::FrameView frame;
     while (nodelink::next_frame(peer.seen(), frame) == nodelink::FrameResult::whole) {
@@ -108,7 +108,7 @@
     peer = peers::connect_to(broker->address());
     return until([&] { return peer.write(""); });
   }
-  // The client sends the request, waits for the reply and takes it out of its buffer.
+  // Sends a request and returns the reply's status and body.
   std::string ask(Peer& peer, const std::string& request) {
     if (!until([&] { return peer.write(request); })) return "not sent";
     return reply_to(peer);
@@ -140,7 +140,7 @@
   Peer client;
 };
 
-TEST_F(BrokerTest, AQueryIsServedWithTheValuesOfItsNodes) {
+TEST_F(BrokerTest, QueryReturnsTheValuesOfAllShards) {
   start(false);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("9b1f", two_parts())),
@@ -149,9 +149,8 @@
   EXPECT_EQ(ask(client, query("9b20", two_parts())).substr(0, 18), R"(200 {"total":true,)");
 }
 
-// Each of them keeps inside its own bounds; together they would take more than the process may hold for
-// clients.
-TEST_F(BrokerTest, ClientsBytesAreBoundedTogether) {
+// Clients within their own limits must not exceed the total memory for clients together.
+TEST_F(BrokerTest, ClientMemoryIsBoundedInTotal) {
   peers::ConfigText text;
   text.limits = R"({"memory_mb":16,"sockets":1024})";
   start(false, text);
@@ -172,24 +171,24 @@
   EXPECT_GT(peak, most_held / 2);
   EXPECT_LE(peak, most_held);
   EXPECT_EQ(broker->counters_json().find("\"refused_for_memory\":0,"), std::string::npos);
-  int told_to_come_back = 0;
+  int refused_with_retry_after = 0;
   until([&] {
-    told_to_come_back = 0;
+    refused_with_retry_after = 0;
     for (Peer& each : slow) {
       each.read();
       if (each.seen().substr(0, 12) == "HTTP/1.1 503" &&
           each.seen().find("Retry-After") != std::string_view::npos)
-        ++told_to_come_back;
+        ++refused_with_retry_after;
     }
-    return told_to_come_back > 0;
+    return refused_with_retry_after > 0;
   });
-  EXPECT_GT(told_to_come_back, 0);
+  EXPECT_GT(refused_with_retry_after, 0);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("9b1f", two_parts())).substr(0, 4), "200 ");
 }
 
-// Ready from the first moment on the saved list, with discovery down.
-TEST_F(BrokerTest, TheSavedListServesWhileDiscoveryIsDown) {
+// The broker must be ready at once on the saved list while discovery is down.
+TEST_F(BrokerTest, SavedMemberListServesWhileDiscoveryIsDown) {
   agent.close();
   start(false);
   ASSERT_TRUE(connect(client));
@@ -197,7 +196,7 @@
   EXPECT_EQ(ask(client, query("9b1f", two_parts())).substr(0, 3), "200");
 }
 
-TEST_F(BrokerTest, WithoutAnyNodeItIsNotReady) {
+TEST_F(BrokerTest, NotReadyWithoutNodes) {
   peers::ConfigText text;
   text.known = "null";
   start(false, text);
@@ -214,7 +213,7 @@
   EXPECT_EQ(reply.substr(0, 3), "200");
 }
 
-TEST_F(BrokerTest, WhatIsNoQueryNeverReachesTheModule) {
+TEST_F(BrokerTest, InvalidRequestsDoNotReachThePolicy) {
   start(true);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("q", two_parts(), "3000", "/unknown")).substr(0, 3), "404");
@@ -229,7 +228,7 @@
   EXPECT_NE(broker->counters_json().find("\"bad_queries\":5"), std::string::npos);
 }
 
-TEST_F(BrokerTest, AQueryIsToldWithItsPartsAndListNewsComesFirst) {
+TEST_F(BrokerTest, MemberListIsDeliveredBeforeQueryAndParts) {
   start(true);
   ASSERT_TRUE(connect(client));
   ASSERT_TRUE(client.write(query(
@@ -256,8 +255,8 @@
   EXPECT_EQ(parts[1].ordinal, arrived[0].ordinal);
 }
 
-// What comes in within one quantum is told together, and never more often than that.
-TEST_F(BrokerTest, BatchesKeepTheirDistance) {
+// Events are delivered in batches that are at least the minimum interval apart.
+TEST_F(BrokerTest, BatchesKeepTheMinimumInterval) {
   start(true);
   ASSERT_TRUE(connect(client));
   script->on_event = [](const Event& event, std::vector<Action>& actions) {
@@ -270,7 +269,7 @@
     EXPECT_GE(Duration(script->times[i] - script->times[i - 1]).count(), 0.005 - 1e-9);
 }
 
-TEST_F(BrokerTest, APartialAnswerHoldsWhatIsIn) {
+TEST_F(BrokerTest, PartialAnswerContainsReceivedParts) {
   start(true);
   ASSERT_TRUE(connect(client));
   QueryId asked = 0;
@@ -288,7 +287,7 @@
             R"(200 {"total":false,"answers":[{"range":8,"blob":"value of q.8"}]})");
 }
 
-TEST_F(BrokerTest, AFailedQueryIsNeitherServedNorRefused) {
+TEST_F(BrokerTest, FailedQueryReturns500) {
   start(true);
   ASSERT_TRUE(connect(client));
   script->on_event = [](const Event& event, std::vector<Action>& actions) {
@@ -297,16 +296,15 @@
   EXPECT_EQ(ask(client, query("q", two_parts())).substr(0, 3), "500");
 }
 
-// The module ends each query in time; where it does not, the client is not left without an answer, and the
-// module learns that nobody waits any more.
-TEST_F(BrokerTest, AQueryLeftOpenIsAnsweredAtItsDeadline) {
+// A query that the policy leaves open must still be answered, and the policy must learn that it has ended.
+TEST_F(BrokerTest, UnfinishedQueryReturns504AtDeadline) {
   start(true);
   ASSERT_TRUE(connect(client));
   EXPECT_EQ(ask(client, query("q", two_parts(), "20")).substr(0, 3), "504");
   ASSERT_TRUE(until([&] { return script->all<ClientDisconnected>().size() == 1; }));
 }
 
-TEST_F(BrokerTest, AClientThatGoesIsToldAndItsAnswerGoesNowhere) {
+TEST_F(BrokerTest, DisconnectIsReportedAndLateAnswerIsDropped) {
   start(true);
   ASSERT_TRUE(connect(client));
   ASSERT_TRUE(client.write(query("q", two_parts())));
@@ -322,8 +320,8 @@
   EXPECT_EQ(script->all<TimerFired>()[0].token, 7u);
 }
 
-// Two open queries under one id would share the ids of their parts at the nodes.
-TEST_F(BrokerTest, TheIdOfAnOpenQueryIsNotTakenTwice) {
+// Two open queries with one id would use the same part ids at the nodes.
+TEST_F(BrokerTest, DuplicateIdOfOpenQueryIsRejected) {
   start(true);
   Peer other;
   ASSERT_TRUE(connect(client));
@@ -341,9 +339,8 @@
   ASSERT_TRUE(until([&] { return script->all<QueryArrived>().size() == 3; }));
 }
 
-// max_open was the bench's to keep; here it is the broker's: with so many held, the next is turned away
-// before the module, and a place that is given back is there again.
-TEST_F(BrokerTest, WithAllPlacesTakenAQueryIsTurnedAwayAtOnce) {
+// A query beyond max_open is refused before it reaches the policy, until an open one has ended.
+TEST_F(BrokerTest, QueryBeyondMaxOpenIsRefused) {
   peers::ConfigText text;
   text.max_open = "6";
   start(true, text);
@@ -362,8 +359,7 @@
   ASSERT_TRUE(until([&] { return script->all<QueryArrived>().size() == 3; }));
 }
 
-// Attempts are counted on both sides; one beyond the limit, or for a query that is over, is not sent and
-// comes back as such.
+// An attempt beyond the limit, or for an ended query, must be reported as not sent.
 TEST_F(BrokerTest, AttemptsBeyondTheLimitAreNotSent) {
   start(true);
   nodes_serve = false;
@@ -394,8 +390,8 @@
   EXPECT_FALSE(script->all<AttemptEnded>()[2].part_open);
 }
 
-// What a batch itself brings about is told by the next one, also when nothing else wakes the loop until then.
-TEST_F(BrokerTest, TheEndOfAnAttemptCalledOffDoesNotWaitForOtherNews) {
+// Events caused by a batch must be delivered even if nothing else wakes the loop.
+TEST_F(BrokerTest, CancelledAttemptIsReportedWithoutOtherEvents) {
   start(true);
   nodes_serve = false;
   ASSERT_TRUE(connect(client));
@@ -407,15 +403,15 @@
   };
   ASSERT_TRUE(client.write(query("q", R"({"range":0,"portion":1})", "700")));
   while (script->all<AttemptEnded>().empty() && script->all<ClientDisconnected>().empty()) {
-    loop.turn();
+    loop.run_once();
     broker->end_turn();
   }
   EXPECT_EQ(script->all<AttemptEnded>().size(), 1u);
   EXPECT_TRUE(script->all<ClientDisconnected>().empty());
 }
 
-// A node's connection comes before a client's that says nothing.
-TEST_F(BrokerTest, IdleClientsMakeWayForNodes) {
+// Idle client connections must not keep the broker from connecting to nodes.
+TEST_F(BrokerTest, IdleClientsAreClosedForNodeConnections) {
   peers::ConfigText text;
   text.limits = R"({"sockets":64})";
   start(false, text);
@@ -426,8 +422,8 @@
   EXPECT_NE(broker->counters_json().find("\"closed_for_room\":2"), std::string::npos);
 }
 
-// The answer ends the query; a part of it that still waits for its connection must not reach a node.
-TEST_F(BrokerTest, NoPartGoesOutOnceItsQueryHasEnded) {
+// A part that still waits for its connection must not be sent after its query has been answered.
+TEST_F(BrokerTest, PendingPartIsNotSentAfterQueryEnds) {
   start(true);
   ASSERT_TRUE(connect(client));
   script->on_event = [&](const Event& event, std::vector<Action>& actions) {
@@ -439,9 +435,9 @@
   EXPECT_EQ(ask(client, query("q", R"({"range":0,"portion":1})")).substr(0, 3), "503");
   ASSERT_TRUE(until([&] { return script->all<AttemptEnded>().size() == 1; }));
   EXPECT_EQ(script->all<AttemptEnded>()[0].outcome, Outcome::not_sent);
-  ASSERT_TRUE(until([&] { return nodes[0].peers.size() == 1; }));  // the connection comes up, unused
+  ASSERT_TRUE(until([&] { return nodes[0].peers.size() == 1; }));  // connected, but unused
   for (int i = 0; i < 20; ++i) {
-    loop.turn(net::Duration(0.001));
+    loop.run_once(net::Duration(0.001));
     poll();
   }
   EXPECT_NE(broker->counters_json().find("\"frames\":0"), std::string::npos);
@@ -475,7 +471,7 @@
   EXPECT_NE(frames[1].find("q.4 4"), std::string::npos);
 }
 
-TEST_F(BrokerTest, ListNewsReachesTheModuleWithNodesUnderTheirNumbers) {
+TEST_F(BrokerTest, MemberChangesReachThePolicyWithStableNodeIds) {
   start(true);
   ASSERT_TRUE(until([&] { return !agent.peers.empty() && !agent.peers[0]->seen().empty(); }));
   std::string address = nodes[0].address().text();
@@ -489,14 +485,14 @@
                              member_text("s-0", address, 0) + "," +
                                  member_text("s-9", address, 1, "ready", "1700000000500")),
                    2));
-  auto whole = script->all<MembersChanged>()[1];
-  EXPECT_EQ(whole.form, MemberListForm::full);
-  EXPECT_EQ(whole.version, 5u);
-  ASSERT_EQ(whole.members->size(), 2u);
-  EXPECT_EQ(whole.members->at(0).node, 1u);
-  EXPECT_EQ(whole.members->at(1).node, 3u);
-  EXPECT_TRUE(whole.members->at(1).start_known);
-  EXPECT_EQ(whole.members->at(1).started.time_since_epoch().count(), 1700000000.5);
+  auto full = script->all<MembersChanged>()[1];
+  EXPECT_EQ(full.form, MemberListForm::full);
+  EXPECT_EQ(full.version, 5u);
+  ASSERT_EQ(full.members->size(), 2u);
+  EXPECT_EQ(full.members->at(0).node, 1u);
+  EXPECT_EQ(full.members->at(1).node, 3u);
+  EXPECT_TRUE(full.members->at(1).start_known);
+  EXPECT_EQ(full.members->at(1).started.time_since_epoch().count(), 1700000000.5);
   ASSERT_TRUE(
       tell(list_text(6, false, R"({"id":"s-9","phase":"gone"},{"id":"never-heard-of","phase":"gone"})"), 3));
   auto changes = script->all<MembersChanged>()[2];
@@ -506,9 +502,8 @@
   EXPECT_EQ(changes.members->at(0).status, NodeStatus::gone);
 }
 
-// Where nodes come under new ids all day, what is known of those that are gone has to be given back; but not
-// before the rules have done with them, since a node that returns by then has to be known again.
-TEST_F(BrokerTest, ANodeThatIsGoneIsForgottenOnceItCouldCountAsWarm) {
+// State of removed nodes must be freed, but not before a returning node would count as cold.
+TEST_F(BrokerTest, RemovedNodeIsForgottenAfterTheWarmUpTime) {
   peers::ConfigText text;
   text.fall_s = text.warm_up_time = "0.25";
   start(true, text);
@@ -524,11 +519,11 @@
     EXPECT_TRUE(until([&] { return script->all<MembersChanged>().size() == count; }));
     return script->all<MembersChanged>().back().members->at(0).node;
   };
-  // The list asked for whole comes first, as discovery gives it.
-  std::string whole = list_text(4, true, member_text("s-0", address, 0));
+  // The full list is requested first.
+  std::string full = list_text(4, true, member_text("s-0", address, 0));
   agent.peers[0]->drop(agent.peers[0]->seen().size());
-  agent.peers[0]->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) + "\r\n\r\n" +
-                        whole);
+  agent.peers[0]->write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(full.size()) + "\r\n\r\n" +
+                        full);
   ASSERT_TRUE(until([&] { return script->all<MembersChanged>().size() == 2; }));
   const std::string gone = R"({"id":"s-0","phase":"gone"})", back = member_text("s-0", address, 0);
   NodeId first = tell(back);
@@ -541,7 +536,7 @@
   EXPECT_NE(tell(back), first);
 }
 
-TEST_F(BrokerTest, ProbesComeBackWithTheirReport) {
+TEST_F(BrokerTest, ProbeResultCarriesTheReport) {
   start(true);
   nodes_serve = false;
   script->next = {ProbeNode{2}};
@@ -554,8 +549,8 @@
   EXPECT_EQ(script->all<ProbeEnded>()[0].report, std::vector<double>{12});
 }
 
-// A planned end: what is open is answered, what still arrives for a while too, and only then it is over.
-TEST_F(BrokerTest, WindingDownAnswersWhatItHasTaken) {
+// Shutdown must wait for open queries and for those accepted shortly after it started.
+TEST_F(BrokerTest, ShutdownAnswersOpenQueries) {
   start(true);
   ASSERT_TRUE(connect(client));
   QueryId open = 0;
@@ -571,7 +566,7 @@
   script->next = {};
   ASSERT_TRUE(client.write(query("q", two_parts(), "10000")));
   ASSERT_TRUE(until([&] { return open != 0; }));
-  broker->wind_down();
+  broker->start_draining();
   Peer late;
   ASSERT_TRUE(connect(late));
   EXPECT_EQ(ask(late, "GET /health/ready HTTP/1.1\r\n\r\n").substr(0, 3), "503");
@@ -581,7 +576,7 @@
   EXPECT_FALSE(broker->done());
   late.close();
   later.close();
-  // Long after the last new one was taken, the open one still holds the end up.
+  // The open query delays the end after the listener has closed.
   auto listening = [&] {
     Peer probe = peers::connect_to(broker->address());
     return probe.open();
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -7,7 +7,7 @@
 namespace pearspar::options {
 namespace {
 
-std::string faults(const std::string& text) {
+std::string errors_of(const std::string& text) {
   try {
     read_options(text, "f");
   } catch (const OptionsError& error) {
@@ -22,14 +22,14 @@
   return "membership { registry { " + etcd + " " + more + " } }";
 }
 
-TEST(Options, AnEmptyFileChangesNothing) {
+TEST(Options, EmptyFileGivesDefaults) {
   Options options = read_options("# nothing\n", "f");
   EXPECT_EQ(options.membership, MembershipKind::agent);
   EXPECT_FALSE(options.registry);
   EXPECT_FALSE(options.registration);
 }
 
-TEST(Options, ARegistryWithItsDefaults) {
+TEST(Options, RegistryDefaults) {
   Options options = read_options(registry_of(R"(endpoints: "10.0.0.6:2379" look_every_ms: 1500)"), "f");
   ASSERT_EQ(options.membership, MembershipKind::registry);
   EXPECT_EQ(options.registry->endpoints.size(), 2u);
@@ -38,7 +38,7 @@
   EXPECT_EQ(options.registry->hold.above_share, 0);
 }
 
-TEST(Options, AFixedList) {
+TEST(Options, FixedMemberList) {
   Options options =
       read_options(R"(membership { fixed { nodes { id: "s-1" address: "10.0.0.1:3000" cell: 2 zone: "a" )"
                    R"(draining: true } } })",
@@ -49,10 +49,10 @@
   EXPECT_TRUE(options.fixed.complete);
 }
 
-// Every fault has its own line, with the place and the field.
-TEST(Options, FaultsNameFileLineAndField) {
+// Each error must name its position and field.
+TEST(Options, ErrorsNameFileLineAndField) {
   struct Case {
-    std::string text, fault;
+    std::string text, message;
   };
   const Case cases[] = {
       {"membership {\n  registry {\n    oddity: 1\n", "f:3:11: "},
@@ -62,7 +62,7 @@
       {"membership { registry { dialect: ETCD } }", "membership.registry.endpoints: is missing"},
       {registry_of("\nendpoints: 'nowhere'"),
        "f:2:1: membership.registry.endpoints[1]: 'nowhere' is no address"},
-      {registry_of("endpoints: '10.0.0.5:2379'"), "endpoints[1]: 10.0.0.5:2379 stands twice"},
+      {registry_of("endpoints: '10.0.0.5:2379'"), "endpoints[1]: 10.0.0.5:2379 is listed twice"},
       {registry_of("\n\nreply_timeout_ms: 5"),
        "f:3:1: membership.registry.reply_timeout_ms: 5 is not from 50 to 60000"},
       {registry_of("first_pause_ms: 500 longest_pause_ms: 100"), "longest_pause_ms: is below first_pause_ms"},
@@ -83,34 +83,34 @@
       {"membership { fixed { } }", "membership.fixed.nodes: is missing"},
       {"membership { fixed { nodes { id: 'a' address: '1.2.3.4:5' }\nnodes { id: 'a' address: '1.2.3.4:6' } "
        "} }",
-       "f:2:9: membership.fixed.nodes[1].id: 'a' stands twice"},
+       "f:2:9: membership.fixed.nodes[1].id: 'a' is listed twice"},
       {"membership { fixed { nodes { id: 'a' address: 'x' cell: 70000 } } }",
        "nodes[0].cell: 70000 is not from 0 to 65535"},
       {"registration { }", "registration.registry: is missing"},
-      {registry_of("") + " registration { prefix: '/pearspar/' }", "hold one another"},
+      {registry_of("") + " registration { prefix: '/pearspar/' }", "overlap"},
       {registry_of("") + " registration { lease_s: 0 }", "registration.lease_s: 0 is not from 1 to 3600"},
       {"registration { registry { dialect: CONSUL endpoints: '1.2.3.4:5' } lease_s: 5 }",
        "5 is not from 10 to 3600"},
       {"log { lines_per_s: 0 }", "log.lines_per_s: 0 is not from 1"},
   };
   for (const Case& each : cases)
-    EXPECT_NE(faults(each.text).find(each.fault), std::string::npos)
-        << each.text << "\n  " << faults(each.text);
+    EXPECT_NE(errors_of(each.text).find(each.message), std::string::npos)
+        << each.text << "\n  " << errors_of(each.text);
 }
 
-TEST(Options, AllFaultsAreToldAtOnce) {
-  std::string all = faults(registry_of("reply_timeout_ms: 5 look_every_ms: 1 prefix: ''"));
+TEST(Options, AllErrorsAreReportedTogether) {
+  std::string all = errors_of(registry_of("reply_timeout_ms: 5 look_every_ms: 1 prefix: ''"));
   EXPECT_EQ(std::count(all.begin(), all.end(), '\n'), 2);
 }
 
-TEST(Options, TheExampleInTheRepositoryIsGood) {
+TEST(Options, ExampleFileIsValid) {
   Options options = read_options_file(PEARSPAR_ROOT "/deploy/options.example.textproto");
   EXPECT_EQ(options.membership, MembershipKind::registry);
   EXPECT_TRUE(options.registration);
   EXPECT_THROW(read_options_file("/nowhere/at/all"), OptionsError);
 }
 
-TEST(Options, ATokenIsReadFromItsFile) {
+TEST(Options, TokenIsReadFromFile) {
   char path[] = "/tmp/pearspar-token-XXXXXX";
   int fd = ::mkstemp(path);
   ASSERT_EQ(::write(fd, "secret\n", 7), 7);
--- a/tests/processes/slow_senders.cpp
+++ b/tests/processes/slow_senders.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "carestiato/call.h"
+#include "admin_client/admin_client.h"
 #include "net/loop.h"
 #include "net/socket.h"
 #include "trial/process.h"
@@ -111,16 +111,16 @@
         settings("edge", "127.78.1.2",
                  fmt::format("frontDoor = \"{}\"\nreadyCheck = \"127.78.1.2:28723\"\n", front_door), ""));
     turn(1.5);
-    carestiato::Caller caller(loop_, {control});
+    admin_client::AdminClient caller(loop_, {control});
     const auto put = caller.call({"PUT", "/pearspar/config", "If-Match: 0\r\n", configuration, ""}, 5s);
     if (put.status != 200) throw std::runtime_error("no configuration was taken");
     turn(1);
     const auto edge_serves = [&] {
-      const auto reply = caller.ask(front_door, {"GET", "/none/", "Request-Id: q\r\n", "", "h"}, 2s);
+      const auto reply = caller.call_member(front_door, {"GET", "/none/", "Request-Id: q\r\n", "", "h"}, 2s);
       return reply.status == 404;  // no such route: the edge's own word, in good time
     };
     const auto member_serves = [&] {
-      return caller.ask(control, {"GET", "/pearspar/config", "", "", ""}, 2s).status == 200;
+      return caller.call_member(control, {"GET", "/pearspar/config", "", "", ""}, 2s).status == 200;
     };
     const bool edge_holds =
         press("edge", *edge, {front_door, 1880, request("POST /s/x", 262'000), 240'000}, edge_serves);
@@ -144,7 +144,7 @@
   }
   void turn(double seconds) {
     const net::Time until = loop_.read_clock() + net::Duration(seconds);
-    while (loop_.read_clock() < until) loop_.turn(net::Duration(0.02));
+    while (loop_.read_clock() < until) loop_.run_once(net::Duration(0.02));
   }
 
   bool press(const char* name, const trial::Process& process, const Pressure& pressure,
@@ -153,14 +153,14 @@
     for (int i = 0; i < pressure.connections; ++i) {
       senders.emplace_back(net::Address::of(pressure.address),
                            pressure.beginning(i) + std::string(pressure.sent_bytes, 'x'));
-      if (i % 20 == 0) loop_.turn(net::Duration(0.001));
+      if (i % 20 == 0) loop_.run_once(net::Duration(0.001));
     }
     bool others = true;
     const net::Time began = loop_.read_clock();
     net::Time asks = began + 500ms;
     while (loop_.read_clock() < began + 2500ms) {
       for (Sender& sender : senders) sender.go_on();
-      loop_.turn(net::Duration(0.005));
+      loop_.run_once(net::Duration(0.005));
       if (loop_.read_clock() < asks) continue;
       asks = loop_.read_clock() + 500ms;
       others = served() && others;
--- a/tests/registry_harness.h
+++ b/tests/registry_harness.h
@@ -21,7 +21,7 @@
 }
 
 // What a broker would hold of what it is told. Every telling must tell something.
-class Listener : public membership::MembersUser {
+class Listener : public membership::MembersHandler {
  public:
   void members_told(const membership::MemberList& list) override {
     ++tellings;
@@ -76,7 +76,7 @@
   }
   void pass(net::Duration time) {
     net::Time end = loop.read_clock() + time;
-    while (loop.read_clock() < end) loop.turn(std::chrono::milliseconds(2));
+    while (loop.read_clock() < end) loop.run_once(std::chrono::milliseconds(2));
   }
   std::map<std::string, int> in_registry() const {
     std::map<std::string, int> found;
