--- a/tests/system/start_test.cpp
+++ b/tests/system/start_test.cpp
@@ -90,7 +90,7 @@
       cluster.run(20);
       cluster.start(2, true);
       CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(2); }));
-      CPPUNIT_ASSERT_EQUAL(3u, cluster.membership(cluster.wait_for_leader()).wanted);
+      CPPUNIT_ASSERT_EQUAL(3u, cluster.membership(cluster.wait_for_leader()).target_size);
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.voter_count(cluster.wait_for_leader()));
       cluster.stop(cluster.wait_for_leader() == 0 ? 1 : 0);
       CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
@@ -139,7 +139,7 @@
     cluster.run(2);
     cluster.start(b, true);
     CPPUNIT_ASSERT(cluster.until(3, [&] { return cluster.is_voter(b); }));
-    CPPUNIT_ASSERT_EQUAL(3u, cluster.membership(cluster.wait_for_leader()).wanted);
+    CPPUNIT_ASSERT_EQUAL(3u, cluster.membership(cluster.wait_for_leader()).target_size);
     cluster.expect_no_violation();
   }
 
@@ -183,7 +183,7 @@
         CPPUNIT_ASSERT(cluster.commit_change(cluster.wait_for_leader()));
         CPPUNIT_ASSERT_EQUAL(members, cluster.voter_count(cluster.wait_for_leader()));
         CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(members),
-                             cluster.membership(cluster.wait_for_leader()).wanted);
+                             cluster.membership(cluster.wait_for_leader()).target_size);
         // A restart withdraws the request to leave.
         cluster.start(leaver);
         CPPUNIT_ASSERT(cluster.until(4, [&] { return cluster.is_voter(leaver); }));
