--- a/src/measure/allowance_measure.cpp
+++ b/src/measure/allowance_measure.cpp
@@ -12,12 +12,12 @@
 #include <thread>
 #include <vector>
 
-#include "biella/allowance_explore.h"
-#include "biella/cluster.h"
+#include "simulation/allowance_explore.h"
+#include "simulation/cluster.h"
 
 namespace {
 
-using namespace pearspar::biella;
+using namespace pearspar::simulation;
 
 struct Sum {
   std::uint64_t asked = 0, drawn = 0, waited = 0, refused = 0, asks = 0, entries = 0, served = 0,
@@ -94,7 +94,7 @@
       case 5: {
         std::string address = cluster.edge_address(world.below(cluster.edges()));
         cluster.cut_off(address, true, true);
-        world.in(pearspar::biella::Duration(3), [&cluster, address] { cluster.heal(address); });
+        world.in(pearspar::simulation::Duration(3), [&cluster, address] { cluster.heal(address); });
         break;
       }
       default:
--- a/src/measure/capacity_regions.cpp
+++ b/src/measure/capacity_regions.cpp
@@ -6,13 +6,13 @@
 #include <algorithm>
 #include <unordered_map>
 
-#include "biella/cluster.h"
+#include "simulation/cluster.h"
 
 namespace pearspar::measure {
 namespace {
 
-using biella::Cluster;
-using biella::Duration;
+using simulation::Cluster;
+using simulation::Duration;
 
 constexpr int zones = 13;
 constexpr int first_zone[regions + 1] = {0, 4, 7, 10, zones};
@@ -96,8 +96,8 @@
   int deaths = 0;  // until a member of the region led
 
  private:
-  static biella::ClusterOptions options(const RegionRun& run, double requests_s) {
-    biella::ClusterOptions options;
+  static simulation::ClusterOptions options(const RegionRun& run, double requests_s) {
+    simulation::ClusterOptions options;
     options.cores = 9;
     options.edges = run.edges;
     options.plain_nodes = 52;
--- a/src/measure/cluster_measure.cpp
+++ b/src/measure/cluster_measure.cpp
@@ -17,12 +17,12 @@
 #include <thread>
 #include <vector>
 
-#include "biella/explore.h"
-#include "biella/schedule.h"
+#include "simulation/explore.h"
+#include "simulation/schedule.h"
 
 namespace {
 
-using namespace pearspar::biella;
+using namespace pearspar::simulation;
 
 struct Sum {
   int played = 0, broken = 0;
@@ -193,7 +193,7 @@
     explore.newcomers = newcomers;
     explore.changes = changes;
     explore.in_flight = static_cast<std::size_t>(in_flight);
-    Explored found = pearspar::biella::explore(explore);
+    Explored found = pearspar::simulation::explore(explore);
     std::printf(
         "%zu states, %zu steps, depth %zu, %s; %zu with a commit, %zu leaders at most in a history%s%s\n",
         found.states, found.steps, found.depth, found.exhausted ? "all there are" : "cut off",
--- a/src/measure/http_measure.cpp
+++ b/src/measure/http_measure.cpp
@@ -12,10 +12,10 @@
 #include <thread>
 #include <vector>
 
-#include "biella/http_days.h"
+#include "simulation/http_days.h"
 
 int main(int argc, const char** argv) {
-  using namespace pearspar::biella;
+  using namespace pearspar::simulation;
   int count = 1000, jobs = 4, from = 1;
   double seconds = 5, rate = 120;
   char* kinds = nullptr;
--- a/src/measure/search_measure.cpp
+++ b/src/measure/search_measure.cpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "biella/explore_parts.h"
-#include "biella/explore_walk.h"
+#include "simulation/explore_parts.h"
+#include "simulation/explore_walk.h"
 
 namespace {
 
-using namespace pearspar::biella;
+using namespace pearspar::simulation;
 
 struct Asked {
   int threads = 4;
--- a/src/measure/system_measure.cpp
+++ b/src/measure/system_measure.cpp
@@ -11,11 +11,11 @@
 #include <thread>
 #include <vector>
 
-#include "biella/cluster.h"
+#include "simulation/cluster.h"
 
 namespace {
 
-using namespace pearspar::biella;
+using namespace pearspar::simulation;
 
 double quantile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
--- a/src/biella/allowance_explore.cpp
+++ b/src/simulation/allowance_explore.cpp
@@ -1,4 +1,4 @@
-#include "biella/allowance_explore.h"
+#include "simulation/allowance_explore.h"
 
 #include <algorithm>
 #include <deque>
@@ -11,7 +11,7 @@
 #include "protocol/pack.h"
 #include "quota/edge_quota.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 using quota::AccountKey;
@@ -259,4 +259,4 @@
 
 AllowanceExplored explore_allowance(const AllowanceExploreOptions& options) { return Search(options).run(); }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/allowance_explore.h
+++ b/src/simulation/allowance_explore.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct AllowanceExploreOptions {
   int edges = 3;
@@ -36,4 +36,4 @@
 
 AllowanceExplored explore_allowance(const AllowanceExploreOptions& options);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/auditor.cpp
+++ b/src/simulation/auditor.cpp
@@ -1,8 +1,8 @@
-#include "biella/auditor.h"
+#include "simulation/auditor.h"
 
 #include <algorithm>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 std::vector<Auditor::Level> Auditor::levels(const std::string& holder, const std::string& kind) {
   std::vector<Level> found{{holder, kind}};
@@ -67,4 +67,4 @@
   return faults;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/auditor.h
+++ b/src/simulation/auditor.h
@@ -11,7 +11,7 @@
 
 #include "quota/quota_ledger.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 class Auditor {
  public:
@@ -43,4 +43,4 @@
   std::size_t refused_ = 0;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/call_judge.cpp
+++ b/src/simulation/call_judge.cpp
@@ -1,6 +1,6 @@
-#include "biella/call_judge.h"
+#include "simulation/call_judge.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 void CallJudge::begun(const std::string& id, AskedCall call) {
   ++seen_.calls;
@@ -63,4 +63,4 @@
                          " bytes for " + std::to_string(given->second.body.size()));
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/call_judge.h
+++ b/src/simulation/call_judge.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // What a client sends, byte for byte of each field.
 struct AskedCall {
@@ -71,4 +71,4 @@
   Seen seen_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/checker.cpp
+++ b/src/simulation/checker.cpp
@@ -1,11 +1,11 @@
-#include "biella/checker.h"
+#include "simulation/checker.h"
 
 #include <algorithm>
 #include <functional>
 #include <iterator>
 #include <limits>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 Checker::Text Checker::text_of(const std::string& text) {
   return {std::hash<std::string>{}(text), text.size()};
@@ -188,4 +188,4 @@
   }
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/checker.h
+++ b/src/simulation/checker.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 class Checker {
  public:
@@ -94,4 +94,4 @@
   std::vector<std::string> faults_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster.cpp
+++ b/src/simulation/cluster.cpp
@@ -1,7 +1,7 @@
 // The whole: what is made at the start, and the judge's last questions.
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 std::string between(const std::string& text, const std::string& from, const std::string& to) {
   std::size_t at = text.find(from);
@@ -105,4 +105,4 @@
   checker_.finish();
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster.h
+++ b/src/simulation/cluster.h
@@ -10,23 +10,23 @@
 #include <unordered_map>
 #include <vector>
 
-#include "biella/auditor.h"
-#include "biella/call_judge.h"
-#include "biella/checker.h"
-#include "biella/disk.h"
-#include "biella/net.h"
-#include "biella/streams.h"
-#include "biella/strikes.h"
 #include "control_plane/member.h"
 #include "dispatch/dispatcher.h"
 #include "edge_gateway/edge_gateway.h"
+#include "simulation/auditor.h"
+#include "simulation/call_judge.h"
+#include "simulation/checker.h"
+#include "simulation/disk.h"
+#include "simulation/net.h"
+#include "simulation/streams.h"
+#include "simulation/strikes.h"
 #include "subscription/follower.h"
 
 namespace pearspar::altavia {
 class ReverseProxy;
 }
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct ClusterOptions {
   int cores = 3;
@@ -298,4 +298,4 @@
   int next_address_ = 10;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_ballast.cpp
+++ b/src/simulation/cluster_ballast.cpp
@@ -1,8 +1,8 @@
 // Large states in the rig: what members find on their disks, what it costs to move, and who holds it all.
-#include "biella/cluster_parts.h"
 #include "protocol/quota_codec.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 constexpr std::size_t holder_bytes = 180;
@@ -95,4 +95,4 @@
   return false;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_core.cpp
+++ b/src/simulation/cluster_core.cpp
@@ -1,7 +1,7 @@
 // Members of the core in the rig: their lives, disks and ends.
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 // As `altavia` does it: not before, and not after; of a grace of six seconds.
@@ -320,4 +320,4 @@
   disturbed(seconds());
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_edges.cpp
+++ b/src/simulation/cluster_edges.cpp
@@ -1,7 +1,7 @@
 // Edges in the rig, and the clients that ask them.
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 constexpr Duration turn_takes{0.00002};
@@ -276,4 +276,4 @@
   if (auto& process = edges_[index]->process) process->life.frozen_until = world_.now() + Duration(for_s);
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_http.h
+++ b/src/simulation/cluster_http.h
@@ -6,10 +6,10 @@
 #include <map>
 #include <string>
 
-#include "biella/cluster.h"
-#include "biella/plain_http.h"
+#include "simulation/cluster.h"
+#include "simulation/plain_http.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // What one index server says on its address, from start to start.
 struct Cluster::NodeServer {
@@ -98,4 +98,4 @@
   std::uint64_t next = 0;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_nodes.cpp
+++ b/src/simulation/cluster_nodes.cpp
@@ -1,7 +1,7 @@
 // Index servers in the rig: beats, work, troubles, leaving.
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 constexpr double node_patience = 1.0;
@@ -171,4 +171,4 @@
   });
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_operators.cpp
+++ b/src/simulation/cluster_operators.cpp
@@ -1,9 +1,9 @@
 // Operators in the rig: calls to members, changes that go out again until they are clear.
 #include <charconv>
 
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 constexpr double operator_patience = 1.0;
@@ -226,4 +226,4 @@
        });
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_parts.h
+++ b/src/simulation/cluster_parts.h
@@ -6,11 +6,11 @@
 #include <optional>
 
 #include "altavia/reverse_proxy.h"
-#include "biella/cluster.h"
-#include "biella/cluster_http.h"
 #include "edge_gateway/edge_gateway.h"
+#include "simulation/cluster.h"
+#include "simulation/cluster_http.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 constexpr std::size_t top_records = 20;
 constexpr double min_shard_ratio = 0.5;
@@ -202,4 +202,4 @@
   double served_at = 0;   // when the last try ended that could have been answered; 0 = the last could not
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/cluster_retrievals.cpp
+++ b/src/simulation/cluster_retrievals.cpp
@@ -1,8 +1,8 @@
 // Clients in the rig that retrieve under an allowance: one key over all tries of a retrieval, each at another
 // edge.
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 constexpr double client_patience = 1.7;
@@ -71,4 +71,4 @@
   return auditor_.judge(accounts.lines(), limits, accounts.window(), exactly);
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/disk.cpp
+++ b/src/simulation/disk.cpp
@@ -1,8 +1,8 @@
-#include "biella/disk.h"
+#include "simulation/disk.h"
 
 #include <algorithm>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 using namespace raft;
 
@@ -96,4 +96,4 @@
   busy_ = Time{};
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/disk.h
+++ b/src/simulation/disk.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "biella/world.h"
 #include "raft/store.h"
+#include "simulation/world.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 class SimDisk : public raft::Store {
  public:
@@ -67,4 +67,4 @@
   std::uint64_t writes_ = 0;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore.cpp
+++ b/src/simulation/explore.cpp
@@ -1,13 +1,13 @@
-#include "biella/explore.h"
+#include "simulation/explore.h"
 
 #include <algorithm>
 #include <chrono>
 #include <thread>
 
-#include "biella/explore_heal.h"
-#include "biella/explore_space.h"
+#include "simulation/explore_heal.h"
+#include "simulation/explore_space.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 // How a state was met first. Breadth first, so that a fault comes with a shortest history.
@@ -192,4 +192,4 @@
   return Space(options).hold_against(seed, steps);
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore.h
+++ b/src/simulation/explore.h
@@ -14,7 +14,7 @@
 
 #include "raft/core.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // Whole steps, and few of them until something is due.
 raft::Timing search_timing();
@@ -112,4 +112,4 @@
 // alike: where the two part, or nothing. So it is seen that the description leaves out nothing that counts.
 std::string hold_against(const ExploreOptions& options, std::uint64_t seed, std::size_t steps);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_body.cpp
+++ b/src/simulation/explore_body.cpp
@@ -1,8 +1,8 @@
-#include "biella/explore_body.h"
+#include "simulation/explore_body.h"
 
-#include "biella/explore_probe.h"
+#include "simulation/explore_probe.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 using namespace raft;
@@ -282,4 +282,4 @@
 
 MemberId id_of(const Body& body) { return body.core ? body.core->self() : 0; }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_body.h
+++ b/src/simulation/explore_body.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "biella/explore.h"
 #include "raft/core.h"
+#include "simulation/explore.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 using raft::Core;
 using raft::Duration;
@@ -76,4 +76,4 @@
 // The id a founder has. One that lost its disk has another.
 raft::MemberId id_of(const Body& body);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_heal.cpp
+++ b/src/simulation/explore_heal.cpp
@@ -1,9 +1,9 @@
-#include "biella/explore_heal.h"
+#include "simulation/explore_heal.h"
 
 #include <algorithm>
 #include <deque>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 using namespace raft;
 
@@ -73,4 +73,4 @@
   return healed;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_heal.h
+++ b/src/simulation/explore_heal.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "biella/explore_judge.h"
+#include "simulation/explore_judge.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct Healed {
   double seconds = 0;  // simulated, until a member might speak
@@ -20,4 +20,4 @@
 // one that was committed last, and those behind it.
 bool has_majority(const std::vector<Body>& bodies, const Past& past);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_judge.cpp
+++ b/src/simulation/explore_judge.cpp
@@ -1,8 +1,8 @@
-#include "biella/explore_judge.h"
+#include "simulation/explore_judge.h"
 
 #include <algorithm>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 using namespace raft;
 
@@ -143,4 +143,4 @@
   }
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_judge.h
+++ b/src/simulation/explore_judge.h
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "biella/explore_body.h"
+#include "simulation/explore_body.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // What a step may have changed of a member, as it was before it.
 struct Glance {
@@ -64,4 +64,4 @@
   std::size_t acknowledged_ = 0;  // size of the machine that a speaker has shown
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_opening.cpp
+++ b/src/simulation/explore_opening.cpp
@@ -3,9 +3,9 @@
 #include <cstdlib>
 #include <sstream>
 
-#include "biella/explore_space.h"
+#include "simulation/explore_space.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // All that is said is heard, in order, by those who hear.
 void Space::open(State& state) {
@@ -52,4 +52,4 @@
   in_flight_ = options_.in_flight;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_parts.cpp
+++ b/src/simulation/explore_parts.cpp
@@ -1,11 +1,11 @@
-#include "biella/explore_parts.h"
+#include "simulation/explore_parts.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <iterator>
 #include <utility>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 using raft::Duration;
@@ -282,4 +282,4 @@
   return parts;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_parts.h
+++ b/src/simulation/explore_parts.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "biella/explore.h"
+#include "simulation/explore.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct ExplorePart {
   std::string name;
@@ -27,4 +27,4 @@
 std::string bounds_of(const ExploreOptions& options);
 bool mutant_of(const std::string& name, Mutant& mutant);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_space.cpp
+++ b/src/simulation/explore_space.cpp
@@ -1,12 +1,12 @@
-#include "biella/explore_space.h"
+#include "simulation/explore_space.h"
 
 #include <algorithm>
 #include <random>
 
-#include "biella/explore_probe.h"
 #include "protocol/raft_codec.h"
+#include "simulation/explore_probe.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 using namespace raft;
 
@@ -470,4 +470,4 @@
   return {};
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_space.h
+++ b/src/simulation/explore_space.h
@@ -4,10 +4,10 @@
 #include <array>
 #include <optional>
 
-#include "biella/explore_judge.h"
-#include "biella/explore_tables.h"
+#include "simulation/explore_judge.h"
+#include "simulation/explore_tables.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 constexpr std::size_t most_bodies = 6;
 constexpr std::size_t most_flying = 8;
@@ -147,4 +147,4 @@
   Rows<Verdict> verdicts_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_tables.h
+++ b/src/simulation/explore_tables.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct Digest {
   std::uint64_t high = 0;
@@ -160,4 +160,4 @@
   Rows<T> rows_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_walk.cpp
+++ b/src/simulation/explore_walk.cpp
@@ -1,4 +1,4 @@
-#include "biella/explore_walk.h"
+#include "simulation/explore_walk.h"
 
 #include <algorithm>
 #include <atomic>
@@ -8,9 +8,9 @@
 #include <mutex>
 #include <thread>
 
-#include "biella/explore_heal.h"
+#include "simulation/explore_heal.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 using namespace raft;
 
@@ -359,4 +359,4 @@
   return all;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/explore_walk.h
+++ b/src/simulation/explore_walk.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "biella/explore.h"
+#include "simulation/explore.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct WalkOptions {
   int members = 5;
@@ -61,4 +61,4 @@
 
 Walks walk(const WalkOptions& options);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/http_clients.cpp
+++ b/src/simulation/http_clients.cpp
@@ -1,7 +1,7 @@
 // Clients' side of the wire.
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 constexpr std::size_t most_kept = 8;  // connections to one edge that rest
@@ -253,4 +253,4 @@
   return true;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/http_days.cpp
+++ b/src/simulation/http_days.cpp
@@ -1,10 +1,10 @@
-#include "biella/http_days.h"
+#include "simulation/http_days.h"
 
 #include <algorithm>
 
 #include "altavia/reverse_proxy.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 // Kinds that befall whole processes, beside those of single requests and connections.
@@ -186,4 +186,4 @@
   return day;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/http_days.h
+++ b/src/simulation/http_days.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "biella/cluster.h"
+#include "simulation/cluster.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct HttpDayOptions {
   std::uint64_t seed = 1;
@@ -31,4 +31,4 @@
 void set_http_troubles(Cluster& cluster, double chance);
 HttpDay play_http(const HttpDayOptions& options);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/http_nodes.cpp
+++ b/src/simulation/http_nodes.cpp
@@ -1,7 +1,7 @@
 // Index servers' side of the wire.
-#include "biella/cluster_parts.h"
+#include "simulation/cluster_parts.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 // Behind the last chunk; nothing of it is a line of the answer.
@@ -260,4 +260,4 @@
   });
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/net.cpp
+++ b/src/simulation/net.cpp
@@ -1,8 +1,8 @@
-#include "biella/net.h"
+#include "simulation/net.h"
 
 #include <algorithm>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 Port::Port(Net& net, std::string address, transport::TransportHandler& user)
     : net_(net), address_(std::move(address)), user_(user) {
@@ -275,4 +275,4 @@
   }
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/net.h
+++ b/src/simulation/net.h
@@ -14,10 +14,10 @@
 #include <utility>
 #include <vector>
 
-#include "biella/world.h"
+#include "simulation/world.h"
 #include "transport/transport.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 class Net;
 
@@ -161,4 +161,4 @@
   std::map<std::string, std::uint64_t> bytes_from_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/plain_http.cpp
+++ b/src/simulation/plain_http.cpp
@@ -1,8 +1,8 @@
-#include "biella/plain_http.h"
+#include "simulation/plain_http.h"
 
 #include <algorithm>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 std::string lower(std::string text) {
@@ -115,4 +115,4 @@
   return text + "0\r\n" + trailers + "\r\n";
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/plain_http.h
+++ b/src/simulation/plain_http.h
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "biella/world.h"
+#include "simulation/world.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct PlainMessage {
   std::string start;  // the first line
@@ -31,4 +31,4 @@
 // `to_head`: the answer is to a HEAD, and has none whatever it names.
 Plain take_message(std::string& bytes, bool answer, PlainMessage& message, bool to_head = false);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/player.h
+++ b/src/simulation/player.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "biella/schedule.h"
-#include "biella/troubles.h"
+#include "simulation/schedule.h"
+#include "simulation/troubles.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // The core bears the loss of a minority at once; a member counts as lost for `catch_up_` after it is back:
 // four seconds, and what a large state needs to get to it.
@@ -91,4 +91,4 @@
   std::string told_core_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/schedule.cpp
+++ b/src/simulation/schedule.cpp
@@ -1,12 +1,12 @@
-#include "biella/schedule.h"
+#include "simulation/schedule.h"
 
 #include <algorithm>
 #include <random>
 
-#include "biella/http_days.h"
-#include "biella/player.h"
+#include "simulation/http_days.h"
+#include "simulation/player.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 Player::Player(const ScheduleOptions& options, Cluster& cluster, Outcome& outcome)
     : options_(options),
@@ -216,4 +216,4 @@
   return result;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/schedule.h
+++ b/src/simulation/schedule.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "biella/cluster.h"
+#include "simulation/cluster.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 struct ScheduleOptions {
   ClusterOptions cluster;
@@ -52,4 +52,4 @@
 };
 Return time_return(std::uint64_t seed, double away_s);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/schedule_beside.cpp
+++ b/src/simulation/schedule_beside.cpp
@@ -1,7 +1,7 @@
 // Troubles by which no member is lost: the core goes on through them.
-#include "biella/player.h"
+#include "simulation/player.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 namespace {
 
 // Five times a turn of some 0.3 ms.
@@ -36,4 +36,4 @@
     cluster_.kill_core(static_cast<std::size_t>(restarted), 0.4, world_.chance(0.5));
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/schedule_core.cpp
+++ b/src/simulation/schedule_core.cpp
@@ -1,9 +1,9 @@
 // Troubles of the core, of edges and of nodes.
 #include <algorithm>
 
-#include "biella/player.h"
+#include "simulation/player.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 bool Player::none_lost() {
   std::erase_if(lost_until_, [&](double until) { return until < cluster_.seconds(); });
@@ -240,4 +240,4 @@
   }
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/schedule_losses.cpp
+++ b/src/simulation/schedule_losses.cpp
@@ -2,9 +2,9 @@
 // the end of what a returned member is given to catch up.
 #include <algorithm>
 
-#include "biella/player.h"
+#include "simulation/player.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // False where it is another kind.
 bool Player::strike_loss(const std::string& kind, std::size_t member, double span) {
@@ -197,4 +197,4 @@
   return true;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/schedule_orders.cpp
+++ b/src/simulation/schedule_orders.cpp
@@ -1,7 +1,7 @@
 // Orders of a schedule: the usual ones, and those that come at bad moments.
-#include "biella/player.h"
+#include "simulation/player.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 void Player::change() {
   if (over()) return;
@@ -101,4 +101,4 @@
   if (world_.chance(0.5)) in(span / 2, [this] { race(4, -1, true); });
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/streams.cpp
+++ b/src/simulation/streams.cpp
@@ -1,11 +1,11 @@
-#include "biella/streams.h"
+#include "simulation/streams.h"
 
 #include <algorithm>
 #include <cerrno>
 #include <cstring>
 #include <utility>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 // End
 
@@ -287,4 +287,4 @@
   open_.erase(found);
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/streams.h
+++ b/src/simulation/streams.h
@@ -11,11 +11,11 @@
 #include <string_view>
 #include <vector>
 
-#include "biella/world.h"
 #include "net/kernel.h"
 #include "net/socket.h"
+#include "simulation/world.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 class Streams;
 
@@ -154,4 +154,4 @@
   bool was_ready_ = false;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/strikes.h
+++ b/src/simulation/strikes.h
@@ -5,9 +5,9 @@
 #include <map>
 #include <string>
 
-#include "biella/world.h"
+#include "simulation/world.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 class Strikes {
  public:
@@ -30,4 +30,4 @@
   std::map<std::string, std::uint64_t> counts_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/troubles.cpp
+++ b/src/simulation/troubles.cpp
@@ -1,8 +1,8 @@
-#include "biella/troubles.h"
+#include "simulation/troubles.h"
 
 #include <algorithm>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 const std::vector<Trouble>& troubles() {
   constexpr auto member = Befalls::member, core = Befalls::core, edge = Befalls::edge, node = Befalls::node,
@@ -89,4 +89,4 @@
   return found == troubles().end() ? nullptr : &*found;
 }
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/troubles.h
+++ b/src/simulation/troubles.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 enum class Befalls { member, core, edge, node, orders, beside };
 
@@ -19,4 +19,4 @@
 const std::vector<Trouble>& troubles();
 const Trouble* find_trouble(std::string_view name);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/src/biella/world.h
+++ b/src/simulation/world.h
@@ -8,7 +8,7 @@
 #include <random>
 #include <utility>
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 using Duration = std::chrono::duration<double>;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -43,4 +43,4 @@
   std::mt19937_64 random_;
 };
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/tests/processes/processes.h
+++ b/tests/processes/processes.h
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "biella/checker.h"
 #include "net/clock.h"
+#include "simulation/checker.h"
 
 namespace pearspar::processes {
 
@@ -69,7 +69,7 @@
 
  private:
   mutable std::mutex mutex_;
-  biella::Checker checker_;
+  simulation::Checker checker_;
   std::map<std::string, std::pair<Order, int>> settled_;  // by text: the definite answer
   std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> edges_;
   std::set<std::uint64_t> revisions_;  // that were ever sent
--- a/tests/system/allowance_test.cpp
+++ b/tests/system/allowance_test.cpp
@@ -4,10 +4,10 @@
 
 #include <fstream>
 
-#include "biella/cluster.h"
 #include "protocol/pack.h"
 #include "quota/edge_quota.h"
 #include "quota/quota_ledger.h"
+#include "simulation/cluster.h"
 
 namespace pearspar {
 
@@ -373,9 +373,9 @@
     CPPUNIT_ASSERT(turned.draw(now + quota::Duration(1.1), "f", "pull", "z", false).kind == Kind::wait);
   }
 
-  static biella::ClusterOptions options(std::uint64_t seed, const std::string& accounts,
-                                        std::vector<std::string> holders, double rate = 60) {
-    biella::ClusterOptions options;
+  static simulation::ClusterOptions options(std::uint64_t seed, const std::string& accounts,
+                                            std::vector<std::string> holders, double rate = 60) {
+    simulation::ClusterOptions options;
     options.seed = seed;
     options.edges = 4;
     options.shards = 2;
@@ -389,19 +389,19 @@
   static std::string both(const std::string& firm, const std::string& branch, int sweeps, int pulls) {
     return account(firm, branch, "sweep", sweeps) + "," + account(firm, branch, "pull", pulls);
   }
-  static void good(const biella::Cluster& cluster, const std::vector<biella::Auditor::Limit>& limits,
+  static void good(const simulation::Cluster& cluster, const std::vector<simulation::Auditor::Limit>& limits,
                    bool exactly) {
     for (const std::string& fault : cluster.audit(limits, exactly)) CPPUNIT_FAIL(fault);
   }
-  static void begin(biella::Cluster& cluster) {
+  static void begin(simulation::Cluster& cluster) {
     cluster.run(2);
     cluster.change(0);
   }
 
   void noMessagesWithoutQuotaRules() {
-    biella::ClusterOptions plain = options(1, "", {"f"});
+    simulation::ClusterOptions plain = options(1, "", {"f"});
     plain.allowances.clear();
-    biella::Cluster cluster(plain);
+    simulation::Cluster cluster(plain);
     begin(cluster);
     cluster.run(5);
     CPPUNIT_ASSERT(cluster.auditor().served() > 100);
@@ -417,7 +417,7 @@
 
   void countsEqualRequestsThatRan() {
     for (std::uint64_t seed = 1; seed <= 12 / seed_divisor; ++seed) {
-      biella::Cluster cluster(options(
+      simulation::Cluster cluster(options(
           seed,
           both("f", "", 100000, 100000) + "," + both("f", "b", 9000, 9000) + "," + both("g", "", 9000, 9000),
           {"f", "f/b", "f/unlisted", "g", "nobody"}));
@@ -438,7 +438,7 @@
   void contendedLastTokensAreAllSpent() {
     for (std::uint64_t seed = 1; seed <= 20 / seed_divisor; ++seed) {
       auto few = options(seed, both("f", "", 37, 23), {"f"});
-      biella::Cluster cluster(few);
+      simulation::Cluster cluster(few);
       begin(cluster);
       cluster.run(10);
       cluster.stop_retrieving();
@@ -454,7 +454,7 @@
   void requestSentToTwoEdgesDrawsOnce() {
     auto deployment = options(3, both("f", "", 1000, 1000), {"f"});
     deployment.retrievals_per_s = 0;
-    biella::Cluster cluster(deployment);
+    simulation::Cluster cluster(deployment);
     begin(cluster);
     cluster.run(3);
     for (int i = 0; i < 40; ++i) {
@@ -473,7 +473,7 @@
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       auto deployment = options(seed, both("f", "", 9, 9), {"f"});
       deployment.retrievals_per_s = 0;
-      biella::Cluster cluster(deployment);
+      simulation::Cluster cluster(deployment);
       begin(cluster);
       cluster.run(3);
       for (int i = 0; i < 12; ++i) {
@@ -488,7 +488,7 @@
 
   void raisedLimitIsServed() {
     auto deployment = options(5, both("f", "", 20, 20), {"f"});
-    biella::Cluster cluster(deployment);
+    simulation::Cluster cluster(deployment);
     begin(cluster);
     cluster.run(6);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, cluster.auditor().truth("f", "pull"));
@@ -507,7 +507,7 @@
     for (std::uint64_t seed = 1; seed <= 10 / seed_divisor; ++seed) {
       auto deployment = options(seed, both("f", "", 30, 30), {"f"});
       deployment.allowances.replace(deployment.allowances.find("600000"), 6, "2000");
-      biella::Cluster cluster(deployment);
+      simulation::Cluster cluster(deployment);
       begin(cluster);
       for (int i = 0; i < 5; ++i) {
         cluster.run(2.5);
@@ -533,7 +533,7 @@
       auto deployment =
           options(seed, both("f", "", 260, 240) + "," + both("f", "b", 90, 400), {"f", "f/b", "f"});
       if (seed % 3 == 0) deployment.sync_s = 0.005;
-      biella::Cluster cluster(deployment);
+      simulation::Cluster cluster(deployment);
       begin(cluster);
       cluster.run(3);
       for (int i = 0; i < 9; ++i) {
--- a/tests/system/cluster_test.cpp
+++ b/tests/system/cluster_test.cpp
@@ -3,9 +3,9 @@
 
 #include <set>
 
-#include "biella/schedule.h"
+#include "simulation/schedule.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 namespace {
 
@@ -630,4 +630,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ClusterTest);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/tests/system/controller_test.cpp
+++ b/tests/system/controller_test.cpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <sstream>
 
-#include "biella/disk.h"
 #include "catalog/json.h"
 #include "control_plane/member.h"
+#include "simulation/disk.h"
 
 namespace pearspar::control_plane {
 
@@ -48,8 +48,8 @@
   CPPUNIT_TEST_SUITE_END();
 
   struct SingleMember {
-    biella::World world{1};
-    biella::SimDisk disk{world};
+    simulation::World world{1};
+    simulation::SimDisk disk{world};
     RecordingTransport wire;
     Member member;
     CallerId next = 0;
--- a/tests/system/explore_test.cpp
+++ b/tests/system/explore_test.cpp
@@ -1,13 +1,13 @@
 // The agreement's states, searched through for a small core. The large searches are
 // pearspar-measure-search's.
-#include "biella/explore.h"
+#include "simulation/explore.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "biella/explore_parts.h"
-#include "biella/explore_walk.h"
+#include "simulation/explore_parts.h"
+#include "simulation/explore_walk.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 class ExploreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ExploreTest);
@@ -101,4 +101,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ExploreTest);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/tests/system/http_rig_test.cpp
+++ b/tests/system/http_rig_test.cpp
@@ -2,9 +2,9 @@
 // same run.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "biella/http_days.h"
+#include "simulation/http_days.h"
 
-namespace pearspar::biella {
+namespace pearspar::simulation {
 
 namespace {
 
@@ -176,4 +176,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(HttpRigTest);
 
-}  // namespace pearspar::biella
+}  // namespace pearspar::simulation
--- a/tests/system/leader_updates_test.cpp
+++ b/tests/system/leader_updates_test.cpp
@@ -5,10 +5,10 @@
 #include <map>
 #include <random>
 
-#include "biella/cluster.h"
 #include "control_plane/followers.h"
 #include "protocol/delta.h"
 #include "retry_tokens/token_pool.h"
+#include "simulation/cluster.h"
 
 namespace pearspar {
 
@@ -385,12 +385,12 @@
   // The leader that a call was forwarded to dies; the call goes to the next leader.
   void forwardedCallReachesTheNextLeader() {
     for (unsigned seed = 1; seed <= 6; ++seed) {
-      biella::ClusterOptions options;
+      simulation::ClusterOptions options;
       options.seed = seed;
       options.edges = 2;
       options.plain_nodes = 2;
       options.ask_the_living = true;
-      biella::Cluster cluster(options);
+      simulation::Cluster cluster(options);
       cluster.run(2);
       cluster.change(0);
       cluster.run(2);
@@ -452,7 +452,7 @@
     std::map<bool, std::uint64_t> withheld, second;
     for (unsigned run = 0; run < 12; ++run) {
       bool shared = run % 2 == 1;
-      biella::ClusterOptions options;
+      simulation::ClusterOptions options;
       options.seed = 1 + run / 2;
       options.requests_per_s = 150;
       options.edges = 6;
@@ -461,7 +461,7 @@
       options.retry_ratio = 0.02;
       options.retry_slack = 60;
       options.shared_budget = shared;
-      biella::Cluster cluster(options);
+      simulation::Cluster cluster(options);
       cluster.run(2);
       cluster.change(0);
       cluster.run(14);
@@ -480,13 +480,13 @@
 
   // Under overload all edges have reduced coverage; a restarted one must not begin at full coverage.
   void restartedEdgeStartsAtAverageCoverage() {
-    biella::ClusterOptions options;
+    simulation::ClusterOptions options;
     options.edges = 4;
     options.nodes_per_shard = 1;
     options.plain_nodes = 20;
     options.slots = 1;
     options.requests_per_s = 150;
-    biella::Cluster cluster(options);
+    simulation::Cluster cluster(options);
     cluster.run(2);
     cluster.change(0);
     cluster.run(16);
--- a/tests/system/malformed_calls_test.cpp
+++ b/tests/system/malformed_calls_test.cpp
@@ -3,9 +3,9 @@
 
 #include <map>
 
-#include "biella/disk.h"
 #include "control_plane/member.h"
 #include "protocol/messages.h"
+#include "simulation/disk.h"
 
 namespace pearspar::control_plane {
 namespace {
@@ -37,8 +37,8 @@
 }
 
 struct SingleMember {
-  biella::World world{1};
-  biella::SimDisk disk{world};
+  simulation::World world{1};
+  simulation::SimDisk disk{world};
   RecordingTransport wire;
   Member member;
   CallerId next = 0;
--- a/tests/system/neighbour_discovery_test.cpp
+++ b/tests/system/neighbour_discovery_test.cpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <set>
 
-#include "biella/cluster.h"
 #include "control_plane/neighbour_ring.h"
 #include "protocol/pack.h"
+#include "simulation/cluster.h"
 #include "transport/tcp_transport.h"
 
 namespace pearspar {
@@ -80,12 +80,12 @@
   // configuration in time.
   void edgeFindsReplacedMembersThroughOtherEdges() {
     for (unsigned seed = 1; seed <= 6; ++seed) {
-      biella::ClusterOptions options;
+      simulation::ClusterOptions options;
       options.seed = seed;
       options.edges = 4;
       options.plain_nodes = 2;
       options.nodes_per_shard = 1;
-      biella::Cluster cluster(options);
+      simulation::Cluster cluster(options);
       cluster.run(2);
       cluster.change(0);
       cluster.run(2.4);
@@ -112,11 +112,11 @@
   // All edges are partitioned while all members are replaced. One that restarts gets the current seeds, and
   // the others learn the members from it.
   void restartedEdgeTellsOthersTheNewMembers() {
-    biella::ClusterOptions options;
+    simulation::ClusterOptions options;
     options.edges = 4;
     options.plain_nodes = 2;
     options.nodes_per_shard = 1;
-    biella::Cluster cluster(options);
+    simulation::Cluster cluster(options);
     cluster.run(2);
     cluster.change(0);
     cluster.run(3);
--- a/tests/system/raft_cluster.h
+++ b/tests/system/raft_cluster.h
@@ -12,13 +12,13 @@
 #include <string>
 #include <vector>
 
-#include "biella/disk.h"
 #include "raft/core.h"
+#include "simulation/disk.h"
 
 namespace pearspar::raft {
 
-using biella::SimDisk;
-using biella::World;
+using simulation::SimDisk;
+using simulation::World;
 
 constexpr Duration tick_length = std::chrono::milliseconds(1);
 
--- a/tests/system/replicated_state_test.cpp
+++ b/tests/system/replicated_state_test.cpp
@@ -6,10 +6,10 @@
 #include <memory>
 #include <random>
 
-#include "biella/disk.h"
 #include "control_plane/member.h"
 #include "protocol/pack.h"
 #include "protocol/quota_codec.h"
+#include "simulation/disk.h"
 
 namespace pearspar::control_plane {
 namespace {
@@ -94,7 +94,7 @@
     for (auto& slot : slots_) slot.member.reset();
   }
 
-  biella::World world;
+  simulation::World world;
   std::function<bool(int from, int to, const protocol::Message&)>
       passes;  // unset: all messages are delivered
   std::function<ReplicatedState::ConfigurationParser(int)> reader;
@@ -223,8 +223,8 @@
     }
   };
   struct Slot {
-    explicit Slot(biella::World& world) : disk(world) {}
-    biella::SimDisk disk;
+    explicit Slot(simulation::World& world) : disk(world) {}
+    simulation::SimDisk disk;
     Wire wire;
     std::unique_ptr<Member> member;
     Time frozen{};
--- a/tests/system/replication_harness.h
+++ b/tests/system/replication_harness.h
@@ -10,9 +10,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "biella/disk.h"
 #include "protocol/messages.h"
 #include "raft/core.h"
+#include "simulation/disk.h"
 
 namespace pearspar::raft {
 
@@ -45,9 +45,9 @@
 class ReplicationHarness {
  public:
   struct Node {
-    Node(biella::World& world, std::size_t bytes) : disk(world), machine(bytes), state_bytes(bytes) {}
+    Node(simulation::World& world, std::size_t bytes) : disk(world), machine(bytes), state_bytes(bytes) {}
     std::string address;
-    biella::SimDisk disk;
+    simulation::SimDisk disk;
     CountingMachine machine;
     std::size_t state_bytes;
     std::unique_ptr<Core> core;
@@ -183,7 +183,7 @@
   std::uint64_t accepted_ = 0;
 
  public:
-  biella::World world;
+  simulation::World world;
   std::vector<std::unique_ptr<Node>> nodes;
 };
 
@@ -229,8 +229,8 @@
     options.fresh_id = 12;
     return options;
   }
-  biella::World world{1};
-  biella::SimDisk disk{world};
+  simulation::World world{1};
+  simulation::SimDisk disk{world};
   CountingMachine machine{0};
   Core core{disk, machine, options()};
 };
--- a/tests/system/replication_test.cpp
+++ b/tests/system/replication_test.cpp
@@ -398,8 +398,8 @@
   }
 
   void appendOfManySmallEntriesIsDecodable() {
-    biella::World world(1);
-    biella::SimDisk disk(world);
+    simulation::World world(1);
+    simulation::SimDisk disk(world);
     Log log(disk);
     std::vector<Entry> entries;
     for (Index i = 1; i <= 5000; ++i) entries.push_back({i, 1, EntryKind::change, "c", {}});
--- a/tests/system/wire_fuzz_test.cpp
+++ b/tests/system/wire_fuzz_test.cpp
@@ -6,11 +6,11 @@
 #include <cstdlib>
 #include <random>
 
-#include "biella/disk.h"
 #include "control_plane/member.h"
 #include "protocol/delta.h"
 #include "protocol/quota_codec.h"
 #include "protocol/raft_codec.h"
+#include "simulation/disk.h"
 #include "subscription/follower.h"
 
 namespace pearspar {
@@ -175,8 +175,8 @@
   void memberAndEdgeSurviveCorruptFrames() {
     for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(rounds(20)); ++seed) {
       FrameCorrupter corrupter(seed);
-      biella::World world{seed};
-      biella::SimDisk disk{world};
+      simulation::World world{seed};
+      simulation::SimDisk disk{world};
       NullTransport transport;
       raft::Options raft_options;
       raft_options.address = "a:1";
