--- a/src/quota/quota_ledger.cpp
+++ b/src/quota/quota_ledger.cpp
@@ -16,7 +16,7 @@
   for (const AccountKey& level : levels(account_key)) what(window_state.counts[level]);
 }
 
-QuotaLedger::WindowState* QuotaLedger::find_period(Window window) {
+QuotaLedger::WindowState* QuotaLedger::find_window(Window window) {
   for (WindowState& each : windows_)
     if (each.number == window) return &each;
   return nullptr;
@@ -46,7 +46,7 @@
 }
 
 void QuotaLedger::apply_settled(EdgeState& edge, const SettledDraws& settled) {
-  WindowState* at = find_period(settled.window);
+  WindowState* at = find_window(settled.window);
   if (!at && !windows_.empty())
     at = &windows_.front();  // reported after its window was dropped: still counted
   if (!at) return;
@@ -143,7 +143,7 @@
     if (edge.expired || grant == edge.grants.end()) continue;
     std::uint64_t count = std::min(returned.count, grant->second.out);
     grant->second.out -= count;
-    if (WindowState* at = find_period(request.window))
+    if (WindowState* at = find_window(request.window))
       for_each_level(*at, returned.account_key,
                      [&](UsageCounts& each) { each.out -= std::min(each.out, count); });
   }
@@ -170,7 +170,7 @@
   if (found == edges_.end() || found->second.expired || !rules_) return;
   found->second.expired = true;
   for (auto& [place, grant] : found->second.grants) {
-    WindowState* at = find_period(place.second);
+    WindowState* at = find_window(place.second);
     if (!at || grant.out == 0) continue;
     std::uint64_t out = grant.out;
     std::uint64_t doubt = rules_->spend_when_disconnected ? out : std::min(out, max_unsettled_);
--- a/src/quota/quota_ledger.h
+++ b/src/quota/quota_ledger.h
@@ -100,7 +100,7 @@
     std::map<std::pair<AccountKey, Window>, Grant> grants;
   };
 
-  WindowState* find_period(Window window);
+  WindowState* find_window(Window window);
   static std::vector<AccountKey> levels(const AccountKey& account_key);
   template <class What>
   static void for_each_level(WindowState& window_state, const AccountKey& account_key, What what);
