--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -288,8 +288,7 @@
   }
   if (file.has_registry_prefix()) {
     read.registry_prefix = read_prefix(file.registry_prefix(), "registry_prefix", at);
-    if (!options.registration)
-      at.report("registry_prefix", "requires a registration, whose registry it uses");
+    if (!options.registration) at.report("registry_prefix", "needs a registration, whose registry it uses");
     for (const std::string& other : {options.registry ? options.registry->prefix : std::string(),
                                      options.registration ? options.registration->prefix : std::string()})
       if (!other.empty() &&
